--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -8,7 +8,7 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use bridgevane_types::EngineId;
+use bridgevane_types::EndpointId;
 use serde_json::json;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
         )
         .expect("text");
         for engine in (service..ENGINES).step_by(SERVICES) {
-            let name = EngineId::from(format!("engine-{engine}").as_str());
+            let name = EndpointId::from(format!("engine-{engine}").as_str());
             let address = engines[engine % engines.len()];
             writeln!(text, "[service.s{service}.engine.{name}]\naddress = \"{address}\"\ndata_centre = \"{DATA_CENTRE}\"\nslots = 64").expect("text");
         }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{self, ConfigProblem, ConfigProblems};
 use bridgevane_types::{
-    ClassName, CustomerId, DataCentreId, DurationMs, EngineId, KindName, ModelName, ServiceName,
+    ClassName, CustomerId, DataCentreId, DurationMs, EndpointId, KindName, ModelName, ServiceName,
     Share, Slots, Tier, Tokens, TokensPerSecond,
 };
 use serde::{Deserialize, Serialize};
@@ -150,7 +150,7 @@
     pub deduplicates: bool,
     /// The workers.
     #[serde(default)]
-    pub engine: BTreeMap<EngineId, EngineConfig>,
+    pub engine: BTreeMap<EndpointId, EngineConfig>,
     /// Routes of a plain service; the longest matching prefix holds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub route: Vec<RouteConfig>,
--- a/crates/coordination/src/modules/rollout.rs
+++ b/crates/coordination/src/modules/rollout.rs
@@ -5,7 +5,7 @@
 //! too much burn holds the rollout back or rolls it back. Orders carry a desired state with a
 //! generation, so that giving one twice does no harm.
 
-use bridgevane_types::{DurationMs, EngineId, ModelName, TimeMs};
+use bridgevane_types::{DurationMs, EndpointId, ModelName, TimeMs};
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use statig::prelude::*;
@@ -21,7 +21,7 @@
     /// The version that they are to run.
     pub to_version: u64,
     /// Engines, in the order of their change.
-    pub engines: Vec<EngineId>,
+    pub engines: Vec<EndpointId>,
     /// Engines that change at the same time at most.
     pub batch: usize,
     /// How long each batch is watched before the next one.
@@ -59,9 +59,9 @@
     /// Now.
     pub now: TimeMs,
     /// Engines that confirmed the new version.
-    pub on_new: BTreeSet<EngineId>,
+    pub on_new: BTreeSet<EndpointId>,
     /// Engines that confirmed the version before.
-    pub on_old: BTreeSet<EngineId>,
+    pub on_old: BTreeSet<EndpointId>,
     /// The highest burn rate of the classes that the model serves.
     pub burn: f64,
 }
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutEffect {
     /// The engine.
-    pub engine: EngineId,
+    pub engine: EndpointId,
     /// The version that it is to run.
     pub version: u64,
     /// Generation of the desired state; an engine keeps the highest.
@@ -86,7 +86,7 @@
 }
 
 impl Progress {
-    fn batch(&self) -> &[EngineId] {
+    fn batch(&self) -> &[EndpointId] {
         &self.plan.engines[..self.started]
     }
 
@@ -228,7 +228,7 @@
             RolloutStage::RollingBack | RolloutStage::RolledBack => self.plan.from_version,
             _ => self.plan.to_version,
         };
-        let order = |engine: &EngineId| RolloutEffect {
+        let order = |engine: &EndpointId| RolloutEffect {
             engine: engine.clone(),
             version,
             generation: self.generation,
--- a/crates/decisions/benches/memory.rs
+++ b/crates/decisions/benches/memory.rs
@@ -7,7 +7,8 @@
 
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, ClassIx, Context, CustomerIx, Effect, EngineIx, KindIx, NoLog, Offer, Policy, Pool,
+    AttemptEnd, ClassIx, Context, CustomerIx, Effect, EndpointIx, KindIx, NoLog, Offer, Policy,
+    Pool,
 };
 use bridgevane_types::{RequestId, TimeMs, Tokens};
 use sized_policy::{CUSTOMERS, TIERS, policy};
@@ -116,7 +117,7 @@
         let mut filled = Filled::new(121, 64);
         let before = resident_kb();
         for block in 0..count {
-            let engine = EngineIx((block % 121) as u32);
+            let engine = EndpointIx((block % 121) as u32);
             filled
                 .pool
                 .cache_stored(TimeMs(1), &filled.settings, engine, block);
--- a/crates/decisions/src/decision_log.rs
+++ b/crates/decisions/src/decision_log.rs
@@ -1,7 +1,7 @@
 //! The log of decisions: what [`crate::check_promises`] and `explain request` read.
 
 use crate::effect::CancelCause;
-use crate::index::{ClassIx, EngineIx};
+use crate::index::{ClassIx, EndpointIx};
 use bridgevane_types::{
     AttemptNumber, DurationMs, Outcome, RefusalCode, RequestId, Tier, TimeMs, Tokens,
 };
@@ -43,7 +43,7 @@
         /// The attempt.
         attempt: AttemptNumber,
         /// The engine.
-        engine: EngineIx,
+        engine: EndpointIx,
         /// Prompt tokens believed to be cached there.
         cached_tokens: Tokens,
         /// Whether it runs on its class's guaranteed part.
@@ -75,7 +75,7 @@
     #[display("engine {engine} is in use: {is_in_use}")]
     EngineUse {
         /// The engine.
-        engine: EngineIx,
+        engine: EndpointIx,
         /// Whether its slots can be given to other work.
         is_in_use: bool,
     },
--- a/crates/decisions/src/effect.rs
+++ b/crates/decisions/src/effect.rs
@@ -1,6 +1,6 @@
 //! What a decision asks for.
 
-use crate::index::EngineIx;
+use crate::index::EndpointIx;
 use bridgevane_types::{AttemptNumber, DurationMs, Outcome, RefusalCode, RequestId, Tier, Tokens};
 use derive_more::Display;
 
@@ -28,7 +28,7 @@
         /// The attempt.
         attempt: AttemptNumber,
         /// The engine.
-        engine: EngineIx,
+        engine: EndpointIx,
         /// Priority inside the engine.
         priority: Tier,
         /// Tokens that were delivered, as far as is known here.
@@ -43,7 +43,7 @@
         /// The attempt.
         attempt: AttemptNumber,
         /// The engine.
-        engine: EngineIx,
+        engine: EndpointIx,
         /// Why.
         cause: CancelCause,
     },
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::decision_log::DecisionLog;
-use crate::index::{ClassIx, CustomerIx, EngineIx, KindIx};
+use crate::index::{ClassIx, CustomerIx, EndpointIx, KindIx};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Tokens};
 
 /// A request that asks to be served.
@@ -88,7 +88,7 @@
     fn load_report<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
-        engine: EngineIx,
+        engine: EndpointIx,
         busy: u32,
         age_ms: DurationMs,
     );
--- a/crates/decisions/src/index.rs
+++ b/crates/decisions/src/index.rs
@@ -27,8 +27,8 @@
     CustomerIx, u32
 );
 index!(
-    /// An engine of a pool.
-    EngineIx, u32
+    /// An endpoint of a pool or a service.
+    EndpointIx, u32
 );
 index!(
     /// A request kind.
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -20,7 +20,7 @@
 pub use decision_log::{Decision, DecisionLog, DecisionRecord, NoLog, Recorder};
 pub use effect::{CancelCause, Effect};
 pub use event::{AttemptEnd, Offer, Policy};
-pub use index::{ClassIx, CustomerIx, EngineIx, KindIx};
+pub use index::{ClassIx, CustomerIx, EndpointIx, KindIx};
 pub use modules::engine_health::HealthState;
 pub use modules::prefix_cache::{Holders, PrefixCache};
 pub use policy::{ClassPolicy, CustomerPolicy, EnginePolicy, PoolPolicy};
--- a/crates/decisions/src/modules/prefix_cache.rs
+++ b/crates/decisions/src/modules/prefix_cache.rs
@@ -3,7 +3,7 @@
 //! The index goes from block to holders, so that a look-up costs the blocks of one prompt,
 //! not the fleet. Events may be late and have gaps: what is known is a hint that ages out.
 
-use crate::index::EngineIx;
+use crate::index::EndpointIx;
 use bridgevane_types::TimeMs;
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -12,11 +12,11 @@
 const MAX_HOLDERS: usize = 4;
 
 /// Engines that may hold a prefix, with the blocks that each holds of it.
-pub type Holders = [Option<(EngineIx, u32)>; MAX_HOLDERS];
+pub type Holders = [Option<(EndpointIx, u32)>; MAX_HOLDERS];
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
-    engine: EngineIx,
+    engine: EndpointIx,
     seen_at: TimeMs,
 }
 
@@ -29,7 +29,7 @@
 
 impl PrefixCache {
     /// Notes that `engine` holds `block`.
-    pub fn stored(&mut self, now: TimeMs, block: u64, engine: EngineIx, max_blocks: usize) {
+    pub fn stored(&mut self, now: TimeMs, block: u64, engine: EndpointIx, max_blocks: usize) {
         let holder = Holder {
             engine,
             seen_at: now,
@@ -55,7 +55,7 @@
     }
 
     /// Notes that `engine` dropped `block`.
-    pub fn evicted(&mut self, block: u64, engine: EngineIx) {
+    pub fn evicted(&mut self, block: u64, engine: EndpointIx) {
         if let Some(holders) = self.holders.get_mut(&block) {
             for slot in holders.iter_mut() {
                 if slot.is_some_and(|known| known.engine == engine) {
@@ -92,7 +92,7 @@
 }
 
 /// Adds an engine unless it is there with a longer prefix.
-fn add(found: &mut Holders, engine: EngineIx, blocks: u32) {
+fn add(found: &mut Holders, engine: EndpointIx, blocks: u32) {
     for slot in found {
         match slot {
             Some((known, _)) if *known == engine => return,
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -3,8 +3,8 @@
 use crate::index::{ClassIx, CustomerIx, KindIx};
 use bridgevane_config::Document;
 use bridgevane_types::{
-    ClassName, CustomerId, DataCentreId, DurationMs, EngineId, KindName, ServiceName, Share, Slots,
-    Tier, Tokens, TokensPerSecond,
+    ClassName, CustomerId, DataCentreId, DurationMs, EndpointId, KindName, ServiceName, Share,
+    Slots, Tier, Tokens, TokensPerSecond,
 };
 use std::collections::HashMap;
 
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePolicy {
     /// Name.
-    pub name: EngineId,
+    pub name: EndpointId,
     /// Requests that it can run.
     pub slots: Slots,
     /// Whether it gets no new work.
--- a/crates/decisions/src/pool/attempt.rs
+++ b/crates/decisions/src/pool/attempt.rs
@@ -6,7 +6,7 @@
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::{CancelCause, Effect};
 use crate::event::AttemptEnd;
-use crate::index::EngineIx;
+use crate::index::EndpointIx;
 use crate::modules::engine_health::{HealthContext, HealthEvent, HealthState};
 use crate::modules::request_life::{LifeEvent, LifeState};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Tokens};
@@ -103,7 +103,7 @@
     fn note_tokens<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
-        at: EngineIx,
+        at: EndpointIx,
         gained: u64,
         gap_ms: f64,
         mean_gap_ms: f64,
--- a/crates/decisions/src/pool/dispatch.rs
+++ b/crates/decisions/src/pool/dispatch.rs
@@ -7,7 +7,7 @@
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::Effect;
 use crate::event::Offer;
-use crate::index::{ClassIx, EngineIx};
+use crate::index::{ClassIx, EndpointIx};
 use crate::modules::engine_health::HealthState;
 use crate::modules::request_life::LifeEvent;
 use bridgevane_types::{RequestId, Tier, Tokens};
@@ -35,7 +35,7 @@
 /// An engine with what it would have to process.
 #[derive(Clone, Copy, Debug)]
 struct Choice {
-    engine: EngineIx,
+    engine: EndpointIx,
     cached_tokens: u64,
     cost_ms: f64,
 }
@@ -77,7 +77,7 @@
             };
             let turn = Turn::by_tier(class);
             let choice = Choice {
-                engine: EngineIx(at),
+                engine: EndpointIx(at),
                 cached_tokens: 0,
                 cost_ms: 0.0,
             };
@@ -207,7 +207,7 @@
 
     /// The engine whose load costs least; ties go to the first one seen, so each look starts
     /// elsewhere.
-    fn least_loaded(&mut self, avoid: Option<EngineIx>) -> Option<EngineIx> {
+    fn least_loaded(&mut self, avoid: Option<EndpointIx>) -> Option<EndpointIx> {
         let count = self.load_costs_ms.len();
         if count == 0 {
             return None;
@@ -216,8 +216,8 @@
         let mut least = (f64::INFINITY, None);
         for at in (start..count).chain(0..start) {
             let cost_ms = self.load_costs_ms[at];
-            if cost_ms < least.0 && avoid != Some(EngineIx(at as u32)) {
-                least = (cost_ms, Some(EngineIx(at as u32)));
+            if cost_ms < least.0 && avoid != Some(EndpointIx(at as u32)) {
+                least = (cost_ms, Some(EndpointIx(at as u32)));
             }
         }
         // The engine to avoid is better than none.
@@ -225,14 +225,14 @@
     }
 
     /// The least loaded of a few engines drawn at random, or of all when those are full.
-    fn least_loaded_of(&mut self, choices: u32, avoid: Option<EngineIx>) -> Option<EngineIx> {
+    fn least_loaded_of(&mut self, choices: u32, avoid: Option<EndpointIx>) -> Option<EndpointIx> {
         let count = self.load_costs_ms.len();
         let mut least = (f64::INFINITY, None);
         for _ in 0..choices.min(count as u32) {
             let at = self.rng.random_range(0..count);
             let cost_ms = self.load_costs_ms[at];
-            if cost_ms < least.0 && avoid != Some(EngineIx(at as u32)) {
-                least = (cost_ms, Some(EngineIx(at as u32)));
+            if cost_ms < least.0 && avoid != Some(EndpointIx(at as u32)) {
+                least = (cost_ms, Some(EndpointIx(at as u32)));
             }
         }
         match least.1 {
@@ -244,10 +244,10 @@
     /// What serving `tokens` costs at an engine, of which `cached_tokens` are there already.
     fn price(
         &self,
-        at: EngineIx,
+        at: EndpointIx,
         tokens: u64,
         cached_tokens: u64,
-        avoid: Option<EngineIx>,
+        avoid: Option<EndpointIx>,
     ) -> Option<Choice> {
         const COST_OF_AVOIDED_MS: f64 = 100_000.0;
         let load_cost_ms = *self.load_costs_ms.get(at.at())?;
@@ -286,7 +286,7 @@
         &mut self,
         context: &mut Context<'_, L>,
         request: RequestId,
-        engine: EngineIx,
+        engine: EndpointIx,
     ) {
         let Some(class) = self.requests.get(&request).map(|entry| entry.offer.class) else {
             return;
--- a/crates/decisions/src/pool/entry.rs
+++ b/crates/decisions/src/pool/entry.rs
@@ -1,14 +1,14 @@
 //! A request inside a pool.
 
 use crate::event::Offer;
-use crate::index::EngineIx;
+use crate::index::EndpointIx;
 use crate::modules::request_life::{LifeEvent, RequestLife};
 use bridgevane_types::TimeMs;
 
 /// A running attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Running {
-    pub(super) engine: EngineIx,
+    pub(super) engine: EndpointIx,
     pub(super) since: TimeMs,
     /// Prompt and delivered tokens that the engine had to process first.
     pub(super) uncached_tokens: u64,
@@ -37,7 +37,7 @@
     pub(super) expected_tokens: f64,
     pub(super) running: Option<Running>,
     /// The engine that failed it last: another one is preferred.
-    pub(super) avoid: Option<EngineIx>,
+    pub(super) avoid: Option<EndpointIx>,
     /// Some attempt may have run.
     pub(super) may_have_run: bool,
     pub(super) preemptions: u32,
--- a/crates/decisions/src/pool/maintain.rs
+++ b/crates/decisions/src/pool/maintain.rs
@@ -5,7 +5,7 @@
 use crate::context::Context;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::CancelCause;
-use crate::index::{ClassIx, EngineIx};
+use crate::index::{ClassIx, EndpointIx};
 use crate::modules::engine_health::{HealthContext, HealthEvent, HealthState};
 use crate::modules::request_life::LifeState;
 use bridgevane_types::{DurationMs, RefusalCode, RequestId};
@@ -53,7 +53,7 @@
         self.checked_at = context.now;
         let median_ms = self.median_between_tokens_ms();
         for at in 0..self.engines.len() as u32 {
-            self.check_engine(context, EngineIx(at), median_ms);
+            self.check_engine(context, EndpointIx(at), median_ms);
         }
         self.adjust_limits(context);
         self.record_use(context);
@@ -78,7 +78,7 @@
     fn check_engine<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
-        at: EngineIx,
+        at: EndpointIx,
         median_ms: f64,
     ) {
         let config = &context.settings.engine_health;
@@ -137,7 +137,7 @@
             if is_in_use != engine.was_in_use {
                 engine.was_in_use = is_in_use;
                 context.record(Decision::EngineUse {
-                    engine: EngineIx(at as u32),
+                    engine: EndpointIx(at as u32),
                     is_in_use,
                 });
             }
--- a/crates/decisions/src/pool/mod.rs
+++ b/crates/decisions/src/pool/mod.rs
@@ -15,7 +15,7 @@
 use crate::context::Context;
 use crate::decision_log::DecisionLog;
 use crate::event::{AttemptEnd, Offer, Policy};
-use crate::index::{ClassIx, CustomerIx, EngineIx};
+use crate::index::{ClassIx, CustomerIx, EndpointIx};
 use crate::modules::concurrency::ConcurrencyLimit;
 use crate::modules::customer_limits::CustomerLimits;
 use crate::modules::engine_health::{EngineHealth, HealthState};
@@ -167,13 +167,19 @@
     }
 
     /// Notes that `engine` holds `block` in its prefix cache.
-    pub fn cache_stored(&mut self, now: TimeMs, settings: &Settings, engine: EngineIx, block: u64) {
+    pub fn cache_stored(
+        &mut self,
+        now: TimeMs,
+        settings: &Settings,
+        engine: EndpointIx,
+        block: u64,
+    ) {
         self.cache
             .stored(now, block, engine, settings.routing.max_blocks);
     }
 
     /// Notes that `engine` dropped `block` from its prefix cache.
-    pub fn cache_evicted(&mut self, engine: EngineIx, block: u64) {
+    pub fn cache_evicted(&mut self, engine: EndpointIx, block: u64) {
         self.cache.evicted(block, engine);
     }
 
@@ -215,7 +221,7 @@
     }
 
     /// Follows a change of one engine.
-    fn refresh_cost(&mut self, settings: &Settings, at: EngineIx) {
+    fn refresh_cost(&mut self, settings: &Settings, at: EndpointIx) {
         let cost_ms = self.load_cost_ms(settings, &self.engines[at.at()]);
         self.load_costs_ms[at.at()] = cost_ms;
     }
@@ -223,7 +229,7 @@
     fn refresh_all_costs(&mut self, settings: &Settings) {
         self.load_costs_ms.resize(self.engines.len(), f64::INFINITY);
         for at in 0..self.engines.len() as u32 {
-            self.refresh_cost(settings, EngineIx(at));
+            self.refresh_cost(settings, EndpointIx(at));
         }
     }
 
@@ -285,7 +291,7 @@
     fn load_report<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
-        engine: EngineIx,
+        engine: EndpointIx,
         busy: u32,
         age_ms: DurationMs,
     ) {
--- a/crates/decisions/src/pool/recover.rs
+++ b/crates/decisions/src/pool/recover.rs
@@ -5,7 +5,7 @@
 use crate::context::Context;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::CancelCause;
-use crate::index::EngineIx;
+use crate::index::EndpointIx;
 use crate::modules::engine_health::{HealthContext, HealthEvent};
 use crate::modules::request_life::LifeState;
 use bridgevane_types::{AttemptNumber, RefusalCode, RequestId, Tokens};
@@ -79,7 +79,7 @@
         &mut self,
         context: &mut Context<'_, L>,
         request: RequestId,
-        failed: EngineIx,
+        failed: EndpointIx,
     ) {
         let Some(entry) = self.requests.get_mut(&request) else {
             return;
@@ -101,7 +101,7 @@
     pub(super) fn stream_lost<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
-        at: EngineIx,
+        at: EndpointIx,
     ) {
         self.tell_health(context, at, HealthEvent::Unavailable);
     }
@@ -110,7 +110,7 @@
     pub(super) fn engine_lost<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
-        at: EngineIx,
+        at: EndpointIx,
     ) {
         self.engines[at.at()].load.forget_others();
         self.tell_health(context, at, HealthEvent::Lost);
@@ -120,7 +120,7 @@
     pub(super) fn tell_health<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
-        at: EngineIx,
+        at: EndpointIx,
         event: HealthEvent,
     ) {
         let mut health_context = HealthContext {
@@ -149,7 +149,7 @@
     pub(super) fn move_work_from<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
-        at: EngineIx,
+        at: EndpointIx,
         is_silent: bool,
     ) {
         let running = self.engines[at.at()].running.clone();
--- a/crates/decisions/src/pool/room.rs
+++ b/crates/decisions/src/pool/room.rs
@@ -4,7 +4,7 @@
 use crate::context::Context;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::{CancelCause, Effect};
-use crate::index::{ClassIx, EngineIx};
+use crate::index::{ClassIx, EndpointIx};
 use crate::modules::engine_health::HealthState;
 use bridgevane_types::{RequestId, Tier};
 
@@ -54,7 +54,7 @@
         request: RequestId,
         cause: CancelCause,
         for_tier: Option<Tier>,
-    ) -> Option<EngineIx> {
+    ) -> Option<EndpointIx> {
         let running = self.release_slot(context, request)?;
         let entry = self.requests.get_mut(&request)?;
         let attempt = entry.life.attempt();
--- a/crates/decisions/src/pool/view.rs
+++ b/crates/decisions/src/pool/view.rs
@@ -4,11 +4,11 @@
 use super::entry::{Entry, Running};
 use crate::configs::Settings;
 use crate::event::Offer;
-use crate::index::EngineIx;
+use crate::index::EndpointIx;
 use crate::modules::engine_health::HealthState;
 use crate::modules::request_life::{LifeState, RequestLife};
 use bridgevane_types::{
-    AttemptNumber, ClassName, CustomerId, DurationMs, EngineId, RequestId, Slots, Tier, TimeMs,
+    AttemptNumber, ClassName, CustomerId, DurationMs, EndpointId, RequestId, Slots, Tier, TimeMs,
     Tokens,
 };
 
@@ -24,7 +24,7 @@
     /// Where it stands.
     pub state: String,
     /// Its engine, while it runs.
-    pub engine: Option<EngineId>,
+    pub engine: Option<EndpointId>,
     /// Time since it arrived.
     pub age_ms: DurationMs,
     /// Attempts so far.
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineView {
     /// Name.
-    pub engine: EngineId,
+    pub engine: EndpointId,
     /// Health.
     pub health: HealthState,
     /// Whether it gets no new work.
@@ -115,7 +115,7 @@
     }
 
     /// An engine's name.
-    pub fn engine_name(&self, engine: EngineIx) -> EngineId {
+    pub fn engine_name(&self, engine: EndpointIx) -> EndpointId {
         self.policy.engines[engine.at()].name.clone()
     }
 
@@ -142,7 +142,7 @@
         now: TimeMs,
         settings: &Settings,
         offer: Offer,
-        engine: EngineIx,
+        engine: EndpointIx,
         attempt: AttemptNumber,
         delivered: Tokens,
     ) {
--- a/crates/decisions/src/promises.rs
+++ b/crates/decisions/src/promises.rs
@@ -2,7 +2,7 @@
 
 use crate::decision_log::{Decision, DecisionRecord};
 use crate::effect::CancelCause;
-use crate::index::EngineIx;
+use crate::index::EndpointIx;
 use bridgevane_types::{Outcome, RefusalCode, RequestId, Tier};
 use derive_more::Display;
 use std::collections::{HashMap, HashSet};
@@ -61,7 +61,7 @@
     tier: Tier,
     is_repeatable: bool,
     is_preemptible: bool,
-    running_on: Option<EngineIx>,
+    running_on: Option<EndpointIx>,
     is_protected: bool,
     /// An attempt was sent that isn't proved not to have run.
     may_have_run: bool,
@@ -83,9 +83,9 @@
 struct Follower {
     requests: HashMap<RequestId, Followed>,
     /// Preemptible, unprotected running requests by tier and engine.
-    room: HashMap<(Tier, EngineIx), usize>,
+    room: HashMap<(Tier, EndpointIx), usize>,
     /// Engines whose slots are of no use to other work.
-    out_of_use: HashSet<EngineIx>,
+    out_of_use: HashSet<EndpointIx>,
     broken: Vec<BrokenPromise>,
 }
 
@@ -152,7 +152,7 @@
         }
     }
 
-    fn dispatched(&mut self, request: RequestId, engine: EngineIx, is_protected: bool) {
+    fn dispatched(&mut self, request: RequestId, engine: EndpointIx, is_protected: bool) {
         let Some(followed) = self.requests.get_mut(&request) else {
             return;
         };
--- a/crates/decisions/tests/checker.rs
+++ b/crates/decisions/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The checker finds each kind of broken promise in a log made by hand.
 
 use bridgevane_decisions::{
-    BrokenPromise, CancelCause, ClassIx, Decision, DecisionRecord, EngineIx, check_promises,
+    BrokenPromise, CancelCause, ClassIx, Decision, DecisionRecord, EndpointIx, check_promises,
 };
 use bridgevane_types::{AttemptNumber, Outcome, RefusalCode, RequestId, Tier, TimeMs, Tokens};
 
@@ -22,7 +22,7 @@
     Decision::Dispatched {
         request,
         attempt: AttemptNumber(attempt),
-        engine: EngineIx(0),
+        engine: EndpointIx(0),
         cached_tokens: Tokens(0),
         is_protected: false,
     }
--- a/crates/decisions/tests/pool_sequences.rs
+++ b/crates/decisions/tests/pool_sequences.rs
@@ -3,7 +3,7 @@
 
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, ClassIx, ClassPolicy, Context, CustomerIx, CustomerPolicy, Effect, EngineIx,
+    AttemptEnd, ClassIx, ClassPolicy, Context, CustomerIx, CustomerPolicy, Effect, EndpointIx,
     EnginePolicy, KindIx, Offer, Policy, Pool, PoolPolicy, Recorder, check_promises,
 };
 use bridgevane_types::{
@@ -117,7 +117,7 @@
     log: Recorder,
     now: TimeMs,
     next: u128,
-    running: BTreeMap<RequestId, (AttemptNumber, EngineIx, u64)>,
+    running: BTreeMap<RequestId, (AttemptNumber, EndpointIx, u64)>,
     over: Vec<(RequestId, AttemptNumber)>,
     open: BTreeSet<RequestId>,
 }
@@ -190,7 +190,7 @@
             let on_it = self
                 .running
                 .values()
-                .filter(|running| running.1 == EngineIx(engine));
+                .filter(|running| running.1 == EndpointIx(engine));
             assert!(
                 on_it.count() <= SLOTS as usize,
                 "engine {engine} has too much"
@@ -219,7 +219,7 @@
         if end == AttemptEnd::CallerGone {
             // The pool cancels it at the engine.
             self.running
-                .insert(request, (attempt, EngineIx(ENGINES), 0));
+                .insert(request, (attempt, EndpointIx(ENGINES), 0));
         }
         self.decide(|pool, context| pool.finished(context, request, attempt, end));
     }
@@ -253,7 +253,7 @@
                 busy,
                 age_ms,
             } => self.decide(|pool, context| {
-                pool.load_report(context, EngineIx(engine), busy, DurationMs(age_ms));
+                pool.load_report(context, EndpointIx(engine), busy, DurationMs(age_ms));
             }),
             Step::Wait { ms } => {
                 self.now = self.now + DurationMs(ms);
--- a/crates/decisions/tests/support/baselines.rs
+++ b/crates/decisions/tests/support/baselines.rs
@@ -1,6 +1,6 @@
 //! Ways to decide that the product is compared with: first in, first out, by a simple chooser.
 
-use bridgevane_decisions::{AttemptEnd, Context, DecisionLog, Effect, EngineIx, Offer, Policy};
+use bridgevane_decisions::{AttemptEnd, Context, DecisionLog, Effect, EndpointIx, Offer, Policy};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Tier, Tokens};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -98,7 +98,7 @@
             context.effects.push(Effect::Dispatch {
                 request,
                 attempt,
-                engine: EngineIx(engine as u32),
+                engine: EndpointIx(engine as u32),
                 priority: Tier(0),
                 resume_from: delivered,
                 cached_tokens: Tokens(0),
@@ -165,7 +165,7 @@
     fn load_report<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
-        engine: EngineIx,
+        engine: EndpointIx,
         busy: u32,
         _age_ms: DurationMs,
     ) {
--- a/crates/decisions/tests/support/driver.rs
+++ b/crates/decisions/tests/support/driver.rs
@@ -5,7 +5,7 @@
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
     AttemptEnd, BrokenPromise, CancelCause, ClassIx, Context, CustomerIx, Decision, Effect,
-    EngineIx, KindIx, Offer, Policy, Recorder, check_promises,
+    EndpointIx, KindIx, Offer, Policy, Recorder, check_promises,
 };
 use bridgevane_standins::{EngineModel, EngineSpec, Job, ModelEvent};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Slots, Tier, TimeMs, Tokens};
@@ -359,7 +359,7 @@
         &mut self,
         request: RequestId,
         attempt: AttemptNumber,
-        engine: EngineIx,
+        engine: EndpointIx,
         priority: Tier,
     ) {
         let at = engine.at();
@@ -574,7 +574,7 @@
                 continue;
             }
             for decider in 0..self.deciders.len() {
-                let engine = EngineIx(engine as u32);
+                let engine = EndpointIx(engine as u32);
                 self.decide(decider, |policy, context| {
                     policy.load_report(context, engine, busy, age_ms);
                 });
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -5,8 +5,8 @@
 use crate::pool::IdleConnections;
 use crate::replication::work::EndpointHash;
 use arc_swap::ArcSwap;
-use bridgevane_decisions::EngineIx;
-use bridgevane_types::{DataCentreId, EngineId, ServiceName, TimeMs};
+use bridgevane_decisions::EndpointIx;
+use bridgevane_types::{DataCentreId, EndpointId, ServiceName, TimeMs};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointRecord {
     /// The endpoint: one start of a worker.
-    pub id: EngineId,
+    pub id: EndpointId,
     /// Its service.
     pub service: ServiceName,
     /// Where it listens.
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct Endpoint {
     /// A small number in place of its name.
-    pub index: EngineIx,
+    pub index: EndpointIx,
     /// What it is called between daemons.
     pub hash: EndpointHash,
     /// Its newest record.
@@ -52,7 +52,7 @@
 
 impl Endpoint {
     /// An endpoint that was just seen.
-    pub fn new(index: EngineIx, record: EndpointRecord) -> Self {
+    pub fn new(index: EndpointIx, record: EndpointRecord) -> Self {
         Self {
             index,
             hash: EndpointHash::of(&record.id),
@@ -92,7 +92,7 @@
     /// All of them.
     pub all: Vec<Arc<Endpoint>>,
     /// Those kept for streams that bear no pauses: long prompts go elsewhere while they can.
-    pub for_streams: HashSet<EngineIx>,
+    pub for_streams: HashSet<EndpointIx>,
 }
 
 impl ServiceEndpoints {
@@ -100,7 +100,7 @@
     /// centre, those with the lowest hash.
     pub fn new(mut all: Vec<Arc<Endpoint>>) -> Self {
         all.sort_by_key(|endpoint| endpoint.index);
-        let mut by_data_centre: HashMap<DataCentreId, Vec<(u64, EngineIx)>> = HashMap::new();
+        let mut by_data_centre: HashMap<DataCentreId, Vec<(u64, EndpointIx)>> = HashMap::new();
         for endpoint in &all {
             let record = endpoint.record.load();
             let there = by_data_centre
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -4,7 +4,7 @@
 use crate::health::Trust;
 use crate::load::LoadNow;
 use crate::request::Prompt;
-use bridgevane_decisions::{EngineIx, Holders, PrefixCache};
+use bridgevane_decisions::{EndpointIx, Holders, PrefixCache};
 use bridgevane_types::{DataCentreId, TimeMs};
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
@@ -162,8 +162,8 @@
 fn likely_homes(
     choice: &Choice<'_>,
     service: &ServiceEndpoints,
-) -> [Option<EngineIx>; LIKELY_SHARES.len()] {
-    let mut homes: [Option<(u64, EngineIx)>; LIKELY_SHARES.len()] = Default::default();
+) -> [Option<EndpointIx>; LIKELY_SHARES.len()] {
+    let mut homes: [Option<(u64, EndpointIx)>; LIKELY_SHARES.len()] = Default::default();
     let shared = shared_parts(choice.prompt);
     let Some(deepest) = shared.checked_sub(1).map(|at| choice.prompt.parts[at].id) else {
         return Default::default();
@@ -192,12 +192,12 @@
 struct Estimate<'a> {
     choice: Choice<'a>,
     holders: Holders,
-    likely: [Option<EngineIx>; LIKELY_SHARES.len()],
-    for_streams: &'a HashSet<EngineIx>,
+    likely: [Option<EndpointIx>; LIKELY_SHARES.len()],
+    for_streams: &'a HashSet<EndpointIx>,
 }
 
 impl Estimate<'_> {
-    fn is_home(&self, endpoint: EngineIx) -> bool {
+    fn is_home(&self, endpoint: EndpointIx) -> bool {
         self.likely.contains(&Some(endpoint))
     }
 
@@ -245,7 +245,7 @@
     }
 
     /// Tokens of the prompt that an endpoint keeps, as far as this daemon can tell.
-    fn kept_tokens(&self, endpoint: EngineIx) -> u64 {
+    fn kept_tokens(&self, endpoint: EndpointIx) -> u64 {
         let prompt = self.choice.prompt;
         let holder = self.holders.iter().flatten();
         let known = holder.clone().find(|(index, _)| *index == endpoint);
@@ -258,7 +258,7 @@
 
     fn model_work_ms(
         &self,
-        endpoint: EngineIx,
+        endpoint: EndpointIx,
         slots: u32,
         load: LoadNow,
         prefill_tokens: u64,
--- a/crates/gateway/src/replication/work.rs
+++ b/crates/gateway/src/replication/work.rs
@@ -6,7 +6,7 @@
 //! total goes down.
 
 use bridgevane_protocol::EndpointWork;
-use bridgevane_types::{DurationMs, EngineId, TimeMs};
+use bridgevane_types::{DurationMs, EndpointId, TimeMs};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
@@ -24,7 +24,7 @@
 
 impl EndpointHash {
     /// The hash of an endpoint's name.
-    pub fn of(endpoint: &EngineId) -> Self {
+    pub fn of(endpoint: &EndpointId) -> Self {
         Self((xxh3_64(endpoint.as_str().as_bytes()) >> 32) as u32)
     }
 }
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -2,7 +2,7 @@
 
 use crate::directory::EndpointRecord;
 use crate::routing::RoutingTable;
-use bridgevane_types::{DurationMs, EngineId};
+use bridgevane_types::{DurationMs, EndpointId};
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use std::future::Future;
@@ -20,7 +20,7 @@
     /// An endpoint, as its record stands.
     Endpoint(EndpointRecord),
     /// An endpoint's record is gone.
-    EndpointGone(EngineId),
+    EndpointGone(EndpointId),
     /// A record that can't be read; it is passed over.
     Unreadable(&'static str),
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -4,9 +4,9 @@
 use crate::routing::RoutingTable;
 use crate::source::{Change, ChangeAt, Revision};
 use arc_swap::{ArcSwap, ArcSwapOption};
-use bridgevane_decisions::EngineIx;
+use bridgevane_decisions::EndpointIx;
 use bridgevane_events::{Event, event};
-use bridgevane_types::{DurationMs, EngineId, TimeMs};
+use bridgevane_types::{DurationMs, EndpointId, TimeMs};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -21,7 +21,7 @@
 /// What only the follower of the source touches.
 #[derive(Debug, Default)]
 struct Ledger {
-    endpoints: HashMap<EngineId, Known>,
+    endpoints: HashMap<EndpointId, Known>,
     next_index: u32,
 }
 
@@ -81,7 +81,7 @@
     /// Takes in everything as it stood at a revision: endpoints that are not listed are gone.
     pub fn replace(&self, at: Revision, records: Vec<ChangeAt>, removal: Removal) {
         let mut ledger = self.ledger.lock().expect("no panic under this lock");
-        let listed: Vec<EngineId> = records
+        let listed: Vec<EndpointId> = records
             .iter()
             .filter_map(|record| match &record.change {
                 Change::Endpoint(endpoint) => Some(endpoint.id.clone()),
@@ -92,7 +92,7 @@
             .endpoints
             .iter()
             .filter(|(id, known)| known.revision <= at && !listed.contains(id));
-        let gone: Vec<EngineId> = gone.map(|(id, _)| id.clone()).collect();
+        let gone: Vec<EndpointId> = gone.map(|(id, _)| id.clone()).collect();
         for id in gone {
             self.remove(&mut ledger, &id, at, removal);
         }
@@ -113,7 +113,7 @@
         let mut ledger = self.ledger.lock().expect("no panic under this lock");
         let known = ledger.endpoints.iter();
         let lapsed = known.filter(|(_, known)| known.endpoint.has_lapsed(now));
-        let lapsed: Vec<EngineId> = lapsed.map(|(id, _)| id.clone()).collect();
+        let lapsed: Vec<EndpointId> = lapsed.map(|(id, _)| id.clone()).collect();
         if lapsed.is_empty() {
             return;
         }
@@ -179,7 +179,7 @@
             return;
         }
         log_endpoint(&record, revision);
-        let index = EngineIx(ledger.next_index);
+        let index = EndpointIx(ledger.next_index);
         ledger.next_index += 1;
         let id = record.id.clone();
         let endpoint = Arc::new(Endpoint::new(index, record));
@@ -187,7 +187,7 @@
         ledger.endpoints.insert(id, known);
     }
 
-    fn remove(&self, ledger: &mut Ledger, id: &EngineId, revision: Revision, removal: Removal) {
+    fn remove(&self, ledger: &mut Ledger, id: &EndpointId, revision: Revision, removal: Removal) {
         let Some(known) = ledger.endpoints.get_mut(id) else {
             return;
         };
@@ -206,7 +206,7 @@
     }
 }
 
-fn drop_endpoint(ledger: &mut Ledger, id: &EngineId) {
+fn drop_endpoint(ledger: &mut Ledger, id: &EndpointId) {
     if let Some(known) = ledger.endpoints.remove(id) {
         known.endpoint.connections.close();
         let revision = known.revision;
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use bridgevane_decisions::EngineIx;
+use bridgevane_decisions::EndpointIx;
 use bridgevane_gateway::directory::{Endpoint, EndpointRecord, ServiceEndpoints};
 use bridgevane_gateway::health::{Health, Trust};
 use bridgevane_gateway::load::{EndpointLoad, ReportedLoad};
@@ -33,7 +33,7 @@
             slots: 64,
             is_draining: false,
         };
-        Arc::new(Endpoint::new(EngineIx(at), record))
+        Arc::new(Endpoint::new(EndpointIx(at), record))
     });
     ServiceEndpoints::new(endpoints.collect())
 }
@@ -54,7 +54,7 @@
     }
 }
 
-fn place(service: &ServiceEndpoints, prompt: &Prompt, data_centre: &str) -> EngineIx {
+fn place(service: &ServiceEndpoints, prompt: &Prompt, data_centre: &str) -> EndpointIx {
     placed(service, prompt, data_centre).endpoint.index
 }
 
@@ -99,7 +99,7 @@
     let mut used = HashSet::new();
     for session in 10..200 {
         let prompt = prompt(session, 6_000, 3_000, 200);
-        let homes: HashSet<EngineIx> = ["dc-0", "dc-1", "dc-2"]
+        let homes: HashSet<EndpointIx> = ["dc-0", "dc-1", "dc-2"]
             .iter()
             .map(|data_centre| place(&service, &prompt, data_centre))
             .collect();
@@ -122,7 +122,7 @@
         sent: TimeMs(0),
         reading_ms: 0.0,
     };
-    let load = |index: EngineIx| &service.all[index.at()].load;
+    let load = |index: EndpointIx| &service.all[index.at()].load;
     load(first).queue_delay().sent(busy);
     // It is busy, not gone: others get their tokens.
     load(first).heard(NOW);
--- a/crates/gateway/tests/support/source.rs
+++ b/crates/gateway/tests/support/source.rs
@@ -8,7 +8,7 @@
 use bridgevane_gateway::source::{
     Change, Changes, ControlSource, FullState, Revision, SourceError, SourceRecord,
 };
-use bridgevane_types::{Bytes, ConfigVersion, DurationMs, EngineId, Tier};
+use bridgevane_types::{Bytes, ConfigVersion, DurationMs, EndpointId, Tier};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -111,7 +111,7 @@
     }
 
     pub fn gone(&self, id: &str) {
-        self.put(Change::EndpointGone(EngineId::from(id)));
+        self.put(Change::EndpointGone(EndpointId::from(id)));
     }
 
     /// From now on every call fails so; none: they succeed.
@@ -148,7 +148,7 @@
 
 fn record(id: &str, service: &str, address: SocketAddr, is_draining: bool) -> EndpointRecord {
     EndpointRecord {
-        id: EngineId::from(id),
+        id: EndpointId::from(id),
         service: service.into(),
         address,
         data_centre: "dc-1".into(),
@@ -202,7 +202,7 @@
 
     fn read(&self, record: &SourceRecord) -> Option<Change> {
         let Some(value) = &record.value else {
-            return Some(Change::EndpointGone(EngineId::from(record.key.as_str())));
+            return Some(Change::EndpointGone(EndpointId::from(record.key.as_str())));
         };
         let revision: usize = std::str::from_utf8(value).ok()?.parse().ok()?;
         let state = self.state.lock().unwrap();
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -79,8 +79,8 @@
     DataCentreId
 );
 text_id!(
-    /// An engine: one worker of a service.
-    EngineId
+    /// An endpoint: one start of a worker of a service, a model engine or a plain worker.
+    EndpointId
 );
 text_id!(
     /// A caller's own key for a call that may not run twice.
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -9,7 +9,7 @@
 mod time;
 
 pub use ids::{
-    AttemptNumber, ClassName, ConfigVersion, CustomerId, DataCentreId, EngineId, FenceToken,
+    AttemptNumber, ClassName, ConfigVersion, CustomerId, DataCentreId, EndpointId, FenceToken,
     IdempotencyKey, Incarnation, KindName, ModelName, OperationId, OperatorName, RequestId,
     ServiceName, VmId,
 };
--- a/src/modules/engine_link.rs
+++ b/src/modules/engine_link.rs
@@ -1,14 +1,14 @@
 //! A worker that requests are sent to.
 
 use bridgevane_adapters::{HttpEngine, HttpPlainService};
-use bridgevane_types::EngineId;
+use bridgevane_types::EndpointId;
 use std::net::SocketAddr;
 
 /// One worker of a service; the service's kind says which of the two adapters is used.
 #[derive(Debug)]
 pub struct EngineLink {
     /// Name.
-    pub name: EngineId,
+    pub name: EndpointId,
     /// Address.
     pub address: SocketAddr,
     /// As a model engine.
@@ -19,7 +19,7 @@
 
 impl EngineLink {
     /// The worker at `address`.
-    pub fn new(name: EngineId, address: SocketAddr) -> Self {
+    pub fn new(name: EndpointId, address: SocketAddr) -> Self {
         Self {
             name,
             address,
--- a/src/modules/pool_actor.rs
+++ b/src/modules/pool_actor.rs
@@ -9,11 +9,12 @@
 use bridgevane_adapters::{CacheChange, CacheEvent};
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, Context as DecisionContext, Effect, EngineIx, Offer, Policy, Pool, PoolPolicy,
+    AttemptEnd, Context as DecisionContext, Effect, EndpointIx, Offer, Policy, Pool, PoolPolicy,
     Recorder, check_promises,
 };
 use bridgevane_types::{
-    AttemptNumber, DurationMs, EngineId, Outcome, RefusalCode, RequestId, ServiceName, Tier, Tokens,
+    AttemptNumber, DurationMs, EndpointId, Outcome, RefusalCode, RequestId, ServiceName, Tier,
+    Tokens,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -192,7 +193,7 @@
     fn adopt(
         &mut self,
         offer: &NamedOffer,
-        engine: &EngineId,
+        engine: &EndpointId,
         attempt: AttemptNumber,
         delivered: Tokens,
         orders: OrderSender,
@@ -237,13 +238,13 @@
         }
     }
 
-    fn engine_ix(&self, name: &EngineId) -> Option<EngineIx> {
+    fn engine_ix(&self, name: &EndpointId) -> Option<EndpointIx> {
         let engines = &self.pool.policy().engines;
         let at = engines.iter().position(|engine| engine.name == *name)?;
-        Some(EngineIx(at as u32))
+        Some(EndpointIx(at as u32))
     }
 
-    fn cache(&mut self, engine: &EngineId, events: &[CacheEvent]) {
+    fn cache(&mut self, engine: &EndpointId, events: &[CacheEvent]) {
         let Some(engine) = self.engine_ix(engine) else {
             return;
         };
--- a/src/modules/pool_directory.rs
+++ b/src/modules/pool_directory.rs
@@ -6,7 +6,7 @@
 use crate::modules::pool_actor;
 use crate::modules::pool_handle::PoolHandle;
 use arc_swap::ArcSwap;
-use bridgevane_types::{EngineId, ServiceName};
+use bridgevane_types::{EndpointId, ServiceName};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 #[derive(Default)]
 pub struct PoolDirectory {
     pools: ArcSwap<HashMap<ServiceName, PoolHandle>>,
-    links: ArcSwap<HashMap<(ServiceName, EngineId), Arc<EngineLink>>>,
+    links: ArcSwap<HashMap<(ServiceName, EndpointId), Arc<EngineLink>>>,
 }
 
 impl PoolDirectory {
@@ -24,7 +24,7 @@
     }
 
     /// The link to a worker.
-    pub fn link(&self, service: &ServiceName, engine: &EngineId) -> Option<Arc<EngineLink>> {
+    pub fn link(&self, service: &ServiceName, engine: &EndpointId) -> Option<Arc<EngineLink>> {
         let key = (service.clone(), engine.clone());
         self.links.load().get(&key).cloned()
     }
--- a/src/modules/pool_handle.rs
+++ b/src/modules/pool_handle.rs
@@ -4,7 +4,7 @@
 use crate::modules::pool_link::{NamedOffer, OrderSender, PoolReport};
 use bridgevane_adapters::CacheEvent;
 use bridgevane_decisions::{BrokenPromise, ClassView, DecisionRecord, EngineView, RequestView};
-use bridgevane_types::{AttemptNumber, DurationMs, EngineId, RequestId, ServiceName, Tokens};
+use bridgevane_types::{AttemptNumber, DurationMs, EndpointId, RequestId, ServiceName, Tokens};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
@@ -22,7 +22,7 @@
         /// The request.
         offer: Box<NamedOffer>,
         /// Its engine.
-        engine: EngineId,
+        engine: EndpointId,
         /// Its attempt.
         attempt: AttemptNumber,
         /// Tokens delivered.
@@ -33,14 +33,14 @@
     /// An engine's load, as of `age_ms` ago.
     Load {
         /// The engine.
-        engine: EngineId,
+        engine: EndpointId,
         /// Requests there.
         busy: u32,
         /// Age of the report.
         age_ms: DurationMs,
     },
     /// Changes of an engine's prefix cache.
-    Cache(EngineId, Vec<CacheEvent>),
+    Cache(EndpointId, Vec<CacheEvent>),
     /// A new configuration.
     Reconfigure(Arc<InForce>),
     /// The daemon that offered a request is gone; the number tells its connection.
--- a/src/modules/pool_homes.rs
+++ b/src/modules/pool_homes.rs
@@ -19,7 +19,7 @@
     PoolOffer, PoolOrder as WireOrder, PoolReport as WireReport, pool_order,
 };
 use bridgevane_types::{
-    AttemptNumber, DurationMs, EngineId, Outcome, RefusalCode, RequestId, ServiceName, Tier,
+    AttemptNumber, DurationMs, EndpointId, Outcome, RefusalCode, RequestId, ServiceName, Tier,
     TimeMs, Tokens, VmId,
 };
 use std::collections::HashMap;
@@ -43,7 +43,7 @@
     address: SocketAddr,
     sent_at: TimeMs,
     is_taken: bool,
-    running: Option<(EngineId, AttemptNumber)>,
+    running: Option<(EndpointId, AttemptNumber)>,
     delivered: Tokens,
 }
 
@@ -324,7 +324,7 @@
     match &order.order {
         None => (true, false),
         Some(pool_order::Order::Dispatch(dispatch)) => {
-            let name = EngineId::new(&dispatch.engine);
+            let name = EndpointId::new(&dispatch.engine);
             let service = &remote.offer.service;
             let Some(engine) = context.pools.link(service, &name) else {
                 return (false, true);
--- a/src/modules/query_language.rs
+++ b/src/modules/query_language.rs
@@ -3,7 +3,7 @@
 //! The grammar is in docs/LANGUAGE.md. Words are cut by `winnow`; a statement is read word by
 //! word, so that an error names the word and what would be right in its place.
 
-use bridgevane_types::{DurationMs, EngineId, ModelName, RequestId, ServiceName, VmId};
+use bridgevane_types::{DurationMs, EndpointId, ModelName, RequestId, ServiceName, VmId};
 use derive_more::{Display, Error};
 use winnow::ascii::multispace0;
 use winnow::combinator::{alt, delimited, preceded, repeat};
@@ -157,7 +157,7 @@
         /// Its service.
         service: ServiceName,
         /// The engine.
-        engine: EngineId,
+        engine: EndpointId,
         /// Drain or undrain.
         is_drained: bool,
     },
@@ -443,7 +443,7 @@
         return Ok(Statement::DrainVm { vm, is_drained });
     }
     let service = ServiceName::new(reader.take("a service")?);
-    let engine = EngineId::new(reader.take("an engine")?);
+    let engine = EndpointId::new(reader.take("an engine")?);
     Ok(Statement::DrainEngine {
         service,
         engine,
--- a/src/modules/rollouts.rs
+++ b/src/modules/rollouts.rs
@@ -17,7 +17,7 @@
     HeldLease, Rollout, RolloutEffect, RolloutObservation, RolloutPlan, RolloutStage,
 };
 use bridgevane_events::{Event, event};
-use bridgevane_types::{DurationMs, EngineId, FenceToken, ModelName, ServiceName, TimeMs};
+use bridgevane_types::{DurationMs, EndpointId, FenceToken, ModelName, ServiceName, TimeMs};
 use derive_more::{Display, Error, From};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,8 +60,8 @@
     rollout: Rollout,
     stored_at: Option<Revision>,
     watched_since: TimeMs,
-    on_new: BTreeSet<EngineId>,
-    on_old: BTreeSet<EngineId>,
+    on_new: BTreeSet<EndpointId>,
+    on_old: BTreeSet<EndpointId>,
     /// Tickets of the weight store, by version: one serves all engines.
     tickets: BTreeMap<u64, String>,
     burn: f64,
