--- a/crates/gateway/src/replication/replica.rs
+++ b/crates/gateway/src/control/replica.rs
@@ -1,8 +1,8 @@
 //! The records of the control source as this daemon has them, and the changes that made them,
 //! for daemons that follow it.
 
-use crate::replication::patch::{DoesNotFit, Patch};
-use crate::source::{Changes, FullState, Revision, SourceRecord};
+use crate::control::patch::{DoesNotFit, Patch};
+use crate::control::source::{Changes, FullState, Revision, SourceRecord};
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/control/routing.rs
@@ -1,6 +1,6 @@
 //! Routes, services, keys and limits of one configuration version.
 
-use crate::urgency::Urgencies;
+use crate::decisions::urgency::Urgencies;
 use bridgevane_types::{Bytes, ConfigVersion, CustomerId, DurationMs, ServiceName, Tier};
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/control/source.rs
@@ -1,7 +1,7 @@
 //! Where routes, keys and endpoints come from.
 
-use crate::directory::EndpointRecord;
-use crate::routing::RoutingTable;
+use crate::control::routing::RoutingTable;
+use crate::endpoints::directory::EndpointRecord;
 use bridgevane_types::{DurationMs, EndpointId};
 use bytes::Bytes;
 use derive_more::{Display, Error};
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/control/view.rs
@@ -1,8 +1,8 @@
 //! What this daemon believes: the routing table in force, the endpoints, and how fresh it is.
 
-use crate::directory::{Directory, Endpoint};
-use crate::routing::RoutingTable;
-use crate::source::{Change, ChangeAt, Revision};
+use crate::control::routing::RoutingTable;
+use crate::control::source::{Change, ChangeAt, Revision};
+use crate::endpoints::directory::{Directory, Endpoint};
 use arc_swap::{ArcSwap, ArcSwapOption};
 use bridgevane_decisions::EndpointIx;
 use bridgevane_events::{Event, event};
@@ -162,7 +162,7 @@
     fn upsert(
         &self,
         ledger: &mut Ledger,
-        record: crate::directory::EndpointRecord,
+        record: crate::endpoints::directory::EndpointRecord,
         revision: Revision,
     ) {
         if let Some(known) = ledger.endpoints.get_mut(&record.id) {
@@ -214,7 +214,7 @@
     }
 }
 
-fn log_endpoint(record: &crate::directory::EndpointRecord, revision: Revision) {
+fn log_endpoint(record: &crate::endpoints::directory::EndpointRecord, revision: Revision) {
     event!(
         Event::EndpointSeen,
         endpoint = record.id,
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/decisions/placement.rs
@@ -1,9 +1,9 @@
 //! Which endpoint gets a request: prompt parts that it keeps, work ahead, data centre, trust.
 
-use crate::directory::{Endpoint, ServiceEndpoints};
-use crate::health::Trust;
-use crate::load::LoadNow;
-use crate::request::Prompt;
+use crate::endpoints::directory::{Endpoint, ServiceEndpoints};
+use crate::endpoints::health::Trust;
+use crate::endpoints::load::LoadNow;
+use crate::requests::inbound::Prompt;
 use bridgevane_decisions::{EndpointIx, Holders, PrefixCache};
 use bridgevane_types::{DataCentreId, TimeMs};
 use std::collections::HashSet;
--- a/crates/gateway/src/urgency.rs
+++ b/crates/gateway/src/decisions/urgency.rs
@@ -1,7 +1,7 @@
 //! How urgent requests are, one for another: a customer's tier goes first, the route's decides
 //! among equals.
 
-use crate::routing::{Customer, Route};
+use crate::control::routing::{Customer, Route};
 use bridgevane_types::{ServiceName, Tier};
 use derive_more::Display;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/endpoints/directory.rs
@@ -1,8 +1,8 @@
 //! Endpoints of all services, and what this daemon knows of each.
 
-use crate::health::Health;
-use crate::load::EndpointLoad;
-use crate::pool::IdleConnections;
+use crate::endpoints::health::Health;
+use crate::endpoints::idle_connections::IdleConnections;
+use crate::endpoints::load::EndpointLoad;
 use crate::replication::work::EndpointHash;
 use arc_swap::ArcSwap;
 use bridgevane_decisions::EndpointIx;
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/endpoints/idle_connections.rs
@@ -1,6 +1,6 @@
 //! Connections to one endpoint that rest between requests.
 
-use crate::connection::{Connection, Resting};
+use crate::endpoints::connection::{Connection, Resting};
 use std::sync::Mutex;
 use std::time::Duration;
 
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/endpoints/load.rs
@@ -1,6 +1,6 @@
 //! Work at one endpoint: this daemon's own, and what the endpoint last told of others'.
 
-use crate::queue_delay::{QueueDelay, waited_ms};
+use crate::decisions::queue_delay::{QueueDelay, waited_ms};
 use bridgevane_types::{DurationMs, TimeMs};
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard};
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,18 +1,18 @@
 //! What every part of the gateway shares, handed down instead of globals.
 
-use crate::directory::Endpoint;
+use crate::control::replica::Replica;
+use crate::control::source::{ChangeAt, Changes, ControlSource, FullState, SourceRecord};
+use crate::control::view::{Removal, View};
+use crate::decisions::placement::Placement;
+use crate::decisions::retry_budget::RetryBudgets;
+use crate::endpoints::directory::Endpoint;
+use crate::endpoints::idle_connections::resting_at_most;
+use crate::header_names::HeaderNames;
 use crate::metrics::GatewayMetrics;
-use crate::names::HeaderNames;
-use crate::placement::Placement;
-use crate::pool::resting_at_most;
 use crate::replication::Downstreams;
 use crate::replication::fleet::FleetSize;
-use crate::replication::replica::Replica;
 use crate::replication::work::{Work, WorkBoard};
-use crate::retry_budget::RetryBudgets;
 use crate::settings::GatewaySettings;
-use crate::source::{ChangeAt, Changes, ControlSource, FullState, SourceRecord};
-use crate::view::{Removal, View};
 use bridgevane_types::{DurationMs, TimeMs};
 use opentelemetry::metrics::Meter;
 use std::net::SocketAddr;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,37 +1,48 @@
-//! The forwarding front door: requests are passed to endpoints as they came.
+//! The forwarding gateway: requests are passed to endpoints as they came.
 //!
-//! An outside [`source::ControlSource`] tells routes, keys and endpoints; an adapter fills in
-//! the names of headers ([`names::HeaderNames`]). This package decides: which endpoint gets a
-//! request, what may be sent again, what is refused, and whether what is believed is fresh
-//! enough to act on.
+//! A [`ControlSource`] supplies routes, customers' keys and endpoints, and an adapter supplies the
+//! names of headers ([`HeaderNames`]). This package decides which endpoint gets a request, what
+//! may be sent again, what is refused, and whether the configuration is recent enough to act on.
+//! It relies on nothing that outlives the process.
+//!
+//! What other packages may use is listed here; everything else is the crate's own.
+
+mod control;
+pub mod decisions;
+mod endpoints;
+mod gateway;
+mod header_names;
+mod lifecycle;
+mod metrics;
+mod replication;
+mod requests;
+mod settings;
 
-mod admission;
-mod answer_body;
-mod attempt;
-pub mod connection;
-pub mod directory;
-mod exchange;
-pub mod follow;
-pub mod front;
-pub mod gateway;
-pub mod health;
-mod held;
-pub mod load;
-pub mod metrics;
-pub mod names;
-pub mod placement;
-pub mod pool;
-pub mod queue_delay;
-pub mod ready;
-mod refusal;
-mod relay;
-pub mod replication;
-pub mod request;
-pub mod retry_budget;
-pub mod routing;
-mod server_events;
-pub mod settings;
-pub mod source;
-pub mod stop;
-pub mod urgency;
-pub mod view;
+pub use control::patch::{DoesNotFit, Patch};
+pub use control::replica::{Outcome, Replica, Update};
+pub use control::routing::{
+    ClientLimits, Customer, Repeatability, Route, RouteTarget, RoutingParts, RoutingTable, Service,
+    StreamPolicy,
+};
+pub use control::source::{
+    Change, Changes, ControlSource, FullState, Revision, SourceError, SourceRecord,
+};
+pub use endpoints::connection::{Connection, accept};
+pub use endpoints::directory::{Endpoint, EndpointRecord, ServiceEndpoints};
+pub use endpoints::health::{Health, Trust};
+pub use endpoints::idle_connections::resting_at_most;
+pub use endpoints::load::{EndpointLoad, ReportedLoad};
+pub use gateway::Gateway;
+pub use header_names::HeaderNames;
+pub use lifecycle::readiness::run as serve_readiness;
+pub use lifecycle::stop::run as stop_gracefully;
+pub use replication::fleet::FleetSize;
+pub use replication::follow::run as follow_control_source;
+pub use replication::message::{put_update, take_update};
+pub use replication::server::run as serve_peers;
+pub use replication::upstream::{Report, STALE, Upstream, UpstreamSelector};
+pub use replication::work::{EndpointHash, Work, WorkBoard};
+pub use replication::{Admission, Downstreams, Follower};
+pub use requests::front::run as serve_clients;
+pub use requests::inbound::{Prompt, PromptPart};
+pub use settings::GatewaySettings;
--- /dev/null
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -0,0 +1,4 @@
+//! From the first readiness check to the end of a planned stop.
+
+pub(crate) mod readiness;
+pub(crate) mod stop;
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/lifecycle/readiness.rs
@@ -1,6 +1,6 @@
 //! Whether the daemon wants new connections, as the balancer asks.
 
-use crate::connection::accept;
+use crate::endpoints::connection::accept;
 use crate::gateway::Gateway;
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,9 +1,9 @@
 //! What the gateway counts and times.
 
-use crate::attempt::AttemptError;
-use crate::refusal::Refusal;
+use crate::control::source::SourceError;
 use crate::replication::PeerError;
-use crate::source::SourceError;
+use crate::requests::attempt::AttemptError;
+use crate::requests::refusal::Refusal;
 use bridgevane_types::ServiceName;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram, Meter};
--- a/crates/gateway/src/replication/client.rs
+++ b/crates/gateway/src/replication/client.rs
@@ -1,11 +1,11 @@
 //! Asking another daemon for what it has followed.
 
-use crate::connection::tune;
+use crate::control::replica::Update;
+use crate::control::source::Revision;
+use crate::endpoints::connection::tune;
 use crate::gateway::Gateway;
 use crate::replication::message::take_update;
-use crate::replication::replica::Update;
 use crate::replication::work::Work;
-use crate::source::Revision;
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::{Frame, FrameCodec, RecordsAnswer, RecordsWanted};
 use bridgevane_types::{DataCentreId, DurationMs, TimeMs};
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -1,11 +1,11 @@
 //! Following the control source, by itself or by another daemon: read everything once, then
 //! wait for changes.
 
+use crate::control::replica::Update;
+use crate::control::source::{Changes, ControlSource, FullState, Revision, SourceError};
 use crate::gateway::Gateway;
-use crate::replication::replica::Update;
 use crate::replication::upstream::{Report, Upstream, UpstreamSelector};
 use crate::replication::{PeerAnswer, PeerClient, PeerError, exchange_work};
-use crate::source::{Changes, ControlSource, FullState, Revision, SourceError};
 use bridgevane_events::{Event, event};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/gateway/src/replication/message.rs
+++ b/crates/gateway/src/replication/message.rs
@@ -1,8 +1,8 @@
 //! Replica changes as messages between daemons, and back.
 
-use crate::replication::patch::Patch;
-use crate::replication::replica::{Outcome, RecordChange, Update};
-use crate::source::Revision;
+use crate::control::patch::Patch;
+use crate::control::replica::{Outcome, RecordChange, Update};
+use crate::control::source::Revision;
 use bridgevane_protocol::record_change::Change;
 use bridgevane_protocol::{RecordBatch, RecordChange as Message, RecordPatch, RecordsAnswer};
 use bytes::Bytes;
--- a/crates/gateway/src/replication/mod.rs
+++ b/crates/gateway/src/replication/mod.rs
@@ -3,18 +3,17 @@
 //! source turns away goes on with what its neighbours know.
 //!
 //! A daemon follows one upstream at a time: the source itself, or another daemon
-//! ([`upstream`]). What it has taken in stands in its [`replica`], from which it answers
+//! ([`upstream`]). What it has taken in stands in its [`crate::control::replica`], from which it answers
 //! daemons that follow it ([`server`]).
 
 mod client;
 mod downstreams;
-pub mod fleet;
-pub mod message;
-pub mod patch;
-pub mod replica;
-pub mod server;
-pub mod upstream;
-pub mod work;
+pub(crate) mod fleet;
+pub(crate) mod follow;
+pub(crate) mod message;
+pub(crate) mod server;
+pub(crate) mod upstream;
+pub(crate) mod work;
 mod work_exchange;
 
 pub(crate) use client::{PeerAnswer, PeerClient, PeerError};
--- a/crates/gateway/src/replication/server.rs
+++ b/crates/gateway/src/replication/server.rs
@@ -1,11 +1,11 @@
 //! Answering daemons that follow this one.
 
-use crate::connection::{accept, tune};
+use crate::control::source::Revision;
+use crate::endpoints::connection::{accept, tune};
 use crate::gateway::Gateway;
 use crate::replication::downstreams::{Admission, Follower};
 use crate::replication::message::put_update;
 use crate::replication::work::Work;
-use crate::source::Revision;
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::{Frame, FrameCodec, FrameError, RecordsAnswer, RecordsWanted};
 use bridgevane_types::{DataCentreId, TimeMs, VmId};
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/requests/admission.rs
@@ -1,9 +1,9 @@
 //! Admission: a request is read as a whole and checked before anything is passed on.
 
+use crate::control::routing::{Route, RoutingTable};
 use crate::gateway::Gateway;
-use crate::refusal::Refusal;
-use crate::request::{self, Inbound};
-use crate::routing::{Route, RoutingTable};
+use crate::requests::inbound::{self as request, Inbound};
+use crate::requests::refusal::Refusal;
 use bridgevane_types::ServiceName;
 use bytes::Bytes;
 use http::header::CONTENT_LENGTH;
--- a/crates/gateway/src/answer_body.rs
+++ b/crates/gateway/src/requests/answer_body.rs
@@ -1,6 +1,6 @@
 //! The body of an answer to a client: whole, or as it comes.
 
-use crate::relay::BrokenOff;
+use crate::requests::relay::BrokenOff;
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::Full;
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/requests/attempt.rs
@@ -1,12 +1,12 @@
 //! One attempt: a request is sent to one endpoint, and its answer's head is read.
 
-use crate::connection::{Connection, OpenError};
-use crate::directory::Endpoint;
+use crate::decisions::placement::{PREFILL_TOKENS_PER_MS, Placed};
+use crate::decisions::queue_delay::Pending;
+use crate::endpoints::connection::{Connection, OpenError};
+use crate::endpoints::directory::Endpoint;
+use crate::endpoints::load::{LoadNow, ReportedLoad};
 use crate::gateway::Gateway;
-use crate::load::{LoadNow, ReportedLoad};
-use crate::placement::{PREFILL_TOKENS_PER_MS, Placed};
-use crate::queue_delay::Pending;
-use crate::request::Inbound;
+use crate::requests::inbound::Inbound;
 use bridgevane_types::{DurationMs, TimeMs};
 use derive_more::Display;
 use http::header::{CONNECTION, CONTENT_LENGTH, HeaderName, RETRY_AFTER, TRANSFER_ENCODING};
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/requests/exchange.rs
@@ -1,15 +1,15 @@
 //! The life of a request: read, admitted, placed, sent, answered.
 
-use crate::admission::admit;
-use crate::answer_body::AnswerBody;
-use crate::attempt::{Answer, AttemptError, Patience, attempt};
-use crate::directory::Endpoint;
+use crate::decisions::placement::{Choice, Placed};
+use crate::endpoints::directory::Endpoint;
 use crate::gateway::Gateway;
-use crate::held::{Buffered, InProgress};
-use crate::placement::{Choice, Placed};
-use crate::refusal::Refusal;
-use crate::relay::{BrokenOff, Relay};
-use crate::request::{Inbound, strip_hop_by_hop};
+use crate::requests::admission::admit;
+use crate::requests::answer_body::AnswerBody;
+use crate::requests::attempt::{Answer, AttemptError, Patience, attempt};
+use crate::requests::held::{Buffered, InProgress};
+use crate::requests::inbound::{Inbound, strip_hop_by_hop};
+use crate::requests::refusal::Refusal;
+use crate::requests::relay::{BrokenOff, Relay};
 use bridgevane_events::{Event, event};
 use bridgevane_types::DurationMs;
 use bytes::Bytes;
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/requests/front.rs
@@ -1,8 +1,8 @@
 //! The clients' front door.
 
-use crate::connection::{accept, tune};
-use crate::exchange;
+use crate::endpoints::connection::{accept, tune};
 use crate::gateway::Gateway;
+use crate::requests::exchange;
 use futures_util::FutureExt;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/requests/inbound.rs
@@ -1,9 +1,9 @@
 //! A request as it was read: what decides on it, and what is passed on.
 
-use crate::names::HeaderNames;
-use crate::refusal::Refusal;
-use crate::routing::{Customer, Route};
-use crate::urgency::Urgency;
+use crate::control::routing::{Customer, Route};
+use crate::decisions::urgency::Urgency;
+use crate::header_names::HeaderNames;
+use crate::requests::refusal::Refusal;
 use bridgevane_types::{ServiceName, Tokens};
 use bytes::Bytes;
 use http::header::{self, HeaderName};
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -1,8 +1,8 @@
 //! The body of a stream on its way to the client.
 
-use crate::attempt::Answer;
-use crate::exchange::Exchange;
-use crate::server_events::EventCutter;
+use crate::requests::attempt::Answer;
+use crate::requests::exchange::Exchange;
+use crate::requests::server_events::EventCutter;
 use bridgevane_events::{Event, event};
 use bytes::Bytes;
 use derive_more::{Display, Error};
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use bridgevane_gateway::routing::Repeatability::Idempotent;
+use bridgevane_gateway::Repeatability::Idempotent;
 use std::time::Duration;
 use support::source::{KEY, ScriptedSource, plain_route};
 use support::start;
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -3,18 +3,15 @@
 mod support;
 
 use bridgevane_decisions::EndpointIx;
-use bridgevane_gateway::directory::{Endpoint, EndpointRecord, ServiceEndpoints};
-use bridgevane_gateway::health::{Health, Trust};
-use bridgevane_gateway::load::{EndpointLoad, ReportedLoad};
-use bridgevane_gateway::placement::{Choice, Placed, Placement};
-use bridgevane_gateway::pool::resting_at_most;
-use bridgevane_gateway::queue_delay::{Pending, QueueDelay};
-use bridgevane_gateway::replication::fleet::FleetSize;
-use bridgevane_gateway::request::{Prompt, PromptPart};
-use bridgevane_gateway::retry_budget::RetryBudgets;
-use bridgevane_gateway::routing::{Customer, Route, RouteTarget};
-use bridgevane_gateway::settings::GatewaySettings;
-use bridgevane_gateway::urgency::{Urgencies, Urgency};
+use bridgevane_gateway::{
+    Customer, Endpoint, EndpointLoad, EndpointRecord, FleetSize, GatewaySettings, Health, Prompt,
+    PromptPart, ReportedLoad, Route, RouteTarget, ServiceEndpoints, Trust,
+    decisions::placement::{Choice, Placed, Placement},
+    decisions::queue_delay::{Pending, QueueDelay},
+    decisions::retry_budget::RetryBudgets,
+    decisions::urgency::{Urgencies, Urgency},
+    resting_at_most,
+};
 use bridgevane_types::{DataCentreId, DurationMs, ServiceName, Share, Tier, TimeMs, Tokens};
 use std::collections::HashSet;
 use std::net::SocketAddr;
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use bridgevane_gateway::routing::Repeatability::{AtMostOnce, Idempotent};
+use bridgevane_gateway::Repeatability::{AtMostOnce, Idempotent};
 use std::time::Duration;
 use support::client::{Client, Got, request};
 use support::endpoint::{Act, Endpoint, answer, chunk, event, last_chunk, stream_head};
--- a/crates/gateway/tests/freshness.rs
+++ b/crates/gateway/tests/freshness.rs
@@ -2,11 +2,10 @@
 
 mod support;
 
-use bridgevane_gateway::gateway::Gateway;
-use bridgevane_gateway::routing::Repeatability::Idempotent;
-use bridgevane_gateway::settings::GatewaySettings;
-use bridgevane_gateway::source::SourceError;
-use bridgevane_gateway::{follow, front};
+use bridgevane_gateway::{
+    Gateway, GatewaySettings, Repeatability::Idempotent, SourceError, follow_control_source,
+    serve_clients,
+};
 use bridgevane_types::DurationMs;
 use std::time::Duration;
 use support::client::{Client, request};
@@ -132,8 +131,8 @@
     let gateway = Gateway::new(support::settings(), support::names(), &meter);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    tokio::spawn(follow::run(gateway.clone(), source.clone()));
-    tokio::spawn(front::run(gateway, listener));
+    tokio::spawn(follow_control_source(gateway.clone(), source.clone()));
+    tokio::spawn(serve_clients(gateway, listener));
     (address, source)
 }
 
--- a/crates/gateway/tests/replica.rs
+++ b/crates/gateway/tests/replica.rs
@@ -1,9 +1,9 @@
 //! Records as one daemon passes them to another.
 
-use bridgevane_gateway::replication::message::{put_update, take_update};
-use bridgevane_gateway::replication::patch::{DoesNotFit, Patch};
-use bridgevane_gateway::replication::replica::{Outcome, Replica, Update};
-use bridgevane_gateway::source::{Changes, FullState, Revision, SourceRecord};
+use bridgevane_gateway::{
+    Changes, DoesNotFit, FullState, Outcome, Patch, Replica, Revision, SourceRecord, Update,
+    put_update, take_update,
+};
 use bridgevane_protocol::RecordsAnswer;
 use bytes::Bytes;
 
--- a/crates/gateway/tests/replication.rs
+++ b/crates/gateway/tests/replication.rs
@@ -2,10 +2,7 @@
 
 mod support;
 
-use bridgevane_gateway::replication::server;
-use bridgevane_gateway::routing::Repeatability::Idempotent;
-use bridgevane_gateway::settings::GatewaySettings;
-use bridgevane_gateway::source::SourceError;
+use bridgevane_gateway::{GatewaySettings, Repeatability::Idempotent, SourceError, serve_peers};
 use std::net::SocketAddr;
 use std::time::Duration;
 use support::client::{Client, request};
@@ -57,7 +54,7 @@
     let address = listener.local_addr().unwrap();
     let settings = peer_settings(vm, address, seeds);
     let running = start_with(source.clone(), settings).await;
-    let server = tokio::spawn(server::run(running.gateway.clone(), listener));
+    let server = tokio::spawn(serve_peers(running.gateway.clone(), listener));
     Peer {
         running,
         address,
--- a/crates/gateway/tests/stopping.rs
+++ b/crates/gateway/tests/stopping.rs
@@ -2,8 +2,7 @@
 
 mod support;
 
-use bridgevane_gateway::routing::Repeatability::AtMostOnce;
-use bridgevane_gateway::stop;
+use bridgevane_gateway::{Repeatability::AtMostOnce, stop_gracefully};
 use std::time::Duration;
 use support::client::{Client, request};
 use support::endpoint::{Act, Endpoint, answer};
@@ -30,7 +29,7 @@
     while running.gateway.in_progress() == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let stopping = tokio::spawn(stop::run(running.gateway.clone()));
+    let stopping = tokio::spawn(stop_gracefully(running.gateway.clone()));
     let got = client.answer().await.expect("an answer");
     assert_eq!((got.status, got.header("connection")), (200, Some("close")));
     assert!(!running.gateway.is_ready());
@@ -44,7 +43,7 @@
         answer("200 OK", "fine"),
     ];
     let (running, _) = stage(slow).await;
-    let stopping = tokio::spawn(stop::run(running.gateway.clone()));
+    let stopping = tokio::spawn(stop_gracefully(running.gateway.clone()));
     // The balancer's delay of the settings is nearly over.
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut client = Client::connect(running.address).await;
@@ -62,7 +61,7 @@
     let mut client = Client::connect(running.address).await;
     client.send(&request("POST", "/once/x", "a1", "", "")).await;
     assert_eq!(client.answer().await.expect("an answer").status, 200);
-    let stopping = tokio::spawn(stop::run(running.gateway.clone()));
+    let stopping = tokio::spawn(stop_gracefully(running.gateway.clone()));
     assert!(client.is_closed_within(Duration::from_secs(1)).await);
     stopping.await.unwrap();
 }
@@ -70,7 +69,7 @@
 #[tokio::test]
 async fn when_the_stop_is_over_no_connection_is_open_and_none_can_come() {
     let (running, _) = stage(vec![answer("200 OK", "fine")]).await;
-    let stopping = tokio::spawn(stop::run(running.gateway.clone()));
+    let stopping = tokio::spawn(stop_gracefully(running.gateway.clone()));
     // Clients that go on until they are refused, as those do who read an old list.
     let mut served = 0;
     while !stopping.is_finished() {
@@ -113,7 +112,7 @@
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
     let begun = std::time::Instant::now();
-    stop::run(running.gateway.clone()).await;
+    stop_gracefully(running.gateway.clone()).await;
     // The settings allow three seconds; the balancer's delay is 150 ms.
     assert!(
         begun.elapsed() < Duration::from_secs(2),
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -6,10 +6,9 @@
 pub mod endpoint;
 pub mod source;
 
-use bridgevane_gateway::gateway::Gateway;
-use bridgevane_gateway::names::HeaderNames;
-use bridgevane_gateway::settings::GatewaySettings;
-use bridgevane_gateway::{follow, front};
+use bridgevane_gateway::{
+    Gateway, GatewaySettings, HeaderNames, follow_control_source, serve_clients,
+};
 use bridgevane_types::{Bytes, DurationMs, Share};
 use http::HeaderName;
 use source::ScriptedSource;
@@ -78,8 +77,8 @@
     let gateway = Gateway::new(settings, names(), &opentelemetry::global::meter("test"));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it listens");
-    tokio::spawn(follow::run(gateway.clone(), source.clone()));
-    tokio::spawn(front::run(gateway.clone(), listener));
+    tokio::spawn(follow_control_source(gateway.clone(), source.clone()));
+    tokio::spawn(serve_clients(gateway.clone(), listener));
     while !gateway.is_ready() {
         tokio::task::yield_now().await;
         tokio::time::sleep(std::time::Duration::from_millis(2)).await;
--- a/crates/gateway/tests/support/source.rs
+++ b/crates/gateway/tests/support/source.rs
@@ -1,12 +1,9 @@
 //! A control source that a test writes to and breaks.
 
-use bridgevane_gateway::directory::EndpointRecord;
-use bridgevane_gateway::routing::{
-    ClientLimits, Customer, Repeatability, Route, RouteTarget, RoutingParts, RoutingTable, Service,
-    StreamPolicy,
-};
-use bridgevane_gateway::source::{
-    Change, Changes, ControlSource, FullState, Revision, SourceError, SourceRecord,
+use bridgevane_gateway::{
+    Change, Changes, ClientLimits, ControlSource, Customer, EndpointRecord, FullState,
+    Repeatability, Revision, Route, RouteTarget, RoutingParts, RoutingTable, Service, SourceError,
+    SourceRecord, StreamPolicy,
 };
 use bridgevane_types::{Bytes, ConfigVersion, DurationMs, EndpointId, Tier};
 use std::collections::HashMap;
--- a/crates/gateway/tests/upstream.rs
+++ b/crates/gateway/tests/upstream.rs
@@ -1,8 +1,8 @@
 //! Whom a daemon follows.
 
-use bridgevane_gateway::replication::upstream::{Report, STALE, Upstream, UpstreamSelector};
-use bridgevane_gateway::replication::work::{EndpointHash, Work};
-use bridgevane_gateway::replication::{Admission, Downstreams, Follower};
+use bridgevane_gateway::{
+    Admission, Downstreams, EndpointHash, Follower, Report, STALE, Upstream, UpstreamSelector, Work,
+};
 use bridgevane_types::{DurationMs, TimeMs};
 use std::net::SocketAddr;
 
--- a/crates/gateway/tests/work.rs
+++ b/crates/gateway/tests/work.rs
@@ -1,7 +1,6 @@
 //! What daemons tell each other of the work that they have under way.
 
-use bridgevane_gateway::load::EndpointLoad;
-use bridgevane_gateway::replication::work::{EndpointHash, Work, WorkBoard};
+use bridgevane_gateway::{EndpointHash, EndpointLoad, Work, WorkBoard};
 use bridgevane_types::TimeMs;
 use std::net::SocketAddr;
 
--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -7,9 +7,9 @@
 use crate::modules::{gateway_signals, http_serve, log_writer, logging};
 use argh::FromArgs;
 use bridgevane_events::{Event, event};
-use bridgevane_gateway::gateway::Gateway;
-use bridgevane_gateway::replication::server;
-use bridgevane_gateway::{follow, front, ready, stop};
+use bridgevane_gateway::{
+    Gateway, follow_control_source, serve_clients, serve_peers, serve_readiness, stop_gracefully,
+};
 use bridgevane_platform::{Store, header_names};
 use std::time::Duration;
 
@@ -154,13 +154,13 @@
         proof_lifetime_ms = gateway.settings.proof_lifetime_ms
     );
     let page = move || metrics.text();
-    tokio::spawn(ready::run(gateway.clone(), ready_listener, page));
+    tokio::spawn(serve_readiness(gateway.clone(), ready_listener, page));
     if let Some(listener) = peers {
-        tokio::spawn(server::run(gateway.clone(), listener));
+        tokio::spawn(serve_peers(gateway.clone(), listener));
     }
-    tokio::spawn(follow::run(gateway.clone(), store));
-    tokio::spawn(front::run(gateway.clone(), clients));
+    tokio::spawn(follow_control_source(gateway.clone(), store));
+    tokio::spawn(serve_clients(gateway.clone(), clients));
     gateway_signals::wait_for_stop().await?;
-    stop::run(gateway).await;
+    stop_gracefully(gateway).await;
     Ok(())
 }
--- a/src/configs/gateway.rs
+++ b/src/configs/gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::configs::log::LogConfig;
 use crate::configs::settings_reader::{ADDRESS, NAME, Reader, SettingProblems, SettingSource};
-use bridgevane_gateway::settings::GatewaySettings;
+use bridgevane_gateway::GatewaySettings;
 use bridgevane_types::{Bytes, DurationMs, Share};
 use log::LevelFilter;
 use std::net::SocketAddr;
--- a/src/modules/http_serve.rs
+++ b/src/modules/http_serve.rs
@@ -1,7 +1,7 @@
 //! Serving HTTP until the daemon stops.
 
 use axum::Router;
-use bridgevane_gateway::connection::accept;
+use bridgevane_gateway::accept;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto;
 use hyper_util::service::TowerToHyperService;
