--- a/crates/gateway/src/requests/exchange.rs
+++ b/crates/gateway/src/requests/exchange.rs
@@ -5,7 +5,9 @@
 
 use crate::decisions::admission::load_shedding::{self, QueuedRequest};
 use crate::decisions::admission::refusal::{Refusal, RefusalReason};
-use crate::decisions::resend::{self, AttemptError, Failure, Progress, ResendPolicy, hedging};
+use crate::decisions::resend::{
+    self, AttemptError, Failure, NoResend, Progress, ResendPolicy, hedging,
+};
 use crate::endpoints::endpoint::Endpoint;
 use crate::endpoints::selection::{Selected, SelectionRequest, select_endpoint};
 use crate::gateway::Gateway;
@@ -77,7 +79,7 @@
             match self.attempt(&selected, last_event_id).await {
                 Ok(answer) if self.is_retried(&answer) => {}
                 Ok(answer) => return Ok(answer),
-                Err(error) => self.after_failure(error)?,
+                Err(error) => self.after_attempt(&selected.endpoint, error)?,
             }
         }
     }
@@ -93,9 +95,7 @@
                 Ok(Err(_)) => AttemptError::Broken,
                 Err(_) => AttemptError::TimedOut,
             };
-            self.on_broken_answer(&answer, error);
-            drop(answer);
-            self.after_failure(error)?;
+            self.after_broken_answer(answer, error)?;
         }
     }
 
@@ -189,7 +189,8 @@
         let is_stream = route.stream.is_some();
         let is_allowed = move || {
             let was_heard = endpoint.load.was_heard_after(sent_at);
-            hedging::is_silent(is_stream, was_heard) && self.may_resend(Failure::StillWaiting)
+            hedging::is_silent(is_stream, was_heard)
+                && self.may_resend(Failure::StillWaiting).is_ok()
         };
         Hedge {
             at: Instant::now() + hedging::delay(route.target_ms, is_stream),
@@ -219,35 +220,49 @@
         if is_lost && endpoint.health.on_lost(now) {
             event!(Event::EndpointEjected, endpoint = endpoint.record.load().id);
         }
+    }
+
+    /// Goes on after a failed attempt, or refuses the request.
+    fn after_attempt(&self, endpoint: &Endpoint, error: AttemptError) -> Result<(), Refusal> {
+        let resend = self.may_resend(Failure::Attempt(error));
+        let load = endpoint.load.snapshot(self.gateway.clock.now());
         self.gateway.metrics.attempt_failed(error);
         event!(
             Event::AttemptFailed,
             request = self.inbound.id_text(),
             endpoint = endpoint.record.load().id,
             cause = error,
-            running = endpoint.load.snapshot(now).running(),
+            running = load.running(),
             runs = self.runs,
-            left_ms = self.inbound.remaining().as_millis()
+            left_ms = self.inbound.remaining().as_millis(),
+            resend = resend_text(resend)
         );
+        resend.map_err(|_| Refusal::after_failure(error, self.runs))
     }
 
-    /// The body of an answer broke off, or did not come to its end in time.
-    fn on_broken_answer(&self, answer: &Answer, error: AttemptError) {
-        let endpoint = answer.endpoint();
+    /// The same after the body of an answer broke off, or did not come to its end in time.
+    fn after_broken_answer(&self, answer: Answer, error: AttemptError) -> Result<(), Refusal> {
+        let endpoint = answer.endpoint().clone();
+        let status = answer.head.status;
         endpoint.health.on_failed(self.gateway.clock.now());
+        // Closes the connection, and counts the request there as ended.
+        drop(answer);
+        let resend = self.may_resend(Failure::Attempt(error));
         self.gateway.metrics.attempt_failed(error);
         event!(
             Event::AttemptFailed,
             request = self.inbound.id_text(),
             endpoint = endpoint.record.load().id,
             cause = error,
-            status = answer.head.status.as_u16(),
-            runs = self.runs
+            status = status.as_u16(),
+            runs = self.runs,
+            resend = resend_text(resend)
         );
+        resend.map_err(|_| Refusal::after_failure(error, self.runs))
     }
 
-    /// Whether the request may be sent again after a failure; takes from the retry budget.
-    pub(crate) fn may_resend(&self, failure: Failure) -> bool {
+    /// Whether the request may be sent again after a failure, and why not; takes from the retry budget.
+    pub(crate) fn may_resend(&self, failure: Failure) -> Result<(), NoResend> {
         let progress = Progress {
             endpoints_tried: self.tried.len(),
             runs: self.runs,
@@ -258,20 +273,12 @@
             let now = self.gateway.clock.now();
             self.gateway.retry_budgets.take(now, &self.inbound.service)
         };
-        resend::check(failure, policy, progress, take_from_budget).is_ok()
+        resend::check(failure, policy, progress, take_from_budget)
     }
 
     /// Whether another endpoint is asked in place of an answer.
     fn is_retried(&self, answer: &Answer) -> bool {
-        answer.head.status.is_server_error() && self.may_resend(Failure::ServerError)
-    }
-
-    /// Goes on after a failed attempt, or refuses the request.
-    fn after_failure(&self, error: AttemptError) -> Result<(), Refusal> {
-        if self.may_resend(Failure::Attempt(error)) {
-            return Ok(());
-        }
-        Err(Refusal::after_failure(error, self.runs))
+        answer.head.status.is_server_error() && self.may_resend(Failure::ServerError).is_ok()
     }
 
     fn finish_whole(&self, answer: Answer, body: Bytes) -> WholeAnswer {
@@ -326,6 +333,11 @@
     }
 }
 
+/// The verdict on sending again, for logs: "yes", or why not.
+pub(crate) fn resend_text(resend: Result<(), NoResend>) -> String {
+    resend.map_or_else(|reason| reason.to_string(), |()| "yes".to_owned())
+}
+
 /// What a route allows after a failure.
 fn resend_policy(route: &Route) -> ResendPolicy {
     ResendPolicy {
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -1,9 +1,9 @@
 //! Passes a stream on to the client, and goes on at another endpoint when it breaks off.
 
-use crate::decisions::resend::Failure;
+use crate::decisions::resend::{Failure, NoResend};
 use crate::requests::answer_body::StreamError;
 use crate::requests::attempt::Answer;
-use crate::requests::exchange::{Exchange, Pace};
+use crate::requests::exchange::{Exchange, Pace, resend_text};
 use crate::requests::response_head;
 use crate::requests::server_events::EventSplitter;
 use bridgevane_events::{Event, event};
@@ -154,17 +154,25 @@
 
     /// Goes on at another endpoint, if that is allowed.
     async fn resume(&mut self, cause: StreamError) -> Result<(), StreamError> {
-        if let Some(answer) = self.answer.take() {
-            self.on_broken_off(&answer, cause);
+        if cause == StreamError::EndpointBrokeOff
+            && let Some(answer) = &self.answer
+        {
+            let now = self.exchange.gateway.clock.now();
+            answer.endpoint().health.on_failed(now);
         }
-        let Some(splitter) = &mut self.splitter else {
-            return Err(cause);
+        let resend = match &self.splitter {
+            Some(_) => self.exchange.may_resend(Failure::StreamBroken),
+            // Without whole events nobody knows where to go on.
+            None => Err(NoResend::NotResumable),
         };
-        splitter.drop_partial_event();
-        let last_event_id = splitter.last_event_id();
-        if !self.exchange.may_resend(Failure::StreamBroken) {
-            return Err(cause);
-        }
+        self.log_broken_off(cause, resend);
+        // Closes the connection, and counts the request there as ended.
+        self.answer = None;
+        resend.map_err(|_| cause)?;
+        let last_event_id = self.splitter.as_mut().and_then(|splitter| {
+            splitter.drop_partial_event();
+            splitter.last_event_id()
+        });
         let header = last_event_id.map(HeaderValue::from);
         let resumed = self.exchange.dispatch(header.as_ref()).await;
         // The refusal can't be sent any more: the client has read the head.
@@ -184,19 +192,19 @@
         Ok(())
     }
 
-    fn on_broken_off(&self, answer: &Answer, cause: StreamError) {
-        let gateway = &self.exchange.gateway;
-        if cause == StreamError::EndpointBrokeOff {
-            answer.endpoint().health.on_failed(gateway.clock.now());
-        }
-        gateway.metrics.broken_off();
+    fn log_broken_off(&self, cause: StreamError, resend: Result<(), NoResend>) {
+        let Some(answer) = &self.answer else {
+            return;
+        };
+        self.exchange.gateway.metrics.broken_off();
         event!(
             Event::RequestBrokenOff,
             request = self.exchange.inbound.id_text(),
             endpoint = answer.endpoint().record.load().id,
             cause = cause,
             begun = self.has_first_piece,
-            held_ms = self.exchange.inbound.arrived.elapsed().as_millis()
+            held_ms = self.exchange.inbound.arrived.elapsed().as_millis(),
+            resend = resend_text(resend)
         );
     }
 }
