--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -1,8 +1,11 @@
-//! `bridgevane gateway`: the forwarding front door on the platform.
+//! `bridgevane gateway`: forwards requests on the users' platform.
+//!
+//! Reads the settings, starts the parts of `bridgevane-gateway` on one thread, and brings them to an end on the
+//! stop signal. Exit code 0 after a planned stop, 2 for settings or addresses that can't be used.
 
 use crate::commands::{exit, say};
 use crate::configs::gateway::GatewayConfig;
-use crate::configs::settings_reader::{SettingSource, variable_of};
+use crate::configs::settings_reader::setting_source;
 use crate::modules::metrics::MetricsPage;
 use crate::modules::{gateway_signals, http_serve, log_writer, logging};
 use argh::FromArgs;
@@ -13,8 +16,9 @@
 use bridgevane_platform::{Store, header_names};
 use std::time::Duration;
 
-/// How long a connection to the store may take to come up.
-const STORE_OPEN_LIMIT: Duration = Duration::from_millis(500);
+/// How long a connection to the store may take to come up. Not measured, chosen because a store that takes longer is
+/// as good as away, and other daemons are asked meanwhile.
+const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Forward requests as they came, by the platform's routes, keys and workers. Each flag has an
 /// environment variable: --vm-id is BRIDGEVANE_VM_ID; flags win.
@@ -51,13 +55,13 @@
     /// seconds that a stop may take (default: 10)
     #[argh(option)]
     pub stop_s: Option<String>,
-    /// repeats for each request, over all daemons (default: 0.2)
+    /// retries for each request, over all daemons (default: 0.2)
     #[argh(option)]
     pub retry_ratio: Option<String>,
-    /// repeats beyond the ratio, over all daemons (default: 12)
+    /// retries beyond the ratio, over all daemons (default: 12)
     #[argh(option)]
     pub retry_slack: Option<String>,
-    /// seconds of the sliding window of repeats (default: 10)
+    /// seconds of the sliding window of retries (default: 10)
     #[argh(option)]
     pub retry_window_s: Option<String>,
     /// megabytes that the process may take (default: 128)
@@ -74,32 +78,24 @@
     pub print_settings: bool,
 }
 
-impl SettingSource for GatewayArguments {
-    fn text(&self, flag: &'static str) -> Option<String> {
-        let given = match flag {
-            "vm-id" => &self.vm_id,
-            "data-centre" => &self.data_centre,
-            "client-address" => &self.client_address,
-            "ready-address" => &self.ready_address,
-            "peer-address" => &self.peer_address,
-            "seed-addresses" => &self.seed_addresses,
-            "store-address" => &self.store_address,
-            "key-removal-ms" => &self.key_removal_ms,
-            "drain-ms" => &self.drain_ms,
-            "stop-s" => &self.stop_s,
-            "retry-ratio" => &self.retry_ratio,
-            "retry-slack" => &self.retry_slack,
-            "retry-window-s" => &self.retry_window_s,
-            "memory-mb" => &self.memory_mb,
-            "log-format" => &self.log_format,
-            "log-level" => &self.log_level,
-            _ => &None,
-        };
-        given
-            .clone()
-            .or_else(|| std::env::var(variable_of(flag)).ok())
-    }
-}
+setting_source!(
+    GatewayArguments: vm_id,
+    data_centre,
+    client_address,
+    ready_address,
+    peer_address,
+    seed_addresses,
+    store_address,
+    key_removal_ms,
+    drain_ms,
+    stop_s,
+    retry_ratio,
+    retry_slack,
+    retry_window_s,
+    memory_mb,
+    log_format,
+    log_level,
+);
 
 /// Runs the command; gives the exit code.
 pub fn run(arguments: &GatewayArguments) -> u8 {
@@ -143,7 +139,7 @@
         Some(address) => Some(http_serve::listen(address).await?),
         None => None,
     };
-    let store = Store::new(config.store_address, STORE_OPEN_LIMIT);
+    let store = Store::new(config.store_address, STORE_CONNECT_TIMEOUT);
     let metrics = MetricsPage::new();
     let gateway = Gateway::new(config.gateway, header_names(), &metrics.meter());
     event!(
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::commands::{block_on, exit, say};
 use crate::configs::serve::ServeConfig;
-use crate::configs::settings_reader::{SettingSource, variable_of};
+use crate::configs::settings_reader::setting_source;
 use crate::context::Context;
 use crate::modules::leaving::LeavingSource;
 use crate::modules::{
@@ -60,27 +60,19 @@
     pub print_settings: bool,
 }
 
-impl SettingSource for ServeArguments {
-    fn text(&self, flag: &'static str) -> Option<String> {
-        let given = match flag {
-            "vm-id" => &self.vm_id,
-            "data-centre" => &self.data_centre,
-            "caller-address" => &self.caller_address,
-            "operator-address" => &self.operator_address,
-            "peer-address" => &self.peer_address,
-            "platform-address" => &self.platform_address,
-            "peer-seeds" => &self.peer_seeds,
-            "peer-key" => &self.peer_key,
-            "operator-tokens" => &self.operator_tokens,
-            "log-format" => &self.log_format,
-            "log-level" => &self.log_level,
-            _ => &None,
-        };
-        given
-            .clone()
-            .or_else(|| std::env::var(variable_of(flag)).ok())
-    }
-}
+setting_source!(
+    ServeArguments: vm_id,
+    data_centre,
+    caller_address,
+    operator_address,
+    peer_address,
+    platform_address,
+    peer_seeds,
+    peer_key,
+    operator_tokens,
+    log_format,
+    log_level,
+);
 
 /// Runs the command; gives the exit code.
 pub fn run(arguments: &ServeArguments) -> u8 {
--- a/src/configs/gateway.rs
+++ b/src/configs/gateway.rs
@@ -1,10 +1,12 @@
 //! Settings of `gateway`: flags, then environment variables, then defaults; checked together.
+//!
+//! Bounds that the platform sets (a key's removal, an endpoint's leaving, a stop) are turned here into the
+//! gateway's own times, which leave a margin for what comes after a decision.
 
 use crate::configs::log::LogConfig;
 use crate::configs::settings_reader::{ADDRESS, NAME, Reader, SettingProblems, SettingSource};
 use bridgevane_gateway::GatewaySettings;
 use bridgevane_types::{Bytes, DurationMs, Share};
-use log::LevelFilter;
 use std::net::SocketAddr;
 
 /// Everything that `gateway` needs to know before it starts.
@@ -19,21 +21,37 @@
 }
 
 const MILLISECONDS: &str = "a number of milliseconds";
-/// Of the time that a key may still be used after its removal, what is left for the request
-/// itself to get out.
-const PROOF_MARGIN_MS: u64 = 300;
-/// Of the time in which an endpoint's leaving must be in force, what is left for requests to
-/// get there.
-const LAPSE_MARGIN_MS: u64 = 300;
-/// One wait for changes, before it is asked again: what is believed is proved to be the
-/// newest that often. Few daemons ask, and the others are as old as these.
+const MS_PER_S: f64 = 1_000.0;
+const BYTES_PER_MB: u64 = 1 << 20;
+
+// Defaults: the bounds of the users' small sites, from their pages; the deploy file gives each site's own.
+const DEFAULT_KEY_REMOVAL_MS: u64 = 5_000;
+const DEFAULT_DRAIN_MS: u64 = 2_000;
+const DEFAULT_STOP_S: f64 = 10.0;
+const DEFAULT_RETRY_RATIO: f64 = 0.2;
+const DEFAULT_RETRY_SLACK: f64 = 12.0;
+const DEFAULT_RETRY_WINDOW_S: f64 = 10.0;
+const DEFAULT_MEMORY_MB: u64 = 128;
+
+/// Of the time in which a key's removal must be in force, what is left for a request to get out. Not measured, chosen
+/// because it covers a slow VM's turn between the last look at the proof and the send.
+const KEY_REMOVAL_MARGIN_MS: u64 = 300;
+/// Of the time in which an endpoint's leaving must be in force, what is left for requests to get there. Not measured,
+/// chosen because it is the time that a connection may take to come up.
+const DRAIN_MARGIN_MS: u64 = 300;
+/// How long one wait for changes lasts at the source: the configuration is proved that often. Measured with commit
+/// 19dad9b: waits of 1.7 s left proofs of up to 3.4 s when an outage began; few daemons ask, and the others' proofs
+/// are as old as theirs.
 const WATCH_WAIT: DurationMs = DurationMs(500);
-/// The balancer asks once a second and believes the second miss.
+/// How long the balancer sends connections after the daemon isn't ready any more. Chosen because it asks once a second
+/// and believes the second miss; the rest is for slow answers.
 const BALANCER_DELAY: DurationMs = DurationMs(2_600);
-/// Of the time that a stop may take, what is kept for the end.
+/// Of the time that a stop may take, what is kept for the process to end. Not measured, chosen because logs are written
+/// out every 200 ms.
 const STOP_MARGIN_MS: u64 = 400;
-/// The part of the memory that bodies may take.
-const BODY_SHARE: u64 = 4;
+/// The part of the memory that bodies may take: one in so many. Not measured, chosen because a daemon needs 5 to 8 MB
+/// itself (docs/CAPACITY.md), and buffers of connections come on top of bodies.
+const BODY_MEMORY_DIVISOR: u64 = 4;
 
 impl GatewayConfig {
     /// Reads and checks all settings.
@@ -49,63 +67,78 @@
         let store_address = reader.required("store-address", ADDRESS);
         let peer_address = reader.optional("peer-address", ADDRESS);
         let seed_addresses = reader.list("seed-addresses", ADDRESS);
-        let revoke_ms: Option<u64> = reader.optional("key-removal-ms", MILLISECONDS);
-        let drain_ms: Option<u64> = reader.optional("drain-ms", MILLISECONDS);
-        let stop_s: Option<f64> = reader.optional("stop-s", "a number of seconds");
-        let retry_ratio: Option<f64> = reader.optional("retry-ratio", "a share such as 0.2");
-        let retry_slack: Option<f64> = reader.optional("retry-slack", "a number of repeats");
-        let retry_window_s: Option<f64> = reader.optional("retry-window-s", "seconds");
-        let memory_mb: Option<u64> = reader.optional("memory-mb", "a number of megabytes");
-        let format = reader.optional("log-format", "json or text");
-        let level = reader.optional("log-level", "error, warn, info or debug");
-        let problems = std::mem::take(&mut reader.problems);
-        let all = (
-            vm,
-            data_centre,
-            client_address,
-            ready_address,
-            store_address,
-        );
-        let (
-            Some(vm),
-            Some(data_centre),
-            Some(client_address),
-            Some(ready_address),
-            Some(store_address),
-        ) = all
-        else {
-            return Err(SettingProblems { problems });
-        };
-        if !problems.is_empty() {
-            return Err(SettingProblems { problems });
-        }
-        let revoke_ms = revoke_ms.unwrap_or(5_000);
-        let drain_ms = drain_ms.unwrap_or(2_000);
-        let stop_ms = (stop_s.unwrap_or(10.0) * 1_000.0) as u64;
-        let window_ms = retry_window_s.unwrap_or(10.0) * 1_000.0;
+        let bounds = Bounds::read(&mut reader);
+        let retries = Retries::read(&mut reader);
+        let memory_mb = reader.optional("memory-mb", "a number of megabytes");
+        let log = LogConfig::read(&mut reader);
+        let read = reader.finish()?;
+        let memory_bytes = memory_mb.unwrap_or(DEFAULT_MEMORY_MB) * BYTES_PER_MB;
         Ok(Self {
             gateway: GatewaySettings {
-                vm,
-                data_centre,
-                client_address,
-                ready_address,
+                vm: vm.value(&read),
+                data_centre: data_centre.value(&read),
+                client_address: client_address.value(&read),
+                ready_address: ready_address.value(&read),
                 peer_address,
                 seed_addresses,
-                lapse_grace_ms: DurationMs(drain_ms.saturating_sub(LAPSE_MARGIN_MS)),
-                proof_lifetime_ms: DurationMs(revoke_ms.saturating_sub(PROOF_MARGIN_MS)),
+                lapse_grace_ms: less(bounds.drain_ms, DRAIN_MARGIN_MS),
+                proof_lifetime_ms: less(bounds.key_removal_ms, KEY_REMOVAL_MARGIN_MS),
                 watch_wait_ms: WATCH_WAIT,
-                stop_ms: DurationMs(stop_ms.saturating_sub(STOP_MARGIN_MS)),
+                stop_ms: less(bounds.stop_ms, STOP_MARGIN_MS),
                 balancer_delay_ms: BALANCER_DELAY,
-                retry_ratio: Share(retry_ratio.unwrap_or(0.2)),
-                retry_slack: retry_slack.unwrap_or(12.0) as u32,
-                retry_window_ms: DurationMs(window_ms as u64),
-                max_buffered_bytes: Bytes((memory_mb.unwrap_or(128) << 20) / BODY_SHARE),
-            },
-            store_address,
-            log: LogConfig {
-                format: format.unwrap_or_default(),
-                level: level.unwrap_or(LevelFilter::Info),
+                retry_ratio: retries.ratio,
+                retry_slack: retries.slack,
+                retry_window_ms: retries.window_ms,
+                max_buffered_bytes: Bytes(memory_bytes / BODY_MEMORY_DIVISOR),
             },
+            store_address: store_address.value(&read),
+            log,
         })
     }
 }
+
+/// A bound without its margin.
+fn less(bound_ms: u64, margin_ms: u64) -> DurationMs {
+    DurationMs(bound_ms.saturating_sub(margin_ms))
+}
+
+/// Bounds that the platform sets.
+struct Bounds {
+    key_removal_ms: u64,
+    drain_ms: u64,
+    stop_ms: u64,
+}
+
+impl Bounds {
+    fn read(reader: &mut Reader<'_, impl SettingSource>) -> Self {
+        let key_removal_ms = reader.optional("key-removal-ms", MILLISECONDS);
+        let drain_ms = reader.optional("drain-ms", MILLISECONDS);
+        let stop_s: Option<f64> = reader.optional("stop-s", "a number of seconds");
+        Self {
+            key_removal_ms: key_removal_ms.unwrap_or(DEFAULT_KEY_REMOVAL_MS),
+            drain_ms: drain_ms.unwrap_or(DEFAULT_DRAIN_MS),
+            stop_ms: (stop_s.unwrap_or(DEFAULT_STOP_S) * MS_PER_S) as u64,
+        }
+    }
+}
+
+/// The retry budget of the whole fleet.
+struct Retries {
+    ratio: Share,
+    slack: u32,
+    window_ms: DurationMs,
+}
+
+impl Retries {
+    fn read(reader: &mut Reader<'_, impl SettingSource>) -> Self {
+        let ratio = reader.optional("retry-ratio", "a share such as 0.2");
+        let slack: Option<f64> = reader.optional("retry-slack", "a number of retries");
+        let window_s: Option<f64> = reader.optional("retry-window-s", "seconds");
+        let window_s = window_s.unwrap_or(DEFAULT_RETRY_WINDOW_S);
+        Self {
+            ratio: Share(ratio.unwrap_or(DEFAULT_RETRY_RATIO)),
+            slack: slack.unwrap_or(DEFAULT_RETRY_SLACK) as u32,
+            window_ms: DurationMs((window_s * MS_PER_S) as u64),
+        }
+    }
+}
--- a/src/configs/log.rs
+++ b/src/configs/log.rs
@@ -1,5 +1,6 @@
-//! Settings of logs.
+//! Settings of logs, the same for all commands that log.
 
+use crate::configs::settings_reader::{Reader, SettingSource};
 use derive_more::{Display, Error};
 use std::str::FromStr;
 
@@ -41,6 +42,19 @@
     pub level: log::LevelFilter,
 }
 
+impl LogConfig {
+    /// Reads `--log-format` and `--log-level`.
+    pub(crate) fn read(reader: &mut Reader<'_, impl SettingSource>) -> Self {
+        let default = Self::default();
+        let format = reader.optional("log-format", "json or text");
+        let level = reader.optional("log-level", "error, warn, info or debug");
+        Self {
+            format: format.unwrap_or(default.format),
+            level: level.unwrap_or(default.level),
+        }
+    }
+}
+
 impl Default for LogConfig {
     fn default() -> Self {
         Self {
--- a/src/configs/serve.rs
+++ b/src/configs/serve.rs
@@ -4,10 +4,15 @@
 use crate::configs::operators::OperatorToken;
 use crate::configs::peers::PeersConfig;
 use crate::configs::serving::ServingConfig;
-use crate::configs::settings_reader::{ADDRESS, NAME, Reader, SettingProblems, SettingSource};
+use crate::configs::settings_reader::{
+    ADDRESS, NAME, Reader, Required, SettingProblems, SettingSource,
+};
 use bridgevane_types::{DataCentreId, VmId};
 use std::net::SocketAddr;
 
+/// The shortest key that daemons may share. Not measured, chosen because a shorter one can be guessed by trying.
+const MIN_PEER_KEY_LEN: usize = 16;
+
 /// Everything that `serve` needs to know before it starts.
 #[derive(Clone, Debug)]
 pub struct ServeConfig {
@@ -50,64 +55,35 @@
     /// Every problem at once.
     pub fn read(source: &impl SettingSource) -> Result<Self, SettingProblems> {
         let mut reader = Reader::new(source);
-        let vm: Option<VmId> = reader.required("vm-id", NAME);
-        let data_centre: Option<DataCentreId> = reader.required("data-centre", NAME);
+        let vm: Required<VmId> = reader.required("vm-id", NAME);
+        let data_centre: Required<DataCentreId> = reader.required("data-centre", NAME);
         let caller_address = reader.required("caller-address", ADDRESS);
         let operator_address = reader.required("operator-address", ADDRESS);
         let platform_address = reader.required("platform-address", ADDRESS);
         let peer_address = reader.required("peer-address", ADDRESS);
         let seeds = reader.list("peer-seeds", "addresses with commas between them");
-        let peer_key: Option<String> = reader.required("peer-key", "a text of 16 or more");
+        let peer_key: Required<String> = reader.required("peer-key", "a text of 16 or more");
         let operators = reader.list("operator-tokens", "name:token pairs with commas between");
-        let format = reader
-            .optional("log-format", "json or text")
-            .unwrap_or_default();
-        let level = reader.optional("log-level", "error, warn, info or debug");
-        const MIN_KEY_LEN: usize = 16;
-        if peer_key.as_ref().is_some_and(|key| key.len() < MIN_KEY_LEN) {
+        let log = LogConfig::read(&mut reader);
+        if let Some(key) = peer_key.given()
+            && key.len() < MIN_PEER_KEY_LEN
+        {
             reader.fail(
                 "peer-key",
-                format!("is short; give {MIN_KEY_LEN} characters or more"),
+                format!("is short; give {MIN_PEER_KEY_LEN} characters or more"),
             );
         }
-        let problems = reader.problems;
-        let all = (
-            vm,
-            data_centre,
-            caller_address,
-            operator_address,
-            platform_address,
-            peer_address,
-            peer_key,
-        );
-        let (
-            Some(vm),
-            Some(data_centre),
-            Some(caller_address),
-            Some(operator_address),
-            Some(platform_address),
-            Some(peer_address),
-            Some(peer_key),
-        ) = all
-        else {
-            return Err(SettingProblems { problems });
-        };
-        if !problems.is_empty() {
-            return Err(SettingProblems { problems });
-        }
+        let read = reader.finish()?;
         Ok(Self {
-            vm,
-            data_centre,
-            caller_address,
-            operator_address,
-            platform_address,
-            peers: PeersConfig::new(peer_address, seeds),
-            peer_key: Secret(peer_key),
+            vm: vm.value(&read),
+            data_centre: data_centre.value(&read),
+            caller_address: caller_address.value(&read),
+            operator_address: operator_address.value(&read),
+            platform_address: platform_address.value(&read),
+            peers: PeersConfig::new(peer_address.value(&read), seeds),
+            peer_key: Secret(peer_key.value(&read)),
             operators,
-            log: LogConfig {
-                format,
-                level: level.unwrap_or(log::LevelFilter::Info),
-            },
+            log,
             serving: ServingConfig::default(),
         })
     }
--- a/src/configs/settings_reader.rs
+++ b/src/configs/settings_reader.rs
@@ -1,4 +1,8 @@
 //! Reading settings from flags, then environment variables; every problem in one go.
+//!
+//! A command's arguments implement [`SettingSource`] by [`setting_source`], so that each flag is mapped once: to
+//! the field of its name. A configuration reads its settings with a [`Reader`], and gets their values only
+//! after [`Reader::finish`] has found no problem.
 
 use derive_more::{Display, Error};
 use std::str::FromStr;
@@ -39,10 +43,47 @@
     format!("BRIDGEVANE_{}", flag.to_uppercase().replace('-', "_"))
 }
 
+/// Implements [`SettingSource`] for a command's arguments: the flag `--vm-id` is the field `vm_id`; where it isn't
+/// given, its environment variable is read.
+macro_rules! setting_source {
+    ($arguments:ty: $($field:ident),* $(,)?) => {
+        impl $crate::configs::settings_reader::SettingSource for $arguments {
+            fn text(&self, flag: &'static str) -> Option<String> {
+                let given = match flag.replace('-', "_").as_str() {
+                    $(stringify!($field) => self.$field.clone(),)*
+                    _ => None,
+                };
+                let variable = $crate::configs::settings_reader::variable_of(flag);
+                // A variable that isn't set, or is no text, counts as not given.
+                given.or_else(|| std::env::var(variable).ok())
+            }
+        }
+    };
+}
+pub(crate) use setting_source;
+
 /// Reads settings and gathers what is wrong with them.
 pub(crate) struct Reader<'a, S> {
     source: &'a S,
-    pub(crate) problems: Vec<SettingProblem>,
+    problems: Vec<SettingProblem>,
+}
+
+/// Shows that all settings were read without a problem.
+pub(crate) struct NoProblems(());
+
+/// A setting that must be given.
+pub(crate) struct Required<T>(Option<T>);
+
+impl<T> Required<T> {
+    /// Its value. A missing one is a problem, so that there is a value where there are no problems.
+    pub(crate) fn value(self, _proof: &NoProblems) -> T {
+        self.0.expect("a missing setting is a problem")
+    }
+
+    /// Its value for further checks; none where it is missing or not valid.
+    pub(crate) fn given(&self) -> Option<&T> {
+        self.0.as_ref()
+    }
 }
 
 impl<'a, S: SettingSource> Reader<'a, S> {
@@ -53,6 +94,18 @@
         }
     }
 
+    /// Ends the reading.
+    ///
+    /// # Errors
+    /// Every problem at once.
+    pub(crate) fn finish(self) -> Result<NoProblems, SettingProblems> {
+        if self.problems.is_empty() {
+            return Ok(NoProblems(()));
+        }
+        let problems = self.problems;
+        Err(SettingProblems { problems })
+    }
+
     pub(crate) fn fail(&mut self, flag: &'static str, what: String) {
         self.problems.push(SettingProblem {
             flag,
@@ -63,22 +116,25 @@
 
     pub(crate) fn optional<T: FromStr>(&mut self, flag: &'static str, right: &str) -> Option<T> {
         let text = self.source.text(flag)?;
-        let value = text.parse().ok();
-        if value.is_none() {
-            self.fail(flag, format!("'{text}' is not valid; give {right}"));
+        match text.parse() {
+            Ok(value) => Some(value),
+            Err(_) => {
+                self.fail(flag, format!("'{text}' is not valid; give {right}"));
+                None
+            }
         }
-        value
     }
 
-    pub(crate) fn required<T: FromStr>(&mut self, flag: &'static str, right: &str) -> Option<T> {
+    pub(crate) fn required<T: FromStr>(&mut self, flag: &'static str, right: &str) -> Required<T> {
         if self.source.text(flag).is_none() {
             self.fail(flag, format!("is missing; give {right}"));
-            return None;
+            return Required(None);
         }
-        self.optional(flag, right)
+        Required(self.optional(flag, right))
     }
 
     pub(crate) fn list<T: FromStr>(&mut self, flag: &'static str, right: &str) -> Vec<T> {
+        // Not given is an empty list.
         let text = self.source.text(flag).unwrap_or_default();
         let mut values = Vec::new();
         for part in text
