--- a/crates/gateway/src/control/routing_table.rs
+++ b/crates/gateway/src/control/routing_table.rs
@@ -87,7 +87,7 @@
     }
 
     /// Whether requests of routes that aren't public carry a key.
-    pub fn needs_keys(&self) -> bool {
+    pub(crate) fn needs_keys(&self) -> bool {
         self.needs_keys
     }
 
--- a/crates/gateway/src/decisions/admission/freshness.rs
+++ b/crates/gateway/src/decisions/admission/freshness.rs
@@ -19,7 +19,7 @@
 /// The longest that a request waits for a daemon that starts. Not measured by itself: first
 /// configurations came 0.2 to 0.4 s after a start (commit 45ec449). Half would refuse some of these
 /// requests; twice would hold the others longer for nothing.
-pub const MAX_STARTUP_WAIT: DurationMs = DurationMs(500);
+const MAX_STARTUP_WAIT: DurationMs = DurationMs(500);
 /// The part of the client's time that it waits at most. Not measured, chosen because the rest must
 /// do for the request itself.
 const MAX_STARTUP_WAIT_SHARE: f64 = 0.25;
--- a/crates/gateway/src/decisions/admission/refusal.rs
+++ b/crates/gateway/src/decisions/admission/refusal.rs
@@ -2,7 +2,7 @@
 //!
 //! Statuses carry a promise: 408, 421, 429 and 503 say that the request has not run and will not,
 //! so a client may send it again, also one that may run only once. Hence once a request may have
-//! run, only 502 and 504 are left ([`RefusalReason::unless_run`], [`RefusalReason::after_failure`]).
+//! run, only 502 and 504 are left ([`RefusalReason::unless_run`], [`Refusal::after_failure`]).
 //! Tests: `exchange.rs::outcomes_of_plain_requests`, `bad_requests_get_a_typed_answer_at_once`.
 
 use crate::decisions::resend::AttemptError;
--- a/crates/gateway/src/decisions/endpoint/ejection.rs
+++ b/crates/gateway/src/decisions/endpoint/ejection.rs
@@ -23,7 +23,7 @@
 /// The longest ejection, in milliseconds. Not measured; it bounds how long an endpoint that is back
 /// stays unused.
 const MAX_EJECTION_MS: u64 = 4_000;
-/// Doublings that are counted; more would overflow, and the longest ejection is reached after three.
+/// Doublings that are counted. Chosen because more would overflow; the longest ejection comes after three.
 const MAX_DOUBLINGS: u32 = 8;
 /// The weight of a new outcome in the share of failures. Not measured by itself (commit c8e2817): two
 /// failures in a row pass the bound, one doesn't.
@@ -56,7 +56,7 @@
 
 /// The outcomes of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outcomes {
+pub(crate) struct Outcomes {
     ejected_until: TimeMs,
     ejections_in_a_row: u32,
     failure_share: f64,
@@ -65,7 +65,7 @@
 
 impl Outcomes {
     /// The endpoint could not be reached, or was silent; true when that ejects it.
-    pub fn on_lost(&mut self, now: TimeMs) -> bool {
+    pub(crate) fn on_lost(&mut self, now: TimeMs) -> bool {
         if now < self.ejected_until {
             return false;
         }
@@ -77,19 +77,19 @@
     }
 
     /// A request there failed.
-    pub fn on_failed(&mut self, now: TimeMs) {
+    pub(crate) fn on_failed(&mut self, now: TimeMs) {
         self.add_outcome(now, 1.0);
     }
 
     /// A request there was answered well.
-    pub fn on_served(&mut self, now: TimeMs) {
+    pub(crate) fn on_served(&mut self, now: TimeMs) {
         self.add_outcome(now, 0.0);
         self.ejections_in_a_row = 0;
         self.ejected_until = TimeMs(0);
     }
 
     /// The health now.
-    pub fn snapshot(&self, now: TimeMs) -> HealthSnapshot {
+    pub(crate) fn snapshot(&self, now: TimeMs) -> HealthSnapshot {
         let failure_share = self.failure_share(now);
         let trust = if now < self.ejected_until {
             Trust::Ejected
--- a/crates/gateway/src/decisions/endpoint/idle_connections.rs
+++ b/crates/gateway/src/decisions/endpoint/idle_connections.rs
@@ -29,7 +29,7 @@
 const RECENTLY_HEARD: DurationMs = DurationMs(600);
 /// Idle connections that are tried before a new one is opened. Not measured. Where
 /// three have been closed from the other side, the endpoint has likely restarted.
-pub const MAX_IDLE_TRIES: usize = 3;
+pub(crate) const MAX_IDLE_TRIES: usize = 3;
 
 /// How many idle connections to an endpoint a daemon keeps; `max_connections` is what the endpoint
 /// accepts from all daemons, 0 when it doesn't say.
@@ -42,14 +42,14 @@
 }
 
 /// How long a connection may be idle; none: it is closed. `announced` is the endpoint's own timeout.
-pub fn idle_timeout(announced: Option<Duration>) -> Option<Duration> {
+pub(crate) fn idle_timeout(announced: Option<Duration>) -> Option<Duration> {
     let timeout = announced.unwrap_or(DEFAULT_IDLE_TIMEOUT);
     let timeout = timeout.saturating_sub(IDLE_TIMEOUT_MARGIN);
     (!timeout.is_zero()).then_some(timeout)
 }
 
 /// Whether a request may go on an idle connection.
-pub fn may_reuse(may_run_again: bool, now: TimeMs, heard_at: Option<TimeMs>) -> bool {
+pub(crate) fn may_reuse(may_run_again: bool, now: TimeMs, heard_at: Option<TimeMs>) -> bool {
     let since = TimeMs(now.0.saturating_sub(RECENTLY_HEARD.0));
     may_run_again || heard_at.is_some_and(|heard_at| heard_at > since)
 }
--- a/crates/gateway/src/decisions/endpoint/load_report.rs
+++ b/crates/gateway/src/decisions/endpoint/load_report.rs
@@ -15,12 +15,12 @@
 const PEER_REPORT_TTL: DurationMs = DurationMs(1_200);
 
 /// Whether an endpoint's own report still counts.
-pub fn is_endpoint_report_current(now: TimeMs, reported_at: TimeMs) -> bool {
+pub(crate) fn is_endpoint_report_current(now: TimeMs, reported_at: TimeMs) -> bool {
     now.since(reported_at) < ENDPOINT_REPORT_TTL
 }
 
 /// Whether another daemon's report still counts.
-pub fn is_peer_report_current(now: TimeMs, reported_at: TimeMs) -> bool {
+pub(crate) fn is_peer_report_current(now: TimeMs, reported_at: TimeMs) -> bool {
     now.since(reported_at) < PEER_REPORT_TTL
 }
 
@@ -35,7 +35,7 @@
 
 impl ReportedLoad {
     /// Requests there that are not this daemon's.
-    pub fn of_others(self, own_running: u32) -> u32 {
+    pub(crate) fn of_others(self, own_running: u32) -> u32 {
         (self.running + self.waiting).saturating_sub(own_running)
     }
 }
--- a/crates/gateway/src/decisions/endpoint/mod.rs
+++ b/crates/gateway/src/decisions/endpoint/mod.rs
@@ -1,4 +1,6 @@
 //! Rules about endpoints: which one gets a request, and what is known of each.
+//!
+//! Their state is in `endpoints`; what they learn of an endpoint is lost with the process.
 
 pub mod ejection;
 pub mod idle_connections;
--- a/crates/gateway/src/decisions/endpoint/placement.rs
+++ b/crates/gateway/src/decisions/endpoint/placement.rs
@@ -9,7 +9,7 @@
 //! ([`super::prompt_affinity`]).
 //!
 //! Inputs: the prompt, what this daemon saw endpoints read ([`Holders`]), the preferred endpoints,
-//! and a [`Candidate`] for each endpoint. Prompts that other daemons report don't move a request:
+//! and a `Candidate` for each endpoint. Prompts that other daemons report don't move a request:
 //! that was tried and lost (docs/design/14); they lengthen the queue that shedding goes by.
 //!
 //! All weights are milliseconds of a request's time to first token, or what is worth as much.
@@ -53,7 +53,7 @@
 /// gets work only when all are ejected.
 const EJECTED_MS: f64 = 20_000.0;
 /// Shared tokens that are cached elsewhere count so many times when they are read again: the reading
-/// holds up everything else there. Tried: 5 was within noise (commit 8f01409, trial); 1 was not tried.
+/// holds up everything else there. Measured against 5: within noise (commit 8f01409, trial); 1 was not tried.
 const REREAD_WEIGHT: f64 = 3.0;
 /// What a long prompt costs at an engine that is reserved for streams. Not measured by itself (commit
 /// e941a2e): the streams there pause while it is read, which takes some 100 to 200 ms.
@@ -68,23 +68,23 @@
 
 /// What is known of one endpoint when a request is placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate {
+pub(crate) struct Candidate {
     /// Its index.
-    pub index: EndpointIx,
+    pub(crate) index: EndpointIx,
     /// Requests that it runs at once.
-    pub slots: u32,
+    pub(crate) slots: u32,
     /// Whether it is in this daemon's data centre.
-    pub is_local: bool,
+    pub(crate) is_local: bool,
     /// Whether it is reserved for streams.
-    pub is_reserved: bool,
+    pub(crate) is_reserved: bool,
     /// The load there.
-    pub load: LoadSnapshot,
+    pub(crate) load: LoadSnapshot,
     /// The queue delay that this daemon's own requests show, in milliseconds.
-    pub observed_queue_ms: f64,
+    pub(crate) observed_queue_ms: f64,
     /// Its health.
-    pub health: HealthSnapshot,
+    pub(crate) health: HealthSnapshot,
     /// Whether it is silent while a request waits.
-    pub is_silent: bool,
+    pub(crate) is_silent: bool,
 }
 
 /// Which candidates go first whatever they cost.
@@ -110,7 +110,7 @@
 }
 
 /// Picks the candidate with the lowest cost, the first of equal ones; none when there is none.
-pub fn best<T>(candidates: impl Iterator<Item = (T, Estimate)>) -> Option<(T, Estimate)> {
+pub(crate) fn best<T>(candidates: impl Iterator<Item = (T, Estimate)>) -> Option<(T, Estimate)> {
     candidates.min_by(|(_, a), (_, b)| {
         let by_cost = a.cost_ms.total_cmp(&b.cost_ms);
         a.group.cmp(&b.group).then(by_cost)
@@ -119,18 +119,18 @@
 
 /// Estimates what one request would cost.
 #[derive(Clone, Debug)]
-pub struct Estimator<'a> {
+pub(crate) struct Estimator<'a> {
     /// The prompt; empty for plain requests.
-    pub prompt: &'a Prompt,
+    pub(crate) prompt: &'a Prompt,
     /// Endpoints that this daemon saw read the first parts of the prompt.
-    pub holders: Holders,
+    pub(crate) holders: Holders,
     /// Where all daemons place prompts with this shared prefix.
-    pub preferred: PreferredEndpoints,
+    pub(crate) preferred: PreferredEndpoints,
 }
 
 impl Estimator<'_> {
     /// The estimate for one endpoint.
-    pub fn estimate(&self, candidate: &Candidate) -> Estimate {
+    pub(crate) fn estimate(&self, candidate: &Candidate) -> Estimate {
         let cached_tokens = self.cached_tokens(candidate.index);
         let prefill_tokens = self.prompt.tokens.0.saturating_sub(cached_tokens);
         let queue_ms = own_queue_ms(candidate);
--- a/crates/gateway/src/decisions/endpoint/prompt_affinity.rs
+++ b/crates/gateway/src/decisions/endpoint/prompt_affinity.rs
@@ -27,13 +27,13 @@
 
 /// The endpoints where all daemons place prompts of one shared prefix, the first choice first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PreferredEndpoints {
+pub(crate) struct PreferredEndpoints {
     by_rank: [Option<(u64, EndpointIx)>; LIKELY_CACHED_SHARES.len()],
 }
 
 impl PreferredEndpoints {
     /// Takes an endpoint in, if its weight is among the highest.
-    pub fn offer(&mut self, endpoint: EndpointIx, weight: u64) {
+    pub(crate) fn offer(&mut self, endpoint: EndpointIx, weight: u64) {
         let mut next = Some((weight, endpoint));
         for best in &mut self.by_rank {
             if next > *best {
@@ -50,23 +50,23 @@
     }
 
     /// Whether an endpoint is one of them.
-    pub fn contains(&self, endpoint: EndpointIx) -> bool {
+    pub(crate) fn contains(&self, endpoint: EndpointIx) -> bool {
         self.rank(endpoint).is_some()
     }
 
     /// Tokens of the prompt that other daemons' requests likely left in an endpoint's cache.
-    pub fn likely_cached_tokens(&self, endpoint: EndpointIx, prompt: &Prompt) -> u64 {
+    pub(crate) fn likely_cached_tokens(&self, endpoint: EndpointIx, prompt: &Prompt) -> u64 {
         let share = self.rank(endpoint).map(|rank| LIKELY_CACHED_SHARES[rank]);
         share.map_or(0, |share| (share * prompt.shared_tokens() as f64) as u64)
     }
 }
 
 /// An endpoint's weight for a shared prefix: the same on all daemons.
-pub fn weight(endpoint_id: &str, prefix_id: u64) -> u64 {
+pub(crate) fn weight(endpoint_id: &str, prefix_id: u64) -> u64 {
     xxh3_64_with_seed(endpoint_id.as_bytes(), prefix_id)
 }
 
 /// Whether a prompt goes to its preferred endpoints only, while one of them is trusted.
-pub fn is_exclusive(prompt: &Prompt) -> bool {
+pub(crate) fn is_exclusive(prompt: &Prompt) -> bool {
     prompt.shared_tokens() >= MIN_EXCLUSIVE_TOKENS
 }
--- a/crates/gateway/src/decisions/endpoint/queue_delay.rs
+++ b/crates/gateway/src/decisions/endpoint/queue_delay.rs
@@ -20,7 +20,7 @@
 const MEAN_HALF_LIFE_MS: f64 = 1_000.0;
 
 /// How long an engine reads so many prompt tokens, in milliseconds.
-pub fn prefill_ms(tokens: f64) -> f64 {
+pub(crate) fn prefill_ms(tokens: f64) -> f64 {
     tokens / PREFILL_TOKENS_PER_MS
 }
 
@@ -35,7 +35,7 @@
 
 impl PendingRequest {
     /// How long it has waited beyond the reading of its prompt, in milliseconds.
-    pub fn waited_ms(&self, now: TimeMs) -> f64 {
+    pub(crate) fn waited_ms(&self, now: TimeMs) -> f64 {
         let elapsed_ms = now.since(self.sent_at).0 as f64;
         (elapsed_ms - self.prefill_ms).max(0.0)
     }
@@ -77,7 +77,7 @@
     }
 
     /// The request that has waited the longest beyond the reading of its prompt.
-    pub fn longest_waiting(&self, now: TimeMs) -> Option<PendingRequest> {
+    pub(crate) fn longest_waiting(&self, now: TimeMs) -> Option<PendingRequest> {
         let pending = self.pending.iter().copied();
         pending.max_by(|a, b| a.waited_ms(now).total_cmp(&b.waited_ms(now)))
     }
--- a/crates/gateway/src/decisions/endpoint/silence.rs
+++ b/crates/gateway/src/decisions/endpoint/silence.rs
@@ -22,7 +22,7 @@
 const MAX_ENGINE_SILENCE_MS: f64 = 400.0;
 
 /// How long an endpoint may be silent, in milliseconds.
-pub fn max_silence_ms(has_prompt: bool) -> f64 {
+pub(crate) fn max_silence_ms(has_prompt: bool) -> f64 {
     if has_prompt {
         MAX_ENGINE_SILENCE_MS
     } else {
@@ -31,7 +31,7 @@
 }
 
 /// Whether an endpoint is silent; `heard_at` is when bytes last came from it.
-pub fn is_silent(
+pub(crate) fn is_silent(
     now: TimeMs,
     longest_waiting: Option<PendingRequest>,
     heard_at: Option<TimeMs>,
--- a/crates/gateway/src/decisions/endpoint/stream_reservation.rs
+++ b/crates/gateway/src/decisions/endpoint/stream_reservation.rs
@@ -30,7 +30,7 @@
 const MAX_ONE_STEP_TOKENS: u64 = 2_500;
 
 /// Whether a request counts as a stream: a pause would spoil more than the time to read its prompt.
-pub fn is_stream_like(prompt: &Prompt) -> bool {
+pub(crate) fn is_stream_like(prompt: &Prompt) -> bool {
     let is_short = prompt.tokens.0 <= MAX_ONE_STEP_TOKENS;
     let answer_tokens = prompt.max_answer_tokens.0 as f64;
     is_short || answer_tokens > MIN_ANSWER_RATIO * prompt.tokens.0 as f64
@@ -38,17 +38,17 @@
 
 /// An endpoint of a service.
 #[derive(Clone, Debug)]
-pub struct Member<'a> {
+pub(crate) struct Member<'a> {
     /// Its index on this daemon.
-    pub index: EndpointIx,
+    pub(crate) index: EndpointIx,
     /// Its id, the same on all daemons.
-    pub id: &'a str,
+    pub(crate) id: &'a str,
     /// Its data centre.
-    pub data_centre: &'a DataCentreId,
+    pub(crate) data_centre: &'a DataCentreId,
 }
 
 /// The endpoints of a service that are reserved for streams.
-pub fn reserve<'a>(members: impl Iterator<Item = Member<'a>>) -> HashSet<EndpointIx> {
+pub(crate) fn reserve<'a>(members: impl Iterator<Item = Member<'a>>) -> HashSet<EndpointIx> {
     let mut by_data_centre: HashMap<&DataCentreId, Vec<(u64, EndpointIx)>> = HashMap::new();
     for member in members {
         let hash = xxh3_64(member.id.as_bytes());
--- a/crates/gateway/src/decisions/replication/mod.rs
+++ b/crates/gateway/src/decisions/replication/mod.rs
@@ -1,4 +1,6 @@
 //! Rules between daemons, and between a daemon and the control source.
+//!
+//! Their state is in `replication::fleet`, `replication::follow` and `control::state`.
 
 pub mod fleet_size;
 pub mod followers;
--- a/crates/gateway/src/decisions/replication/upstream.rs
+++ b/crates/gateway/src/decisions/replication/upstream.rs
@@ -166,7 +166,7 @@
     }
 
     /// The source answered.
-    pub fn on_source_answered(&mut self) {
+    pub(crate) fn on_source_answered(&mut self) {
         self.source_pause = FIRST_SOURCE_PAUSE;
     }
 
--- a/crates/gateway/src/decisions/resend/retry_budget.rs
+++ b/crates/gateway/src/decisions/resend/retry_budget.rs
@@ -4,7 +4,7 @@
 //! window), the number of daemons, this daemon's requests and retries in the window, and when it started.
 //! Rule: a daemon may make the ratio of its own requests, and its part of the slack. The slack is
 //! divided by a quarter more parts than there are daemons, since some may have joined unseen, and by
-//! [`MIN_PARTS`] at least. A daemon that hasn't learned how many there are has no part, nor has one in
+//! `MIN_PARTS` at least. A daemon that hasn't learned how many there are has no part, nor has one in
 //! its first window: the process before it may have used the part up.
 //! Reason: the bound holds over all daemons in every window, while they come, go and are cut off; nobody
 //! can ask for a retry at the moment it is needed.
@@ -17,31 +17,31 @@
 
 /// Parts that the slack is divided into at least. Not measured, chosen because it is twice as many as the
 /// users' small sites have VMs: a daemon that follows nobody doesn't learn how many there are.
-pub const MIN_PARTS: u32 = 12;
+pub(crate) const MIN_PARTS: u32 = 12;
 /// Parts for each daemon that is known. Not measured, chosen because up to a fifth of the daemons may
 /// not be counted yet; more waste slack.
 const PARTS_PER_DAEMON: f64 = 1.25;
 
 /// The budget of the whole fleet for one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FleetBudget {
+pub(crate) struct FleetBudget {
     /// Retries for each request.
-    pub ratio: Share,
+    pub(crate) ratio: Share,
     /// Retries beyond the ratio in one window.
-    pub slack: u32,
+    pub(crate) slack: u32,
     /// The sliding window.
-    pub window: DurationMs,
+    pub(crate) window: DurationMs,
 }
 
 /// The parts of the slack among so many daemons.
-pub fn parts(daemons: u32) -> u32 {
+pub(crate) fn parts(daemons: u32) -> u32 {
     let parts = (f64::from(daemons) * PARTS_PER_DAEMON) as u32;
     parts.max(MIN_PARTS)
 }
 
 /// One daemon's part of the slack, in retries a window. `parts` is none while the number of daemons is
 /// unknown; before `slack_from` there is none.
-pub fn slack_share(
+pub(crate) fn slack_share(
     budget: &FleetBudget,
     parts: Option<u32>,
     now: TimeMs,
@@ -55,20 +55,20 @@
 
 /// The requests and retries of one service that this daemon made in the last window.
 #[derive(Debug, Default)]
-pub struct RetryWindow {
+pub(crate) struct RetryWindow {
     requests: VecDeque<TimeMs>,
     retries: VecDeque<TimeMs>,
 }
 
 impl RetryWindow {
     /// A request came in.
-    pub fn on_request(&mut self, now: TimeMs, window: DurationMs) {
+    pub(crate) fn on_request(&mut self, now: TimeMs, window: DurationMs) {
         expire(&mut self.requests, now, window);
         self.requests.push_back(now);
     }
 
     /// Takes one retry; false when none is left.
-    pub fn take(&mut self, now: TimeMs, budget: &FleetBudget, slack_share: f64) -> bool {
+    pub(crate) fn take(&mut self, now: TimeMs, budget: &FleetBudget, slack_share: f64) -> bool {
         expire(&mut self.requests, now, budget.window);
         expire(&mut self.retries, now, budget.window);
         let allowed = budget.ratio.0 * self.requests.len() as f64 + slack_share;
--- a/crates/gateway/src/endpoints/endpoint.rs
+++ b/crates/gateway/src/endpoints/endpoint.rs
@@ -1,4 +1,7 @@
 //! One endpoint: its record from the control source, and its state on this daemon.
+//!
+//! Owns load, health and idle connections, each behind its own lock or atomics. Its record is replaced as a whole by
+//! [`crate::control::endpoint_registry`]; requests hold the endpoint by reference count while they need it.
 
 use crate::clock::AtomicTime;
 use crate::endpoints::health::Health;
--- a/crates/gateway/src/endpoints/selection.rs
+++ b/crates/gateway/src/endpoints/selection.rs
@@ -1,4 +1,6 @@
 //! Selection: gathers what [`crate::decisions::endpoint::placement`] decides on, and carries it out.
+//!
+//! Owns nothing. Takes two short locks an endpoint, for health and for the queue.
 
 use crate::decisions::endpoint::ejection::Trust;
 use crate::decisions::endpoint::placement::{self, Candidate, Estimate, Estimator};
--- a/crates/gateway/src/replication/client.rs
+++ b/crates/gateway/src/replication/client.rs
@@ -1,4 +1,7 @@
 //! Asking another daemon for what it has of the control source.
+//!
+//! Owns one connection, to the daemon that is asked at present. Retries and the choice of the daemon are
+//! [`super::follow`]'s.
 
 use crate::control::replica::Update;
 use crate::control::source::Revision;
--- a/crates/gateway/src/replication/peer_error.rs
+++ b/crates/gateway/src/replication/peer_error.rs
@@ -1,4 +1,6 @@
 //! Why another daemon gave no answer that can be used.
+//!
+//! Both kinds of unreadable answers have one text, which dashboards and log searches know.
 
 use crate::replication::message::MessageError;
 use derive_more::{Display, Error};
--- a/crates/gateway/src/replication/pending_reports.rs
+++ b/crates/gateway/src/replication/pending_reports.rs
@@ -1,4 +1,6 @@
 //! What other daemons report of the prompts that they have sent and that were not read yet.
+//!
+//! Owns the newest report of each; expired ones count as nothing.
 
 use crate::decisions::endpoint::load_report::is_peer_report_current;
 use crate::pending_prefill::PendingPrefill;
--- a/crates/gateway/src/replication/server.rs
+++ b/crates/gateway/src/replication/server.rs
@@ -1,4 +1,7 @@
 //! The peer address: answers daemons that follow this one.
+//!
+//! Owns the connections of followers. Answers are made of [`crate::control::state`] and [`super::fleet`]; who is
+//! answered here is decided in [`crate::decisions::replication::followers`].
 
 use crate::control::source::Revision;
 use crate::counter::Counter;
--- a/crates/gateway/src/requests/answer_body.rs
+++ b/crates/gateway/src/requests/answer_body.rs
@@ -1,4 +1,6 @@
 //! The body of an answer to a client: whole, or a stream as it comes.
+//!
+//! Relies on [`super::relay`] for the stream; an error of it cuts the client's connection.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -9,7 +11,7 @@
 
 /// A stream that can't be brought to its end: the connection to the client is cut.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum StreamError {
+pub(crate) enum StreamError {
     /// The endpoint broke off.
     #[display("the endpoint broke off")]
     EndpointBrokeOff,
@@ -20,7 +22,7 @@
 
 /// A body.
 #[derive(Debug)]
-pub enum AnswerBody<S> {
+pub(crate) enum AnswerBody<S> {
     /// Whole.
     Whole(Full<Bytes>),
     /// As it comes.
--- a/crates/gateway/src/requests/attempt.rs
+++ b/crates/gateway/src/requests/attempt.rs
@@ -1,4 +1,7 @@
 //! One attempt: a request is sent to one endpoint, and the head of its answer is read.
+//!
+//! Owns the connection until the answer's body was read. Whether the request is sent again is not decided here: the
+//! caller gets an [`AttemptError`] that says whether it may have run.
 
 use crate::clock::Clock;
 use crate::decisions::endpoint::idle_connections::{MAX_IDLE_TRIES, may_reuse};
--- a/crates/gateway/src/requests/front.rs
+++ b/crates/gateway/src/requests/front.rs
@@ -1,4 +1,6 @@
 //! The client address: accepts connections and serves the requests on each.
+//!
+//! Owns clients' connections. Relies on the HTTP library for reading heads within the idle timeout and the size limit.
 
 use crate::gateway::Gateway;
 use crate::requests::handler;
--- a/crates/gateway/src/requests/handler.rs
+++ b/crates/gateway/src/requests/handler.rs
@@ -1,4 +1,6 @@
 //! One request from its head to the answer that the client reads, or the daemon's own refusal.
+//!
+//! Owns the guards that count a request and its body until the answer has ended.
 
 use crate::decisions::admission::refusal::Refusal;
 use crate::gateway::Gateway;
--- a/crates/gateway/src/requests/in_flight.rs
+++ b/crates/gateway/src/requests/in_flight.rs
@@ -1,4 +1,6 @@
 //! Counts a request at its endpoint from the moment it is sent until it ends.
+//!
+//! Relies on being dropped when the request ends, however it ends.
 
 use crate::clock::Clock;
 use crate::decisions::endpoint::queue_delay::{PendingRequest, prefill_ms};
--- a/crates/gateway/src/requests/inbound.rs
+++ b/crates/gateway/src/requests/inbound.rs
@@ -1,4 +1,6 @@
 //! A request that was read as a whole and may be passed on, and its form for an endpoint.
+//!
+//! Owns the body until the last attempt; each attempt shares its bytes.
 
 use crate::decisions::admission::priority::Priority;
 use crate::header_names::HeaderNames;
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -1,4 +1,6 @@
 //! Passes a stream on to the client, and goes on at another endpoint when it breaks off.
+//!
+//! Owns the exchange while the stream lasts. Dropped when the client leaves, it closes the endpoint's connection at once.
 
 use crate::decisions::resend::{Failure, NoResend};
 use crate::requests::answer_body::StreamError;
--- a/crates/gateway/src/requests/response_head.rs
+++ b/crates/gateway/src/requests/response_head.rs
@@ -1,4 +1,6 @@
 //! The head of an endpoint's answer: whose it is, what it says of load and of the connection.
+//!
+//! Owns nothing; a header that can't be decoded counts as absent, and is logged.
 
 use crate::decisions::endpoint::idle_connections;
 use crate::decisions::endpoint::load_report::ReportedLoad;
--- a/crates/gateway/src/requests/retry_budgets.rs
+++ b/crates/gateway/src/requests/retry_budgets.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// Stands for an unknown number of parts.
+/// Stands for an unknown number of parts: a known one is never 0, from the rule's minimum.
 const UNKNOWN_PARTS: u32 = 0;
 
 /// Budgets by service.
--- a/crates/gateway/src/requests/server_events.rs
+++ b/crates/gateway/src/requests/server_events.rs
@@ -1,4 +1,6 @@
 //! Server-sent events in a stream of bytes: whole events, and the identifier of the last.
+//!
+//! Relies on events being separated by blank lines, and on identifiers that rise within a stream.
 
 use bytes::{Bytes, BytesMut};
 
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -1,4 +1,6 @@
 //! What every socket of the daemon needs: options, and an accept loop that survives errors.
+//!
+//! Relies on Linux for `TCP_USER_TIMEOUT`.
 
 use socket2::SockRef;
 use std::time::Duration;
--- a/src/configs/gateway.rs
+++ b/src/configs/gateway.rs
@@ -21,16 +21,24 @@
 }
 
 const MILLISECONDS: &str = "a number of milliseconds";
+/// Milliseconds of a second, since settings say seconds and the gateway milliseconds.
 const MS_PER_S: f64 = 1_000.0;
+/// Bytes of a megabyte, since settings say megabytes.
 const BYTES_PER_MB: u64 = 1 << 20;
 
-// Defaults: the bounds of the users' small sites, from their pages; the deploy file gives each site's own.
+/// Default of `--key-removal-ms`, from the users' small sites; the deploy file gives each site's own.
 const DEFAULT_KEY_REMOVAL_MS: u64 = 5_000;
+/// Default of `--drain-ms`, from the users' small sites.
 const DEFAULT_DRAIN_MS: u64 = 2_000;
+/// Default of `--stop-s`. Not measured, chosen because sites give 8 s and more.
 const DEFAULT_STOP_S: f64 = 10.0;
+/// Default of `--retry-ratio`, from the users' sites.
 const DEFAULT_RETRY_RATIO: f64 = 0.2;
+/// Default of `--retry-slack`. Not measured, chosen because it leaves one retry a window to each of twelve daemons.
 const DEFAULT_RETRY_SLACK: f64 = 12.0;
+/// Default of `--retry-window-s`, from the users' sites.
 const DEFAULT_RETRY_WINDOW_S: f64 = 10.0;
+/// Default of `--memory-mb`, from the size that the product is designed for (docs/CAPACITY.md).
 const DEFAULT_MEMORY_MB: u64 = 128;
 
 /// Of the time in which a key's removal must be in force, what is left for a request to get out. Not measured, chosen
