--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -29,7 +29,7 @@
 const CHANGES: usize = 12;
 
 fn configuration(engines: &[SocketAddr]) -> String {
-    let digest = bridgevane::modules::config_in_force::key_digest(CUSTOMER_KEY);
+    let digest = bridgevane::modules::serve::configuration::in_force::key_digest(CUSTOMER_KEY);
     let mut text = String::new();
     for tier in 0..TIERS {
         let target = 810 * (tier + 1);
--- a/benches/latency.rs
+++ b/benches/latency.rs
@@ -11,7 +11,7 @@
 use axum::extract::{Request, State};
 use axum::response::Response;
 use axum::routing::post;
-use bridgevane::modules::http_serve;
+use bridgevane::modules::process::http_serve;
 use bridgevane_adapters::HttpClient;
 use http_body_util::{BodyExt, Full};
 use serde_json::{Value, json};
--- a/src/commands/ask.rs
+++ b/src/commands/ask.rs
@@ -4,9 +4,9 @@
     ClientError, DaemonAnswer, OperatorClient, run_to_exit_code,
 };
 use crate::commands::{exit, say};
-use crate::modules::operator_fan_out::Answer;
-use crate::modules::operator_rows::Row;
-use crate::modules::operators::Ask;
+use crate::modules::serve::operators::fan_out::Answer;
+use crate::modules::serve::operators::interface::Ask;
+use crate::modules::serve::operators::rows::Row;
 use argh::FromArgs;
 use bridgevane_types::{ConfigVersion, OperationId};
 use comfy_table::{Table, presets};
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,7 +1,7 @@
 //! `bridgevane check`: proves a configuration file before it is proposed.
 
 use crate::commands::{exit, say};
-use crate::modules::config_in_force::key_digest;
+use crate::modules::serve::configuration::in_force::key_digest;
 use argh::FromArgs;
 use bridgevane_config::Document;
 use std::path::PathBuf;
--- a/src/commands/demo/mod.rs
+++ b/src/commands/demo/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::commands::{block_on, exit, say};
 use crate::configs::log::{LogConfig, LogFormat};
-use crate::modules::logging;
+use crate::modules::process::logging;
 use argh::FromArgs;
 use derive_more::{Display, Error};
 use indicatif::{ProgressBar, ProgressStyle};
--- a/src/commands/demo/results.rs
+++ b/src/commands/demo/results.rs
@@ -3,7 +3,7 @@
 use super::DemoArguments;
 use super::load::{CallerResult, Ended};
 use super::stage::Stage;
-use crate::modules::targets::Targets;
+use crate::modules::serve::requests::targets::Targets;
 use bridgevane_types::{ClassName, DurationMs};
 use comfy_table::{Table, presets};
 use serde::Serialize;
--- a/src/commands/demo/stage.rs
+++ b/src/commands/demo/stage.rs
@@ -6,8 +6,8 @@
 use crate::configs::peers::PeersConfig;
 use crate::configs::serve::{Secret, ServeConfig};
 use crate::configs::serving::ServingConfig;
-use crate::context::Context;
-use crate::modules::config_follow::CONFIG_KEY;
+use crate::modules::serve::configuration::follow::CONFIG_KEY;
+use crate::modules::serve::context::Context;
 use bridgevane_config::{ConfigProblems, Document, Envelope, EnvelopeError, ServiceKind};
 use bridgevane_standins::{
     EngineSpec, EngineStandin, EngineStandinSettings, Fault, PlainStandin, PlatformSettings,
--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -6,8 +6,11 @@
 use crate::commands::{exit, say};
 use crate::configs::gateway::GatewayConfig;
 use crate::configs::settings_reader::setting_source;
-use crate::modules::metrics::MetricsPage;
-use crate::modules::{gateway_signals, http_serve, log_writer, logging};
+use crate::modules::process::http_serve;
+use crate::modules::process::log_writer;
+use crate::modules::process::logging;
+use crate::modules::process::metrics_page::MetricsPage;
+use crate::modules::process::signals;
 use argh::FromArgs;
 use bridgevane_events::{Event, event};
 use bridgevane_gateway::{
@@ -156,7 +159,7 @@
     }
     tokio::spawn(follow_control_source(gateway.clone(), store));
     tokio::spawn(serve_clients(gateway.clone(), clients));
-    gateway_signals::wait_for_stop().await?;
+    signals::wait_for_stop_through_hang_ups().await?;
     stop_gracefully(gateway).await;
     Ok(())
 }
--- a/src/commands/operator_client.rs
+++ b/src/commands/operator_client.rs
@@ -1,7 +1,7 @@
 //! What `ask` and `report` share: calls of a daemon's operators' interface.
 
 use crate::commands::{block_on, exit};
-use crate::modules::operators::Ask;
+use crate::modules::serve::operators::interface::Ask;
 use bridgevane_adapters::{HttpClient, HttpError};
 use derive_more::{Display, Error, From};
 use http_body_util::{BodyExt, Full};
--- a/src/commands/report.rs
+++ b/src/commands/report.rs
@@ -2,9 +2,9 @@
 
 use crate::commands::operator_client::{ClientError, OperatorClient, run_to_exit_code};
 use crate::commands::{ask, exit, report_page, say};
-use crate::modules::operator_fan_out::Answer;
-use crate::modules::operator_rows::Row;
-use crate::modules::operators::Ask;
+use crate::modules::serve::operators::fan_out::Answer;
+use crate::modules::serve::operators::interface::Ask;
+use crate::modules::serve::operators::rows::Row;
 use argh::FromArgs;
 use std::io::IsTerminal;
 use std::net::SocketAddr;
--- a/src/commands/report_page.rs
+++ b/src/commands/report_page.rs
@@ -1,8 +1,8 @@
 //! The report as one HTML page with its plots inside.
 
 use crate::commands::report::without_histograms;
-use crate::modules::operator_fan_out::Answer;
-use crate::modules::operator_rows::Row;
+use crate::modules::serve::operators::fan_out::Answer;
+use crate::modules::serve::operators::rows::Row;
 use plotters::prelude::*;
 use serde_json::Value;
 
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -3,18 +3,23 @@
 use crate::commands::{block_on, exit, say};
 use crate::configs::serve::ServeConfig;
 use crate::configs::settings_reader::setting_source;
-use crate::context::Context;
-use crate::modules::leaving::LeavingSource;
-use crate::modules::{
-    callers, config_follow, http_serve, logging, members, operators, peer_links, pool_homes,
-    rollouts,
-};
+use crate::modules::process::http_serve;
+use crate::modules::process::logging;
+use crate::modules::process::signals;
+use crate::modules::serve::configuration::follow;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::leaving::LeavingSource;
+use crate::modules::serve::operators::interface;
+use crate::modules::serve::peers::links;
+use crate::modules::serve::peers::members;
+use crate::modules::serve::pools::homes;
+use crate::modules::serve::requests::callers;
+use crate::modules::serve::rollouts;
 use argh::FromArgs;
 use bridgevane_events::{Event, event};
 use bridgevane_types::Incarnation;
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
-use tokio::signal::unix::{SignalKind, signal};
 
 /// Run the daemon. Each flag has an environment variable: --vm-id is BRIDGEVANE_VM_ID; flags
 /// win. All settings are checked at the start, every fault in one go.
@@ -105,7 +110,7 @@
 /// Serves until the stop signal, then until every stream has ended.
 async fn serve(config: ServeConfig, incarnation: Incarnation) -> Result<(), std::io::Error> {
     let context = start(config, incarnation).await?;
-    wait_for_stop().await?;
+    signals::wait_for_stop().await?;
     context.leaving.begin(LeavingSource::StopSignal);
     context.members.set_leaving(&context, true);
     event!(Event::Stopping, in_progress = context.leaving.in_progress());
@@ -132,15 +137,15 @@
     let peers = http_serve::listen(config.peers.address).await?;
     config.peers.address = peers.local_addr()?;
     let context = Context::new(config, incarnation);
-    tokio::spawn(peer_links::accept(context.clone(), peers));
+    tokio::spawn(links::accept(context.clone(), peers));
     tokio::spawn(members::run(context.clone()));
-    tokio::spawn(pool_homes::run(context.clone()));
+    tokio::spawn(homes::run(context.clone()));
     tokio::spawn(rollouts::run(context.clone()));
     tokio::spawn(http_serve::serve(
         operators,
-        operators::router(context.clone()),
+        interface::router(context.clone()),
     ));
-    tokio::spawn(config_follow::run(context.clone()));
+    tokio::spawn(follow::run(context.clone()));
     tokio::spawn(http_serve::serve(callers, callers::router(context.clone())));
     event!(
         Event::Started,
@@ -152,13 +157,3 @@
     );
     Ok(context)
 }
-
-async fn wait_for_stop() -> Result<(), std::io::Error> {
-    let mut terminate = signal(SignalKind::terminate())?;
-    let mut interrupt = signal(SignalKind::interrupt())?;
-    tokio::select! {
-        _ = terminate.recv() => {}
-        _ = interrupt.recv() => {}
-    }
-    Ok(())
-}
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -4,7 +4,7 @@
 //! binary that could pretend to be the platform has no place on a VM.
 
 use crate::commands::{block_on, exit, say};
-use crate::modules::config_follow::CONFIG_KEY;
+use crate::modules::serve::configuration::follow::CONFIG_KEY;
 use argh::FromArgs;
 use bridgevane_config::{Document, Envelope};
 use bridgevane_standins::{
--- a/src/modules/mod.rs
+++ b/src/modules/mod.rs
@@ -1,38 +1,7 @@
-//! The daemon's behaviour, one module a file.
+//! What the daemon does, by concern.
+//!
+//! [`process`] serves both programs: logs, listening, signals, the metrics page. [`serve`] is `bridgevane serve`. The
+//! other program, `bridgevane gateway`, is the package `bridgevane-gateway`.
 
-pub mod attempt_reports;
-pub mod burn;
-pub mod caller;
-pub mod callers;
-pub mod chat_format;
-pub mod config_change;
-pub mod config_follow;
-pub mod config_in_force;
-pub mod config_relay;
-pub mod engine_link;
-pub mod engine_poll;
-pub mod gateway_signals;
-pub mod http_serve;
-pub mod key_homes;
-pub mod leaving;
-pub mod log_writer;
-pub mod logging;
-pub mod members;
-pub mod metrics;
-pub mod model_request;
-pub mod operator_fan_out;
-pub mod operator_rows;
-pub mod operators;
-pub mod peer_frames;
-pub mod peer_links;
-pub mod plain_request;
-pub mod pool_actor;
-pub mod pool_directory;
-pub mod pool_handle;
-pub mod pool_homes;
-pub mod pool_link;
-pub mod pool_wire;
-pub mod query_language;
-pub mod refusal;
-pub mod rollouts;
-pub mod targets;
+pub mod process;
+pub mod serve;
--- a/src/modules/logging.rs
+++ b/src/modules/process/logging.rs
@@ -1,7 +1,7 @@
 //! Log lines: one line an event, as JSON or for people.
 
 use crate::configs::log::{LogConfig, LogFormat};
-use crate::modules::log_writer::Sink;
+use crate::modules::process::log_writer::Sink;
 use derive_more::{Display, Error, From};
 use log::kv::{Key, Value, VisitSource};
 use log::{LevelFilter, Record};
--- /dev/null
+++ b/src/modules/process/mod.rs
@@ -0,0 +1,7 @@
+//! What both programs need of their process: logs, listening, signals, the metrics page.
+
+pub mod http_serve;
+pub(crate) mod log_writer;
+pub(crate) mod logging;
+pub(crate) mod metrics_page;
+pub(crate) mod signals;
--- a/src/modules/config_follow.rs
+++ b/src/modules/serve/configuration/follow.rs
@@ -1,9 +1,9 @@
 //! Follows the configuration in the platform's key-value service, where this daemon is one
 //! of its data centre's watchers. The others get it from their peers.
 
-use crate::context::Context;
-use crate::modules::config_in_force::InForce;
-use crate::modules::config_relay;
+use crate::modules::serve::configuration::in_force::InForce;
+use crate::modules::serve::configuration::relay;
+use crate::modules::serve::context::Context;
 use bridgevane_adapters::{KeyValue, KvValue, Revision};
 use bridgevane_config::Envelope;
 use bridgevane_events::{Event, event};
@@ -45,7 +45,7 @@
 fn take(context: &Arc<Context>, value: &KvValue) {
     match Envelope::parse(&value.text) {
         Ok(envelope) => {
-            config_relay::accept_document(context, envelope.version, envelope.document);
+            relay::accept_document(context, envelope.version, envelope.document);
         }
         Err(error) => event!(Event::ConfigRejected, cause = error),
     }
--- a/src/modules/config_relay.rs
+++ b/src/modules/serve/configuration/relay.rs
@@ -1,10 +1,10 @@
 //! The configuration between daemons: versions in heartbeats, changes as deltas on demand.
 
-use crate::context::Context;
-use crate::modules::config_follow::put_in_force;
-use crate::modules::config_in_force::InForce;
-use crate::modules::members;
-use crate::modules::peer_links::LinkHandle;
+use crate::modules::serve::configuration::follow::put_in_force;
+use crate::modules::serve::configuration::in_force::InForce;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::peers::links::LinkHandle;
+use crate::modules::serve::peers::members;
 use bridgevane_adapters::KvError;
 use bridgevane_config::{Delta, Document, SectionChange, Sections};
 use bridgevane_coordination::configs::CallBudgetConfig;
--- a/src/context.rs
+++ b/src/modules/serve/context.rs
@@ -1,18 +1,18 @@
 //! What every module of the daemon shares, handed down instead of globals.
 
 use crate::configs::serve::ServeConfig;
-use crate::modules::burn::Burn;
-use crate::modules::config_in_force::ConfigInForce;
-use crate::modules::config_relay::Replica;
-use crate::modules::key_homes::KeyHomes;
-use crate::modules::leaving::Leaving;
-use crate::modules::members::Members;
-use crate::modules::metrics::Metrics;
-use crate::modules::operator_fan_out::Queries;
-use crate::modules::peer_links::PeerLinks;
-use crate::modules::pool_directory::PoolDirectory;
-use crate::modules::pool_homes::PoolHomes;
-use crate::modules::rollouts::Rollouts;
+use crate::modules::serve::configuration::in_force::ConfigInForce;
+use crate::modules::serve::configuration::relay::Replica;
+use crate::modules::serve::keys::claims::KeyHomes;
+use crate::modules::serve::leaving::Leaving;
+use crate::modules::serve::observation::burn::Burn;
+use crate::modules::serve::observation::metrics::Metrics;
+use crate::modules::serve::operators::fan_out::Queries;
+use crate::modules::serve::peers::links::PeerLinks;
+use crate::modules::serve::peers::members::Members;
+use crate::modules::serve::pools::directory::PoolDirectory;
+use crate::modules::serve::pools::homes::PoolHomes;
+use crate::modules::serve::rollouts::Rollouts;
 use bridgevane_adapters::HttpPlatform;
 use bridgevane_coordination::KeyMember;
 use bridgevane_types::{Incarnation, RequestId, TimeMs};
--- a/src/modules/key_homes.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -1,8 +1,8 @@
 //! Idempotency keys between daemons: the home of a key says whether its call may run.
 
-use crate::context::Context;
-use crate::modules::peer_frames::{request_bytes, request_of};
-use crate::modules::peer_links::{LinkHandle, Peer};
+use crate::modules::serve::context::Context;
+use crate::modules::serve::peers::frames::{request_bytes, request_of};
+use crate::modules::serve::peers::links::{LinkHandle, Peer};
 use bridgevane_adapters::{KeyValue, KvCas, KvError};
 use bridgevane_coordination::configs::KeyRegistryConfig;
 use bridgevane_coordination::{
--- /dev/null
+++ b/src/modules/serve/keys/mod.rs
@@ -0,0 +1,3 @@
+//! Idempotency keys: the home of a key says whether its call may run.
+
+pub(crate) mod claims;
--- a/src/modules/metrics.rs
+++ b/src/modules/serve/observation/metrics.rs
@@ -1,56 +1,17 @@
-//! Metrics by `opentelemetry`, shown as a Prometheus page.
+//! The metrics of `serve`: requests by class, tokens, calls of the platform, bytes between daemons.
+//!
+//! Names and labels are an interface to operators' dashboards and don't change.
 
+use crate::modules::process::metrics_page::MetricsPage;
 use bridgevane_types::{ClassName, Tokens};
 use opentelemetry::KeyValue;
-use opentelemetry::metrics::{Counter, Histogram, Meter, MeterProvider};
-use opentelemetry_sdk::metrics::SdkMeterProvider;
-use prometheus::{Encoder, Registry, TextEncoder};
+use opentelemetry::metrics::{Counter, Histogram};
 
-/// First-token buckets in seconds, around the targets of the classes.
+/// First-token buckets in seconds. Chosen because classes have targets of 0.1 to 15 s; 0.81 is the one to design for.
 const LATENCY_BUCKETS_S: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.81, 1.0, 2.0, 5.0, 15.0, 60.0,
 ];
 
-/// A meter whose instruments are shown as a Prometheus page.
-#[derive(Clone)]
-pub struct MetricsPage {
-    registry: Registry,
-    provider: SdkMeterProvider,
-}
-
-impl MetricsPage {
-    /// An empty page.
-    pub fn new() -> Self {
-        let registry = Registry::new();
-        // A fresh registry has no name that could clash.
-        let exporter = opentelemetry_prometheus::exporter()
-            .with_registry(registry.clone())
-            .build()
-            .expect("a fresh registry accepts the exporter");
-        let provider = SdkMeterProvider::builder().with_reader(exporter).build();
-        Self { registry, provider }
-    }
-
-    /// The meter of all instruments.
-    pub fn meter(&self) -> Meter {
-        self.provider.meter("bridgevane")
-    }
-
-    /// The page.
-    pub fn text(&self) -> String {
-        let mut page = Vec::new();
-        // Writing into memory doesn't fail.
-        let _ = TextEncoder::new().encode(&self.registry.gather(), &mut page);
-        String::from_utf8_lossy(&page).into_owned()
-    }
-}
-
-impl Default for MetricsPage {
-    fn default() -> Self {
-        Self::new()
-    }
-}
-
 /// The daemon's instruments.
 pub struct Metrics {
     page: MetricsPage,
--- a/src/modules/operator_fan_out.rs
+++ b/src/modules/serve/operators/fan_out.rs
@@ -1,10 +1,10 @@
 //! Operators' statements to every daemon of the data centre, and who did not answer.
 
-use crate::context::Context;
-use crate::modules::leaving::LeavingSource;
-use crate::modules::operator_rows::{self, Row};
-use crate::modules::peer_links::{LinkHandle, Peer};
-use crate::modules::query_language::{self, Statement};
+use crate::modules::serve::context::Context;
+use crate::modules::serve::leaving::LeavingSource;
+use crate::modules::serve::operators::query_language::{self, Statement};
+use crate::modules::serve::operators::rows::{self, Row};
+use crate::modules::serve::peers::links::{LinkHandle, Peer};
 use bridgevane_coordination::MemberState;
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::{Query, QueryAnswer};
@@ -134,7 +134,7 @@
     let statement = query_language::parse(text).map_err(|error| error.to_string())?;
     match statement {
         Statement::Show { table, conditions } => {
-            let rows = operator_rows::rows(context, table, &conditions).await;
+            let rows = rows::rows(context, table, &conditions).await;
             rows.map_err(|error| error.to_string())
         }
         Statement::Explain(request) => Ok(explain(context, request).await),
--- a/src/modules/operators.rs
+++ b/src/modules/serve/operators/interface.rs
@@ -1,10 +1,10 @@
 //! The operators' HTTP interface: statements in, answers out, by name and bearer token.
 
-use crate::context::Context;
-use crate::modules::config_change::{self, Change, ChangeError, Decided, Proposal};
-use crate::modules::operator_fan_out::{self, Answer};
-use crate::modules::operator_rows::{self, Row};
-use crate::modules::query_language::{self, Statement, Table};
+use crate::modules::serve::configuration::change::{self, Change, ChangeError, Decided, Proposal};
+use crate::modules::serve::context::Context;
+use crate::modules::serve::operators::fan_out::{self, Answer};
+use crate::modules::serve::operators::query_language::{self, Statement, Table};
+use crate::modules::serve::operators::rows::{self, Row};
 use axum::extract::{DefaultBodyLimit, State};
 use axum::http::{HeaderMap, StatusCode, header};
 use axum::response::{IntoResponse, Response};
@@ -126,7 +126,7 @@
             propose(&context, operator, &ask, change, text).await
         }
         Ok(Statement::DrainVm { vm, .. }) => {
-            let answer = operator_fan_out::ask_all(&context, text).await;
+            let answer = fan_out::ask_all(&context, text).await;
             event!(
                 Event::OperatorCommand,
                 operator = operator,
@@ -135,9 +135,9 @@
             drained(&vm, answer)
         }
         Ok(statement) => {
-            let mut answer = operator_fan_out::ask_all(&context, text).await;
+            let mut answer = fan_out::ask_all(&context, text).await;
             if let Statement::Show { table, .. } = statement {
-                answer.rows = operator_rows::merge(&context, table, answer.rows);
+                answer.rows = rows::merge(&context, table, answer.rows);
             }
             Json(answer).into_response()
         }
@@ -160,7 +160,7 @@
 }
 
 async fn history(context: &Context) -> Response {
-    match config_change::history(context).await {
+    match change::history(context).await {
         Ok(operations) => {
             let row = |operation: bridgevane_config::AcceptedOperation| {
                 Row::default()
@@ -221,7 +221,7 @@
         operator,
         change,
     };
-    match config_change::propose(context, proposal).await {
+    match change::propose(context, proposal).await {
         Ok(decided @ Decided::Conflict { .. }) => {
             (StatusCode::CONFLICT, Json(decided)).into_response()
         }
--- a/src/modules/operator_rows.rs
+++ b/src/modules/serve/operators/rows.rs
@@ -1,8 +1,8 @@
 //! Rows of the operators' tables, as this daemon knows them.
 
-use crate::context::Context;
-use crate::modules::burn::{Counts, FirstTokens};
-use crate::modules::query_language::{Comparison, Condition, Operand, Table};
+use crate::modules::serve::context::Context;
+use crate::modules::serve::observation::burn::{Counts, FirstTokens};
+use crate::modules::serve::operators::query_language::{Comparison, Condition, Operand, Table};
 use bridgevane_config::{ClassConfig, CustomerConfig};
 use bridgevane_types::{ClassName, CustomerId, DurationMs};
 use serde::{Deserialize, Serialize};
--- a/src/modules/peer_frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -1,8 +1,12 @@
 //! What each frame from another daemon means.
 
-use crate::context::Context;
-use crate::modules::peer_links::{LinkHandle, OpenOffers, Peer};
-use crate::modules::{config_relay, key_homes, members, operator_fan_out, pool_homes};
+use crate::modules::serve::configuration::relay;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::keys::claims;
+use crate::modules::serve::operators::fan_out;
+use crate::modules::serve::peers::links::{LinkHandle, OpenOffers, Peer};
+use crate::modules::serve::peers::members;
+use crate::modules::serve::pools::homes;
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::{Frame, pool_order, pool_report};
 use bridgevane_types::RequestId;
@@ -70,10 +74,10 @@
         Body::Hello(_) | Body::Proof(_) => {}
         Body::Heartbeat(heartbeat) => members::on_heartbeat(context, peer, link, heartbeat),
         Body::HeartbeatAck(heartbeat) => members::on_ack(context, peer, link, heartbeat),
-        Body::ConfigWanted(wanted) => config_relay::on_wanted(context, link, &wanted),
-        Body::ConfigDelta(delta) => config_relay::on_delta(context, link, delta),
-        Body::ConfigSnapshot(snapshot) => config_relay::on_snapshot(context, snapshot),
-        Body::PoolOffer(offer) => pool_homes::on_offer(context, link, offer, offers),
+        Body::ConfigWanted(wanted) => relay::on_wanted(context, link, &wanted),
+        Body::ConfigDelta(delta) => relay::on_delta(context, link, delta),
+        Body::ConfigSnapshot(snapshot) => relay::on_snapshot(context, snapshot),
+        Body::PoolOffer(offer) => homes::on_offer(context, link, offer, offers),
         Body::PoolOrder(order) => context.homes.on_order(context, peer, link, &order),
         Body::PoolReport(report) => {
             let is_over = matches!(
@@ -83,12 +87,12 @@
             if let Some(request) = request_of(&report.request).filter(|_| is_over) {
                 offers.remove(&request);
             }
-            pool_homes::on_report(context, &report).await;
+            homes::on_report(context, &report).await;
         }
-        Body::KeyClaim(claim) => key_homes::on_claim(context, peer, link, claim),
+        Body::KeyClaim(claim) => claims::on_claim(context, peer, link, claim),
         Body::KeyVerdict(verdict) => context.keys.on_verdict(&verdict),
-        Body::KeyEnded(ended) => key_homes::on_ended(context, &ended),
-        Body::Query(query) => operator_fan_out::on_query(context, link, query),
+        Body::KeyEnded(ended) => claims::on_ended(context, &ended),
+        Body::Query(query) => fan_out::on_query(context, link, query),
         Body::QueryAnswer(answer) => context.queries.on_answer(peer, answer),
         // Between gateways only.
         Body::RecordsWanted(_) | Body::RecordsAnswer(_) => {}
--- a/src/modules/peer_links.rs
+++ b/src/modules/serve/peers/links.rs
@@ -1,7 +1,7 @@
 //! Connections between daemons: greeted, framed, one sending queue each.
 
-use crate::context::Context;
-use crate::modules::peer_frames;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::peers::frames;
 use bridgevane_events::{Event, event};
 use bridgevane_protocol::{Frame, FrameCodec, Hello, PROTOCOL_VERSION, Role, frame::Body, greet};
 use bridgevane_types::{DataCentreId, Incarnation, RequestId, ServiceName, VmId};
@@ -197,16 +197,16 @@
         tokio::select! {
             frame = receiver.recv() => {
                 let Some(frame) = frame else { return };
-                peer_frames::count(context, "sent", &frame);
-                peer_frames::note_sent(&frame, offers);
+                frames::count(context, "sent", &frame);
+                frames::note_sent(&frame, offers);
                 if frames.send(frame).await.is_err() {
                     return;
                 }
             }
             frame = frames.next() => {
                 let Some(Ok(frame)) = frame else { return };
-                peer_frames::count(context, "received", &frame);
-                peer_frames::handle(context, peer, link, frame, offers).await;
+                frames::count(context, "received", &frame);
+                frames::handle(context, peer, link, frame, offers).await;
             }
             () = tokio::time::sleep(idle) => return,
         }
--- a/src/modules/members.rs
+++ b/src/modules/serve/peers/members.rs
@@ -1,9 +1,9 @@
 //! The membership of this data centre: the pure part driven by time and by frames.
 
-use crate::context::Context;
-use crate::modules::config_relay;
-use crate::modules::leaving::LeavingSource;
-use crate::modules::peer_links::{LinkHandle, Peer};
+use crate::modules::serve::configuration::relay;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::leaving::LeavingSource;
+use crate::modules::serve::peers::links::{LinkHandle, Peer};
 use arc_swap::ArcSwap;
 use bridgevane_adapters::{VmEntry, VmList};
 use bridgevane_coordination::configs::MembershipConfig;
@@ -308,7 +308,7 @@
 
 /// Takes what a heartbeat tells; true when its sender is new here.
 fn take(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, heartbeat: &Heartbeat) -> bool {
-    config_relay::hear(context, link, heartbeat);
+    relay::hear(context, link, heartbeat);
     if peer.data_centre != context.config.data_centre {
         return false;
     }
--- a/src/modules/pool_actor.rs
+++ b/src/modules/serve/pools/actor.rs
@@ -1,11 +1,11 @@
 //! A pool as a task: messages in, orders out. No lock is held across a decision.
 
-use crate::context::Context;
-use crate::modules::config_in_force::InForce;
-use crate::modules::engine_link::EngineLink;
-use crate::modules::engine_poll;
-use crate::modules::pool_handle::{MAX_MESSAGES, PoolHandle, PoolMessage, PoolView};
-use crate::modules::pool_link::{NamedOffer, OrderSender, PoolOrder, PoolReport};
+use crate::modules::serve::configuration::in_force::InForce;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::pools::engine_link::EngineLink;
+use crate::modules::serve::pools::engine_poll;
+use crate::modules::serve::pools::handle::{MAX_MESSAGES, PoolHandle, PoolMessage, PoolView};
+use crate::modules::serve::pools::messages::{NamedOffer, OrderSender, PoolOrder, PoolReport};
 use bridgevane_adapters::{CacheChange, CacheEvent};
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
--- a/src/modules/pool_directory.rs
+++ b/src/modules/serve/pools/directory.rs
@@ -1,10 +1,10 @@
 //! The pools of all services on this VM.
 
-use crate::context::Context;
-use crate::modules::config_in_force::InForce;
-use crate::modules::engine_link::EngineLink;
-use crate::modules::pool_actor;
-use crate::modules::pool_handle::PoolHandle;
+use crate::modules::serve::configuration::in_force::InForce;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::pools::actor;
+use crate::modules::serve::pools::engine_link::EngineLink;
+use crate::modules::serve::pools::handle::PoolHandle;
 use arc_swap::ArcSwap;
 use bridgevane_types::{EndpointId, ServiceName};
 use std::collections::HashMap;
@@ -46,7 +46,7 @@
             match pools.get(name) {
                 Some(pool) => pool.reconfigure(in_force.clone()),
                 None => {
-                    let pool = pool_actor::spawn(context.clone(), name.clone(), in_force.clone());
+                    let pool = actor::spawn(context.clone(), name.clone(), in_force.clone());
                     pools.insert(name.clone(), pool);
                 }
             }
--- a/src/modules/engine_poll.rs
+++ b/src/modules/serve/pools/engine_poll.rs
@@ -1,8 +1,8 @@
 //! Reads load reports and cache events of a pool's engines.
 
-use crate::context::Context;
-use crate::modules::engine_link::EngineLink;
-use crate::modules::pool_handle::PoolMessage;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::pools::engine_link::EngineLink;
+use crate::modules::serve::pools::handle::PoolMessage;
 use bridgevane_adapters::{EngineCallError, LoadReport, ModelEngine, PlainCallError, PlainService};
 use bridgevane_config::ServiceKind;
 use bridgevane_events::{Event, event};
--- a/src/modules/pool_homes.rs
+++ b/src/modules/serve/pools/homes.rs
@@ -4,12 +4,12 @@
 //! be reached or doesn't answer at once, the request is decided here: own knowledge and
 //! lagged reports are worse than the home's, and better than none.
 
-use crate::context::Context;
-use crate::modules::peer_frames::request_of;
-use crate::modules::peer_links::{LinkHandle, OpenOffers, Peer};
-use crate::modules::pool_handle::PoolMessage;
-use crate::modules::pool_link::{NamedOffer, OrderSender, PoolOrder, PoolReport};
-use crate::modules::pool_wire::{
+use crate::modules::serve::context::Context;
+use crate::modules::serve::peers::frames::request_of;
+use crate::modules::serve::peers::links::{LinkHandle, OpenOffers, Peer};
+use crate::modules::serve::pools::handle::PoolMessage;
+use crate::modules::serve::pools::messages::{NamedOffer, OrderSender, PoolOrder, PoolReport};
+use crate::modules::serve::pools::wire::{
     code_of, offer_from_wire, offer_to_wire, outcome_of, report_from_wire, report_to_wire,
 };
 use bridgevane_decisions::{AttemptEnd, CancelCause};
--- a/src/modules/pool_link.rs
+++ b/src/modules/serve/pools/messages.rs
@@ -1,8 +1,8 @@
 //! What passes between a request and the pool that decides on it, wherever the pool is.
 
-use crate::modules::engine_link::EngineLink;
-use crate::modules::peer_links::LinkHandle;
-use crate::modules::pool_wire::order_to_wire;
+use crate::modules::serve::peers::links::LinkHandle;
+use crate::modules::serve::pools::engine_link::EngineLink;
+use crate::modules::serve::pools::wire::order_to_wire;
 use bridgevane_decisions::{AttemptEnd, CancelCause};
 use bridgevane_types::{
     AttemptNumber, ClassName, CustomerId, DurationMs, KindName, Outcome, RefusalCode, RequestId,
--- /dev/null
+++ b/src/modules/serve/pools/mod.rs
@@ -0,0 +1,10 @@
+//! The pools of each service's endpoints in this data centre, and which daemon decides on each.
+
+pub(crate) mod actor;
+pub(crate) mod directory;
+pub(crate) mod engine_link;
+pub(crate) mod engine_poll;
+pub(crate) mod handle;
+pub(crate) mod homes;
+pub(crate) mod messages;
+pub(crate) mod wire;
--- a/src/modules/pool_wire.rs
+++ b/src/modules/serve/pools/wire.rs
@@ -1,7 +1,7 @@
 //! Offers, orders and reports between a request and the home of its pool, as messages.
 
-use crate::modules::peer_frames::{request_bytes, request_of};
-use crate::modules::pool_link::{NamedOffer, PoolOrder, PoolReport};
+use crate::modules::serve::peers::frames::{request_bytes, request_of};
+use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport};
 use bridgevane_decisions::AttemptEnd;
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::{
--- a/src/modules/attempt_reports.rs
+++ b/src/modules/serve/requests/attempt_reports.rs
@@ -1,7 +1,7 @@
 //! When an attempt reports its progress to its pool.
 
 use crate::configs::serving::ServingConfig;
-use crate::modules::pool_link::PoolReport;
+use crate::modules::serve::pools::messages::PoolReport;
 use bridgevane_types::{AttemptNumber, TimeMs, Tokens};
 
 /// What an attempt has reported to its pool.
--- a/src/modules/caller.rs
+++ b/src/modules/serve/requests/caller.rs
@@ -1,8 +1,8 @@
 //! Who calls: the customer behind a bearer key, under the configuration in force.
 
-use crate::context::Context;
-use crate::modules::config_in_force::InForce;
-use crate::modules::refusal::{BadRequest, Refusal};
+use crate::modules::serve::configuration::in_force::InForce;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::requests::refusal::{BadRequest, Refusal};
 use axum::body::{Body, Bytes};
 use axum::http::{HeaderMap, header};
 use bridgevane_config::ClassConfig;
--- a/src/modules/callers.rs
+++ b/src/modules/serve/requests/callers.rs
@@ -1,14 +1,14 @@
 //! The callers' HTTP interface.
 
-use crate::context::Context;
-use crate::modules::caller::{identify, read_body};
-use crate::modules::chat_format::{AnswerFormat, ModelCall, Shape};
-use crate::modules::key_homes::KeyedCall;
-use crate::modules::model_request::{self, CallerEvent, ModelRequest};
-use crate::modules::plain_request::{self, PlainRequest};
-use crate::modules::pool_link::NamedOffer;
-use crate::modules::refusal::{BadRequest, Refusal, header_value};
-use crate::modules::targets::Targets;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::keys::claims::KeyedCall;
+use crate::modules::serve::pools::messages::NamedOffer;
+use crate::modules::serve::requests::caller::{identify, read_body};
+use crate::modules::serve::requests::chat_format::{AnswerFormat, ModelCall, Shape};
+use crate::modules::serve::requests::model_request::{self, CallerEvent, ModelRequest};
+use crate::modules::serve::requests::plain_request::{self, PlainRequest};
+use crate::modules::serve::requests::refusal::{BadRequest, Refusal, header_value};
+use crate::modules::serve::requests::targets::Targets;
 use axum::body::{Body, Bytes};
 use axum::extract::{Path, Request, State};
 use axum::http::{HeaderMap, StatusCode, header};
--- /dev/null
+++ b/src/modules/serve/requests/mod.rs
@@ -0,0 +1,10 @@
+//! What callers send and read: one request's way from its HTTP call to its answer.
+
+pub(crate) mod attempt_reports;
+pub(crate) mod caller;
+pub mod callers;
+pub(crate) mod chat_format;
+pub(crate) mod model_request;
+pub(crate) mod plain_request;
+pub(crate) mod refusal;
+pub(crate) mod targets;
--- a/src/modules/model_request.rs
+++ b/src/modules/serve/requests/model_request.rs
@@ -4,13 +4,13 @@
 //! continues exactly where the caller's text ends; late, repeated and crossed pieces are
 //! dropped, a gap ends the attempt.
 
-use crate::context::Context;
-use crate::modules::attempt_reports::Reported;
-use crate::modules::burn::Ended;
-use crate::modules::engine_link::EngineLink;
-use crate::modules::pool_link::{NamedOffer, OrderReceiver, PoolOrder, PoolReport};
-use crate::modules::refusal::Refusal;
-use crate::modules::targets::Targets;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::observation::burn::Ended;
+use crate::modules::serve::pools::engine_link::EngineLink;
+use crate::modules::serve::pools::messages::{NamedOffer, OrderReceiver, PoolOrder, PoolReport};
+use crate::modules::serve::requests::attempt_reports::Reported;
+use crate::modules::serve::requests::refusal::Refusal;
+use crate::modules::serve::requests::targets::Targets;
 use bridgevane_adapters::{
     EndReason, EngineCallError, GenerateCall, ModelEngine, Piece, PieceEvent,
 };
--- a/src/modules/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -1,11 +1,11 @@
 //! One call of a plain service from offer to final answer.
 
-use crate::context::Context;
-use crate::modules::burn::Ended;
-use crate::modules::key_homes::{self, ClaimAnswer, KeyedCall};
-use crate::modules::pool_link::{NamedOffer, OrderReceiver, PoolOrder, PoolReport};
-use crate::modules::refusal::{BadRequest, Refusal};
-use crate::modules::targets::Targets;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::keys::claims::{self, ClaimAnswer, KeyedCall};
+use crate::modules::serve::observation::burn::Ended;
+use crate::modules::serve::pools::messages::{NamedOffer, OrderReceiver, PoolOrder, PoolReport};
+use crate::modules::serve::requests::refusal::{BadRequest, Refusal};
+use crate::modules::serve::requests::targets::Targets;
 use axum::http::StatusCode;
 use bridgevane_adapters::{PlainAnswer, PlainCall, PlainCallError, PlainService};
 use bridgevane_coordination::{KeyEnd, StoredAnswer, Verdict};
@@ -41,7 +41,7 @@
     match context.keys.claim(&context, key).await {
         ClaimAnswer::Run(let_run) => {
             let result = run_once(&context, request).await;
-            key_homes::end(&context, &let_run, key_end(&result));
+            claims::end(&context, &let_run, key_end(&result));
             result
         }
         ClaimAnswer::Not(Verdict::Done(answer)) => Ok(given_again(answer)),
--- a/src/modules/rollouts.rs
+++ b/src/modules/serve/rollouts.rs
@@ -4,10 +4,10 @@
 //! the state is stored before its orders are given, so that another daemon carries it on.
 //! The holder looks at its own deadline right before each order.
 
-use crate::context::Context;
-use crate::modules::operator_fan_out;
-use crate::modules::operator_rows::{self, Row};
-use crate::modules::query_language::Table;
+use crate::modules::serve::context::Context;
+use crate::modules::serve::operators::fan_out;
+use crate::modules::serve::operators::query_language::Table;
+use crate::modules::serve::operators::rows::{self, Row};
 use bridgevane_adapters::{
     FencedOrder, KeyValue, KvCas, KvError, LeaseId, ModelEngine, Order, OrderReply, Revision,
     WeightStore,
@@ -33,7 +33,7 @@
 /// Pause after a failure, so that the platform isn't asked without end.
 const FAILURE_PAUSE: Duration = Duration::from_millis(2_000);
 /// The window of the burn rate that holds a rollout back.
-const BURN_WINDOW: DurationMs = operator_rows::BURN_WINDOWS[0];
+const BURN_WINDOW: DurationMs = rows::BURN_WINDOWS[0];
 
 /// Why a rollout can't go on now.
 #[derive(Clone, Debug, Display, Error, From)]
@@ -324,8 +324,8 @@
 
     /// The highest burn rate of all classes, over the whole data centre.
     async fn burn(&self) -> f64 {
-        let answer = operator_fan_out::ask_all(self.context, "show burn").await;
-        let rows = operator_rows::merge(self.context, Table::Burn, answer.rows);
+        let answer = fan_out::ask_all(self.context, "show burn").await;
+        let rows = rows::merge(self.context, Table::Burn, answer.rows);
         let is_recent =
             |row: &&Row| row.get("window_ms").and_then(Value::as_u64) == Some(BURN_WINDOW.0);
         let burns = rows
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,6 +1,6 @@
 //! The documents say what the code does.
 
-use bridgevane::modules::query_language::parse;
+use bridgevane::modules::serve::operators::query_language::parse;
 use bridgevane_events::Event;
 use expect_test::expect;
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -255,7 +255,7 @@
     engines: &[(String, SocketAddr)],
     plain: &[(String, SocketAddr)],
 ) -> String {
-    let digest = bridgevane::modules::config_in_force::key_digest(CUSTOMER_KEY);
+    let digest = bridgevane::modules::serve::configuration::in_force::key_digest(CUSTOMER_KEY);
     let workers = |service: &str, placed: &[(String, SocketAddr)]| -> String {
         let worker = |(at, (data_centre, address)): (usize, &(String, SocketAddr))| {
             format!(
