--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,58 +1,43 @@
-//! Checks of the document, each problem with its place and what would be right.
+//! Reading and checking the document: what the format alone can't express.
 
 use crate::document::{Document, ServiceKind};
-use derive_more::{Display, Error};
+use crate::problem::{ConfigProblem, ConfigProblems};
 use std::collections::BTreeMap;
 
-/// The sum of all minimum shares must leave this part of a pool to the order by tier.
+/// The most that all minimum shares may add up to: the rest of a pool goes by tier. Not measured, chosen because more would
+/// turn the order by tier round.
 const MAX_SHARE_SUM: f64 = 0.5;
-/// Hex digits of a key digest.
+/// Hex digits of a key digest, from its 128 bits.
 const DIGEST_LEN: usize = 32;
 
-/// One problem of a document.
-#[derive(Clone, Debug, Display, PartialEq, Eq)]
-#[display("{place}: {what}; {remedy}")]
-pub struct ConfigProblem {
-    /// Where: a line and column, or the path of the field.
-    pub place: String,
-    /// What is wrong.
-    pub what: String,
-    /// What would be right.
-    pub remedy: String,
-}
-
-/// All problems of a document.
-#[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{}", problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
-pub struct ConfigProblems {
-    /// The problems, in the document's order.
-    pub problems: Vec<ConfigProblem>,
-}
-
-impl ConfigProblem {
-    fn new(place: String, what: String, remedy: impl Into<String>) -> Self {
-        Self {
-            place,
-            what,
-            remedy: remedy.into(),
-        }
+impl Document {
+    /// Reads and checks `text`.
+    ///
+    /// # Errors
+    /// Every problem found: where it is, what it is, and what would be right.
+    pub fn parse(text: &str) -> Result<Self, ConfigProblems> {
+        let document: Document = toml::from_str(text).map_err(|error| ConfigProblems {
+            problems: vec![ConfigProblem::from_toml(text, &error)],
+        })?;
+        document.check()?;
+        Ok(document)
     }
 
-    pub(crate) fn from_toml(text: &str, error: &toml::de::Error) -> Self {
-        let offset = error.span().map_or(0, |span| span.start).min(text.len());
-        let before = &text[..offset];
-        let line = before.matches('\n').count() + 1;
-        let column = before.len() - before.rfind('\n').map_or(0, |at| at + 1) + 1;
-        Self::new(
-            format!("line {line}, column {column}"),
-            error.message().replace('\n', " "),
-            "see docs/CONFIGURATION.md for the fields of each table",
-        )
+    /// Checks what the format alone can't express.
+    ///
+    /// # Errors
+    /// Every problem found.
+    pub fn check(&self) -> Result<(), ConfigProblems> {
+        let problems = problems(self);
+        if problems.is_empty() {
+            return Ok(());
+        }
+        Err(ConfigProblems { problems })
     }
 }
 
 /// Every problem of `document`.
-pub(crate) fn problems(document: &Document) -> Vec<ConfigProblem> {
+fn problems(document: &Document) -> Vec<ConfigProblem> {
     let mut found = Vec::new();
     check_classes(document, &mut found);
     check_customers(document, &mut found);
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,6 +1,5 @@
 //! The typed document.
 
-use crate::check::{self, ConfigProblem, ConfigProblems};
 use bridgevane_types::{
     ClassName, CustomerId, DataCentreId, DurationMs, EndpointId, KindName, ModelName, ServiceName,
     Share, Slots, Tier, Tokens, TokensPerSecond,
@@ -185,30 +184,6 @@
 }
 
 impl Document {
-    /// Reads and checks `text`.
-    ///
-    /// # Errors
-    /// Every problem found: where it is, what it is, and what would be right.
-    pub fn parse(text: &str) -> Result<Self, ConfigProblems> {
-        let document: Document = toml::from_str(text).map_err(|error| ConfigProblems {
-            problems: vec![ConfigProblem::from_toml(text, &error)],
-        })?;
-        document.check()?;
-        Ok(document)
-    }
-
-    /// Checks what the format alone can't express.
-    ///
-    /// # Errors
-    /// Every problem found.
-    pub fn check(&self) -> Result<(), ConfigProblems> {
-        let problems = check::problems(self);
-        if problems.is_empty() {
-            return Ok(());
-        }
-        Err(ConfigProblems { problems })
-    }
-
     /// The service whose engines serve `model`.
     pub fn service_of_model(&self, model: &str) -> Option<(&ServiceName, &ServiceConfig)> {
         self.service
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -8,11 +8,12 @@
 mod delta;
 mod document;
 mod envelope;
+mod problem;
 
-pub use check::{ConfigProblem, ConfigProblems};
 pub use delta::{Delta, DeltaError, SectionChange, Sections};
 pub use document::{
     ClassConfig, CustomerConfig, Document, EngineConfig, KindConfig, RolloutConfig, RouteConfig,
     ServiceConfig, ServiceKind,
 };
 pub use envelope::{AcceptedOperation, Envelope, EnvelopeError, OperationStatus};
+pub use problem::{ConfigProblem, ConfigProblems};
--- /dev/null
+++ b/crates/config/src/problem.rs
@@ -0,0 +1,45 @@
+//! What is wrong with a document: every problem with its place and what would be right.
+
+use derive_more::{Display, Error};
+
+/// One problem of a document.
+#[derive(Clone, Debug, Display, PartialEq, Eq)]
+#[display("{place}: {what}; {remedy}")]
+pub struct ConfigProblem {
+    /// Where: a line and column, or the path of the field.
+    pub place: String,
+    /// What is wrong.
+    pub what: String,
+    /// What would be right.
+    pub remedy: String,
+}
+
+/// All problems of a document.
+#[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
+#[display("{}", problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
+pub struct ConfigProblems {
+    /// The problems, in the document's order.
+    pub problems: Vec<ConfigProblem>,
+}
+
+impl ConfigProblem {
+    pub(crate) fn new(place: String, what: String, remedy: impl Into<String>) -> Self {
+        Self {
+            place,
+            what,
+            remedy: remedy.into(),
+        }
+    }
+
+    pub(crate) fn from_toml(text: &str, error: &toml::de::Error) -> Self {
+        let offset = error.span().map_or(0, |span| span.start).min(text.len());
+        let before = &text[..offset];
+        let line = before.matches('\n').count() + 1;
+        let column = before.len() - before.rfind('\n').map_or(0, |at| at + 1) + 1;
+        Self::new(
+            format!("line {line}, column {column}"),
+            error.message().replace('\n', " "),
+            "see docs/CONFIGURATION.md for the fields of each table",
+        )
+    }
+}
--- a/src/commands/ask.rs
+++ b/src/commands/ask.rs
@@ -4,9 +4,9 @@
     ClientError, DaemonAnswer, OperatorClient, run_to_exit_code,
 };
 use crate::commands::{exit, say};
-use crate::modules::serve::operators::fan_out::Answer;
 use crate::modules::serve::operators::interface::Ask;
-use crate::modules::serve::operators::rows::Row;
+use crate::modules::serve::operators::queries::Answer;
+use crate::modules::serve::operators::row::Row;
 use argh::FromArgs;
 use bridgevane_types::{ConfigVersion, OperationId};
 use comfy_table::{Table, presets};
--- a/src/commands/report.rs
+++ b/src/commands/report.rs
@@ -2,9 +2,9 @@
 
 use crate::commands::operator_client::{ClientError, OperatorClient, run_to_exit_code};
 use crate::commands::{ask, exit, report_page, say};
-use crate::modules::serve::operators::fan_out::Answer;
 use crate::modules::serve::operators::interface::Ask;
-use crate::modules::serve::operators::rows::Row;
+use crate::modules::serve::operators::queries::Answer;
+use crate::modules::serve::operators::row::without_histograms;
 use argh::FromArgs;
 use std::io::IsTerminal;
 use std::net::SocketAddr;
@@ -68,16 +68,3 @@
     }
     Ok(exit::OK)
 }
-
-/// The rows without the fields that are only there to be added up.
-pub fn without_histograms(rows: &[Row]) -> Vec<Row> {
-    let kept = |row: &Row| Row {
-        fields: row
-            .fields
-            .iter()
-            .filter(|field| field.name != "first_tokens")
-            .cloned()
-            .collect(),
-    };
-    rows.iter().map(kept).collect()
-}
--- a/src/commands/report_page.rs
+++ b/src/commands/report_page.rs
@@ -1,8 +1,7 @@
 //! The report as one HTML page with its plots inside.
 
-use crate::commands::report::without_histograms;
-use crate::modules::serve::operators::fan_out::Answer;
-use crate::modules::serve::operators::rows::Row;
+use crate::modules::serve::operators::queries::Answer;
+use crate::modules::serve::operators::row::{Row, without_histograms};
 use plotters::prelude::*;
 use serde_json::Value;
 
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -10,11 +10,11 @@
 use crate::modules::serve::context::Context;
 use crate::modules::serve::leaving::LeavingSource;
 use crate::modules::serve::operators::interface;
-use crate::modules::serve::peers::links;
-use crate::modules::serve::peers::members;
+use crate::modules::serve::peers::connections;
+use crate::modules::serve::peers::membership;
 use crate::modules::serve::pools::homes;
 use crate::modules::serve::requests::callers;
-use crate::modules::serve::rollouts;
+use crate::modules::serve::rollouts::carry_out;
 use argh::FromArgs;
 use bridgevane_events::{Event, event};
 use bridgevane_types::Incarnation;
@@ -112,7 +112,7 @@
     let context = start(config, incarnation).await?;
     signals::wait_for_stop().await?;
     context.leaving.begin(LeavingSource::StopSignal);
-    context.members.set_leaving(&context, true);
+    membership::set_leaving(&context, true);
     event!(Event::Stopping, in_progress = context.leaving.in_progress());
     let drain = context.config.serving.drain_ms.as_std();
     // Past the longest drain the process ends; the platform would have ended it before.
@@ -136,11 +136,12 @@
     config.operator_address = operators.local_addr()?;
     let peers = http_serve::listen(config.peers.address).await?;
     config.peers.address = peers.local_addr()?;
-    let context = Context::new(config, incarnation);
-    tokio::spawn(links::accept(context.clone(), peers));
-    tokio::spawn(members::run(context.clone()));
+    let (context, dials) = Context::new(config, incarnation);
+    tokio::spawn(connections::dial_all(context.clone(), dials));
+    tokio::spawn(connections::accept(context.clone(), peers));
+    tokio::spawn(membership::run(context.clone()));
     tokio::spawn(homes::run(context.clone()));
-    tokio::spawn(rollouts::run(context.clone()));
+    tokio::spawn(carry_out::run(context.clone()));
     tokio::spawn(http_serve::serve(
         operators,
         interface::router(context.clone()),
--- a/src/modules/serve/configuration/change.rs
+++ b/src/modules/serve/configuration/change.rs
@@ -4,8 +4,8 @@
 //! operation may be sent again. Changes of different sections are carried out one after the
 //! other; of two changes of the same section one wins, the other is told what changed.
 
+use crate::modules::serve::configuration::accept;
 use crate::modules::serve::configuration::follow::CONFIG_KEY;
-use crate::modules::serve::configuration::relay;
 use crate::modules::serve::context::Context;
 use crate::modules::serve::operators::query_language::{Operand, Statement, Target};
 use bridgevane_adapters::{KeyValue, KvCas, KvError, Revision};
@@ -179,7 +179,7 @@
         operation = proposal.operation_id,
         version = version,
     );
-    relay::accept_document(context, version, next.document);
+    accept::accept_document(context, version, next.document);
     Decided::TookEffect { version }
 }
 
@@ -195,7 +195,7 @@
     };
     match read.envelope.status_of(&proposal.operation_id, base) {
         OperationStatus::TookEffect(version) => {
-            relay::accept_document(context, read.envelope.version, read.envelope.document);
+            accept::accept_document(context, read.envelope.version, read.envelope.document);
             Ok(Decided::TookEffect { version })
         }
         // The write may still be on its way: it can't be ruled out here.
--- a/src/modules/serve/configuration/follow.rs
+++ b/src/modules/serve/configuration/follow.rs
@@ -1,8 +1,7 @@
 //! Follows the configuration in the platform's key-value service, where this daemon is one
 //! of its data centre's watchers. The others get it from their peers.
 
-use crate::modules::serve::configuration::in_force::InForce;
-use crate::modules::serve::configuration::relay;
+use crate::modules::serve::configuration::accept;
 use crate::modules::serve::context::Context;
 use bridgevane_adapters::{KeyValue, KvValue, Revision};
 use bridgevane_config::Envelope;
@@ -22,7 +21,7 @@
 pub async fn run(context: Arc<Context>) {
     let mut after = Revision(0);
     loop {
-        let is_due = context.members.is_watcher(&context) && context.replica.may_call(&context);
+        let is_due = context.members.is_watcher() && context.replica.may_call(context.now());
         if !is_due {
             tokio::time::sleep(LOOK_EVERY).await;
             continue;
@@ -37,7 +36,7 @@
                 }
                 context.replica.note_contact();
             }
-            Err(error) => context.replica.call_failed(&context, &error),
+            Err(error) => context.replica.call_failed(context.now(), &error),
         }
     }
 }
@@ -45,20 +44,8 @@
 fn take(context: &Arc<Context>, value: &KvValue) {
     match Envelope::parse(&value.text) {
         Ok(envelope) => {
-            relay::accept_document(context, envelope.version, envelope.document);
+            accept::accept_document(context, envelope.version, envelope.document);
         }
         Err(error) => event!(Event::ConfigRejected, cause = error),
     }
 }
-
-/// Puts a version in force if it is newer, and tells the pools.
-pub fn put_in_force(context: &Arc<Context>, next: InForce) {
-    let version = next.version;
-    if !context.in_force.advance(next) {
-        return;
-    }
-    event!(Event::ConfigInForce, version = version);
-    if let Some(in_force) = context.in_force.load() {
-        context.pools.follow(context, &in_force);
-    }
-}
--- a/src/modules/serve/context.rs
+++ b/src/modules/serve/context.rs
@@ -1,23 +1,26 @@
-//! What every module of the daemon shares, handed down instead of globals.
+//! The state of `serve`: one owner a concern, handed down instead of globals.
+//!
+//! It knows the owners; no owner knows it. What acts on them (the modules that take a context) uses each other one way only.
 
 use crate::configs::serve::ServeConfig;
 use crate::modules::serve::configuration::in_force::ConfigInForce;
-use crate::modules::serve::configuration::relay::Replica;
-use crate::modules::serve::keys::claims::KeyHomes;
+use crate::modules::serve::configuration::replica::Replica;
+use crate::modules::serve::keys::key_homes::KeyHomes;
 use crate::modules::serve::leaving::Leaving;
 use crate::modules::serve::observation::burn::Burn;
 use crate::modules::serve::observation::metrics::Metrics;
-use crate::modules::serve::operators::fan_out::Queries;
-use crate::modules::serve::peers::links::PeerLinks;
+use crate::modules::serve::operators::queries::Queries;
+use crate::modules::serve::peers::links::{Dial, PeerLinks};
 use crate::modules::serve::peers::members::Members;
 use crate::modules::serve::pools::directory::PoolDirectory;
-use crate::modules::serve::pools::homes::PoolHomes;
-use crate::modules::serve::rollouts::Rollouts;
+use crate::modules::serve::pools::remote_requests::RemoteRequests;
+use crate::modules::serve::rollouts::held::Rollouts;
 use bridgevane_adapters::HttpPlatform;
 use bridgevane_coordination::KeyMember;
 use bridgevane_types::{Incarnation, RequestId, TimeMs};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
+use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::Instant;
 
 /// The daemon's shared state. Everything behind it is read without locks on the path of a
@@ -38,7 +41,7 @@
     /// Connections to other daemons.
     pub links: PeerLinks,
     /// Requests that other daemons decide on.
-    pub homes: PoolHomes,
+    pub homes: RemoteRequests,
     /// Idempotency keys.
     pub keys: KeyHomes,
     /// Rollouts that this daemon carries out.
@@ -58,21 +61,25 @@
 }
 
 impl Context {
-    /// The state of a daemon that has just started.
-    pub fn new(config: ServeConfig, incarnation: Incarnation) -> Arc<Self> {
+    /// The state of a daemon that has just started, and the connections to daemons that it will ask for.
+    pub fn new(
+        config: ServeConfig,
+        incarnation: Incarnation,
+    ) -> (Arc<Self>, UnboundedReceiver<Dial>) {
+        let (links, dials) = PeerLinks::new();
         let seed = incarnation.0 ^ xxhash_rust::xxh3::xxh3_64(config.vm.as_str().as_bytes());
         let own = KeyMember {
             vm: config.vm.clone(),
             incarnation,
         };
-        Arc::new(Self {
+        let context = Arc::new(Self {
             platform: HttpPlatform::new(config.platform_address),
             in_force: ConfigInForce::default(),
             pools: PoolDirectory::default(),
             replica: Replica::new(seed),
             members: Members::new(config.vm.clone(), config.peers.address, incarnation),
-            links: PeerLinks::default(),
-            homes: PoolHomes::default(),
+            links,
+            homes: RemoteRequests::default(),
             keys: KeyHomes::new(own, TimeMs(0)),
             rollouts: Rollouts::default(),
             queries: Queries::default(),
@@ -83,7 +90,8 @@
             started: Instant::now(),
             next_request: AtomicU64::new(0),
             config,
-        })
+        });
+        (context, dials)
     }
 
     /// Now, as the pure parts see it.
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -1,24 +1,21 @@
 //! Idempotency keys between daemons: the home of a key says whether its call may run.
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::peers::frames::{request_bytes, request_of};
+use crate::modules::serve::keys::key_homes::{ClaimAnswer, KeyedCall, LetRun};
 use crate::modules::serve::peers::links::{LinkHandle, Peer};
+use crate::modules::serve::peers::request_on_wire::{request_bytes, request_of};
 use bridgevane_adapters::{KeyValue, KvCas, KvError};
-use bridgevane_coordination::configs::KeyRegistryConfig;
-use bridgevane_coordination::{
-    Claim, KeyEnd, KeyMember, KeyRegistry, StoredAnswer, Verdict, home_of,
-};
+use bridgevane_coordination::{Claim, KeyEnd, StoredAnswer, Verdict, home_of};
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::key_verdict::Verdict as WireCode;
 use bridgevane_protocol::{KeyClaim, KeyEnded, KeyVerdict};
-use bridgevane_types::{CustomerId, IdempotencyKey, RequestId, ServiceName, TimeMs, VmId};
+use bridgevane_types::{CustomerId, IdempotencyKey, ServiceName, VmId};
 use bytes::Bytes;
-use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
 use std::time::Duration;
-use tokio::sync::{OnceCell, oneshot};
+use tokio::sync::oneshot;
 
 /// How long a home may take to answer a claim.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -31,147 +28,49 @@
 /// Pause between two of these.
 const END_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// A keyed call, as its daemon knows it.
-#[derive(Clone, Debug)]
-pub struct KeyedCall {
-    /// Service.
-    pub service: ServiceName,
-    /// Customer.
-    pub customer: CustomerId,
-    /// The caller's key.
-    pub key: IdempotencyKey,
-    /// The request.
-    pub request: RequestId,
-    /// Digest of method, path and body.
-    pub call_digest: u64,
-}
-
-impl KeyedCall {
-    /// The key's name among all that have homes; customers can't reach each other's.
-    fn home_key(&self) -> String {
-        format!("key/{}/{}/{}", self.service, self.customer, self.key)
-    }
-}
-
-/// A call that was let run: its end must be told to the home that let it.
-#[derive(Clone, Debug)]
-pub struct LetRun {
-    call: KeyedCall,
-    /// The home; none: this daemon.
-    home: Option<SocketAddr>,
-}
-
-/// What the home of a key said.
-#[derive(Clone, Debug)]
-pub enum ClaimAnswer {
-    /// Run it, and tell how it ended.
-    Run(LetRun),
-    /// Don't.
-    Not(Verdict),
-}
-
-/// Keys whose home this daemon is, and claims that wait for other homes.
-pub struct KeyHomes {
-    registry: Mutex<KeyRegistry>,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<KeyVerdict>>>,
-    next_claim: AtomicU64,
-    /// Whether this data centre has had daemons before, once that was asked.
-    had_daemons: OnceCell<bool>,
-}
-
-impl KeyHomes {
-    /// No key yet.
-    pub fn new(own: KeyMember, now: TimeMs) -> Self {
-        let config = KeyRegistryConfig::default();
-        Self {
-            registry: Mutex::new(KeyRegistry::new(config, own, now)),
-            waiting: Mutex::default(),
-            next_claim: AtomicU64::new(0),
-            had_daemons: OnceCell::new(),
-        }
-    }
-
-    fn registry(&self) -> MutexGuard<'_, KeyRegistry> {
-        self.registry.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    fn waiting(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<KeyVerdict>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// A daemon was lost.
-    pub fn member_lost(&self, now: TimeMs, vm: &VmId) {
-        self.registry().member_lost(now, vm);
-    }
-
-    /// The platform's list came.
-    pub fn listed(&self, now: TimeMs, listed: &[VmId]) {
-        self.registry().listed(now, listed);
-    }
-
-    /// Keys that are remembered here.
-    pub fn len(&self) -> usize {
-        self.registry().len()
-    }
-
-    /// Whether no key is remembered here.
-    pub fn is_empty(&self) -> bool {
-        self.registry().is_empty()
-    }
-
-    /// Asks the key's home whether the call may run.
-    pub async fn claim(&self, context: &Arc<Context>, call: KeyedCall) -> ClaimAnswer {
-        for _ in 0..NOT_HOME_TRIES {
-            let home = context.members.remote_home(context, &call.home_key());
-            let Some((_, address)) = home else {
-                let verdict = decide(context, claim_of(context, &call)).await;
-                return answer(verdict, call, None);
-            };
-            match self.ask(context, address, &call, false).await {
-                Some(verdict) if verdict.verdict() == WireCode::NotHome => {
-                    tokio::time::sleep(NOT_HOME_PAUSE).await;
-                }
-                Some(verdict) => return answer(from_wire(&verdict), call, Some(address)),
-                None => break,
+/// Asks the key's home whether the call may run.
+pub async fn claim(context: &Arc<Context>, call: KeyedCall) -> ClaimAnswer {
+    for _ in 0..NOT_HOME_TRIES {
+        let home = context.members.remote_home(&call.home_key());
+        let Some((_, address)) = home else {
+            let verdict = decide(context, claim_of(context, &call)).await;
+            return answer(verdict, call, None);
+        };
+        match ask(context, address, &call, false).await {
+            Some(verdict) if verdict.verdict() == WireCode::NotHome => {
+                tokio::time::sleep(NOT_HOME_PAUSE).await;
             }
+            Some(verdict) => return answer(from_wire(&verdict), call, Some(address)),
+            None => break,
         }
-        // Nobody who knows could be asked: the key may have run before.
-        ClaimAnswer::Not(Verdict::Unknown)
-    }
-
-    /// Asks another daemon about a key; none: it doesn't answer.
-    async fn ask(
-        &self,
-        context: &Arc<Context>,
-        address: SocketAddr,
-        call: &KeyedCall,
-        is_asked_before: bool,
-    ) -> Option<KeyVerdict> {
-        let claim = self.next_claim.fetch_add(1, Ordering::Relaxed);
-        let (sender, receiver) = oneshot::channel();
-        self.waiting().insert(claim, sender);
-        let frame = Body::KeyClaim(KeyClaim {
-            claim,
-            service: call.service.to_string(),
-            customer: call.customer.to_string(),
-            key: call.key.to_string(),
-            request: request_bytes(call.request),
-            call_digest: call.call_digest,
-            is_asked_before,
-        });
-        context.links.to(context, address).send(frame);
-        let verdict = tokio::time::timeout(ANSWER_TIMEOUT, receiver).await;
-        self.waiting().remove(&claim);
-        verdict.ok()?.ok()
     }
+    // Nobody who knows could be asked: the key may have run before.
+    ClaimAnswer::Not(Verdict::Unknown)
+}
 
-    /// A home has answered.
-    pub fn on_verdict(&self, verdict: &KeyVerdict) {
-        if let Some(waiting) = self.waiting().remove(&verdict.claim) {
-            // Who asked may have given up.
-            let _ = waiting.send(verdict.clone());
-        }
-    }
+/// Asks another daemon about a key; none: it doesn't answer.
+async fn ask(
+    context: &Arc<Context>,
+    address: SocketAddr,
+    call: &KeyedCall,
+    is_asked_before: bool,
+) -> Option<KeyVerdict> {
+    let claim = context.keys.next_claim.fetch_add(1, Ordering::Relaxed);
+    let (sender, receiver) = oneshot::channel();
+    context.keys.waiting().insert(claim, sender);
+    let frame = Body::KeyClaim(KeyClaim {
+        claim,
+        service: call.service.to_string(),
+        customer: call.customer.to_string(),
+        key: call.key.to_string(),
+        request: request_bytes(call.request),
+        call_digest: call.call_digest,
+        is_asked_before,
+    });
+    context.links.to(address).send(frame);
+    let verdict = tokio::time::timeout(ANSWER_TIMEOUT, receiver).await;
+    context.keys.waiting().remove(&claim);
+    verdict.ok()?.ok()
 }
 
 fn answer(verdict: Verdict, call: KeyedCall, home: Option<SocketAddr>) -> ClaimAnswer {
@@ -215,7 +114,7 @@
     let (Some(address), Some(call)) = (address, keyed_call_of(claim)) else {
         return Verdict::Unknown;
     };
-    let told = context.keys.ask(context, address, &call, true).await;
+    let told = ask(context, address, &call, true).await;
     told.map_or(Verdict::Unknown, |verdict| from_wire(&verdict))
 }
 
@@ -360,11 +259,7 @@
     let context = context.clone();
     tokio::spawn(async move {
         for _ in 0..END_TRIES {
-            if context
-                .links
-                .to(&context, address)
-                .send(Body::KeyEnded(wire.clone()))
-            {
+            if context.links.to(address).send(Body::KeyEnded(wire.clone())) {
                 return;
             }
             tokio::time::sleep(END_PAUSE).await;
--- a/src/modules/serve/operators/fan_out.rs
+++ b/src/modules/serve/operators/fan_out.rs
@@ -2,18 +2,20 @@
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::leaving::LeavingSource;
+use crate::modules::serve::operators::queries::Answer;
 use crate::modules::serve::operators::query_language::{self, Statement};
-use crate::modules::serve::operators::rows::{self, Row};
-use crate::modules::serve::peers::links::{LinkHandle, Peer};
+use crate::modules::serve::operators::row::Row;
+use crate::modules::serve::operators::rows;
+use crate::modules::serve::peers::links::LinkHandle;
+use crate::modules::serve::peers::membership;
 use bridgevane_coordination::MemberState;
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::{Query, QueryAnswer};
 use bridgevane_types::VmId;
 use bytes::Bytes;
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeSet, HashMap};
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
@@ -23,52 +25,6 @@
 /// Answers that wait to be read.
 const MAX_ANSWERS: usize = 1_024;
 
-/// What one daemon answered.
-struct PartAnswer {
-    vm: VmId,
-    rows: Vec<Row>,
-    error: String,
-}
-
-/// Statements that wait for answers.
-#[derive(Default)]
-pub struct Queries {
-    waiting: Mutex<HashMap<u64, mpsc::Sender<PartAnswer>>>,
-    next: AtomicU64,
-}
-
-/// What the data centre answered.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
-    /// Rows of all that answered.
-    pub rows: Vec<Row>,
-    /// VMs that answered.
-    pub answered: Vec<VmId>,
-    /// VMs that should have answered and did not: the rows are a part of the whole.
-    pub missing: Vec<VmId>,
-    /// What went wrong, if anything.
-    pub error: Option<String>,
-}
-
-impl Queries {
-    fn waiting(&self) -> MutexGuard<'_, HashMap<u64, mpsc::Sender<PartAnswer>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// A daemon has answered.
-    pub fn on_answer(&self, peer: &Peer, answer: QueryAnswer) {
-        let part = PartAnswer {
-            vm: peer.vm.clone(),
-            rows: serde_json::from_slice(&answer.rows).unwrap_or_default(),
-            error: answer.error,
-        };
-        if let Some(sender) = self.waiting().get(&answer.query) {
-            // Who asked may have stopped listening.
-            let _ = sender.try_send(part);
-        }
-    }
-}
-
 /// Asks every daemon of the data centre, this one included.
 pub async fn ask_all(context: &Arc<Context>, text: &str) -> Answer {
     let query = context.queries.next.fetch_add(1, Ordering::Relaxed);
@@ -83,7 +39,7 @@
             query,
             text: text.to_owned(),
         });
-        context.links.to(context, address).send(frame);
+        context.links.to(address).send(frame);
         expected.insert(vm);
     }
     let mut answer = Answer::default();
@@ -170,9 +126,7 @@
     } else {
         context.leaving.undrain();
     }
-    context
-        .members
-        .set_leaving(context, context.leaving.is_leaving());
+    membership::set_leaving(context, context.leaving.is_leaving());
     let row = Row::default()
         .with("vm", vm.as_str())
         .with("leaving", context.leaving.is_leaving())
--- a/src/modules/serve/operators/interface.rs
+++ b/src/modules/serve/operators/interface.rs
@@ -2,9 +2,11 @@
 
 use crate::modules::serve::configuration::change::{self, Change, ChangeError, Decided, Proposal};
 use crate::modules::serve::context::Context;
-use crate::modules::serve::operators::fan_out::{self, Answer};
+use crate::modules::serve::operators::fan_out;
+use crate::modules::serve::operators::queries::Answer;
 use crate::modules::serve::operators::query_language::{self, Statement, Table};
-use crate::modules::serve::operators::rows::{self, Row};
+use crate::modules::serve::operators::row::Row;
+use crate::modules::serve::operators::rows;
 use axum::extract::{DefaultBodyLimit, State};
 use axum::http::{HeaderMap, StatusCode, header};
 use axum::response::{IntoResponse, Response};
--- a/src/modules/serve/operators/rows.rs
+++ b/src/modules/serve/operators/rows.rs
@@ -2,92 +2,15 @@
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::observation::burn::{Counts, FirstTokens};
-use crate::modules::serve::operators::query_language::{Comparison, Condition, Operand, Table};
+use crate::modules::serve::operators::query_language::{Condition, Table};
+use crate::modules::serve::operators::row::{HISTOGRAM_FIELD, Row};
+use crate::modules::serve::pools::homes;
 use bridgevane_config::{ClassConfig, CustomerConfig};
 use bridgevane_types::{ClassName, CustomerId, DurationMs};
-use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use std::cmp::Ordering;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// One field of a row.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Field {
-    /// Its name, with its unit.
-    pub name: String,
-    /// Its value.
-    pub value: Value,
-}
-
-/// One row of a table.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(transparent)]
-pub struct Row {
-    /// Its fields, in the table's order.
-    pub fields: Vec<Field>,
-}
-
-impl Row {
-    /// The row with one more field.
-    #[must_use]
-    pub fn with(mut self, name: &str, value: impl Into<Value>) -> Self {
-        self.fields.push(Field {
-            name: name.to_owned(),
-            value: value.into(),
-        });
-        self
-    }
-
-    /// The row with the counts of a class.
-    #[must_use]
-    fn with_counts(self, counts: &Counts) -> Self {
-        self.with("offered", counts.offered)
-            .with("in_target", counts.in_target)
-            .with("late", counts.late)
-            .with("refused", counts.refused)
-            .with("cut", counts.cut)
-            .with("resumed", counts.resumed)
-            .with("good_tokens", counts.good_tokens)
-            .with("wasted_tokens", counts.wasted_tokens)
-    }
-
-    /// A field's value. `age` stands for `age_ms` too: the unit may be left out.
-    pub fn get(&self, name: &str) -> Option<&Value> {
-        let with_unit = format!("{name}_ms");
-        let is_it = |field: &&Field| field.name == name || field.name == with_unit;
-        self.fields.iter().find(is_it).map(|field| &field.value)
-    }
-
-    /// Whether a condition holds; none: there is no such field.
-    pub fn meets(&self, condition: &Condition) -> Option<bool> {
-        let value = self.get(&condition.field)?;
-        let order = compare(value, &condition.value);
-        Some(match condition.comparison {
-            Comparison::Equal => order == Some(Ordering::Equal),
-            Comparison::NotEqual => order != Some(Ordering::Equal),
-            Comparison::Less => order == Some(Ordering::Less),
-            Comparison::LessOrEqual => matches!(order, Some(Ordering::Less | Ordering::Equal)),
-            Comparison::Greater => order == Some(Ordering::Greater),
-            Comparison::GreaterOrEqual => {
-                matches!(order, Some(Ordering::Greater | Ordering::Equal))
-            }
-        })
-    }
-}
-
-fn compare(value: &Value, operand: &Operand) -> Option<Ordering> {
-    match (value, operand) {
-        (Value::Number(value), Operand::Number(number)) => value.as_f64()?.partial_cmp(number),
-        (Value::String(value), Operand::Text(text)) => Some(value.as_str().cmp(text)),
-        (Value::Bool(value), Operand::Text(text)) => {
-            let is_equal = value.to_string() == *text;
-            is_equal.then_some(Ordering::Equal)
-        }
-        _ => None,
-    }
-}
-
 /// The rows of `table` that meet all conditions.
 ///
 /// # Errors
@@ -104,7 +27,7 @@
         Table::Classes => classes(context).await,
         Table::Burn => burn(context),
         Table::Customers => customers(context).await,
-        Table::Rollouts => context.rollouts.rows(context),
+        Table::Rollouts => context.rollouts.rows(&context.config.vm),
         Table::Config => config(context).await,
         Table::History => Vec::new(),
     };
@@ -175,7 +98,7 @@
     let mut rows = Vec::new();
     for (service, pool) in context.pools.all() {
         // The home of a pool knows its engines; others only what they decided themselves.
-        if !context.homes.is_home(context, &service) {
+        if !homes::is_home(context, &service) {
             continue;
         }
         let Some(view) = pool.view().await else {
@@ -289,7 +212,7 @@
         .with("p99_first_token_ms", quantile(0.99))
         .with_counts(&counts)
         .with(
-            "first_tokens",
+            HISTOGRAM_FIELD,
             serde_json::to_value(first_tokens).unwrap_or_default(),
         )
 }
@@ -320,7 +243,7 @@
             good_tokens: number("good_tokens"),
             wasted_tokens: number("wasted_tokens"),
         });
-        if let Some(value) = row.get("first_tokens") {
+        if let Some(value) = row.get(HISTOGRAM_FIELD) {
             first_tokens.add(&serde_json::from_value(value.clone()).unwrap_or_default());
         }
     }
--- a/src/modules/serve/peers/frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -5,29 +5,17 @@
 use crate::modules::serve::keys::claims;
 use crate::modules::serve::operators::fan_out;
 use crate::modules::serve::peers::links::{LinkHandle, OpenOffers, Peer};
-use crate::modules::serve::peers::members;
+use crate::modules::serve::peers::membership;
+use crate::modules::serve::peers::request_on_wire::request_of;
 use crate::modules::serve::pools::homes;
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::{Frame, pool_order, pool_report};
-use bridgevane_types::RequestId;
-use bytes::Bytes;
 use prost::Message;
 use std::sync::Arc;
 
 /// Bytes that framing adds to a frame.
 const LENGTH_BYTES: u64 = 4;
 
-/// A request's identifier on the wire.
-pub fn request_bytes(request: RequestId) -> Bytes {
-    Bytes::copy_from_slice(&request.0.to_be_bytes())
-}
-
-/// Reads a request's identifier; none when it isn't one.
-pub fn request_of(bytes: &Bytes) -> Option<RequestId> {
-    let bytes: [u8; 16] = bytes.as_ref().try_into().ok()?;
-    Some(RequestId(u128::from_be_bytes(bytes)))
-}
-
 /// Counts a frame's bytes, those for control apart from those on the path of a request.
 pub fn count(context: &Context, direction: &'static str, frame: &Frame) {
     let is_control = matches!(
@@ -72,13 +60,13 @@
     match body {
         // Greetings come first and once.
         Body::Hello(_) | Body::Proof(_) => {}
-        Body::Heartbeat(heartbeat) => members::on_heartbeat(context, peer, link, heartbeat),
-        Body::HeartbeatAck(heartbeat) => members::on_ack(context, peer, link, heartbeat),
+        Body::Heartbeat(heartbeat) => membership::on_heartbeat(context, peer, link, heartbeat),
+        Body::HeartbeatAck(heartbeat) => membership::on_ack(context, peer, link, heartbeat),
         Body::ConfigWanted(wanted) => relay::on_wanted(context, link, &wanted),
         Body::ConfigDelta(delta) => relay::on_delta(context, link, delta),
         Body::ConfigSnapshot(snapshot) => relay::on_snapshot(context, snapshot),
         Body::PoolOffer(offer) => homes::on_offer(context, link, offer, offers),
-        Body::PoolOrder(order) => context.homes.on_order(context, peer, link, &order),
+        Body::PoolOrder(order) => homes::on_order(context, peer, link, &order),
         Body::PoolReport(report) => {
             let is_over = matches!(
                 report.report,
--- /dev/null
+++ b/src/modules/serve/peers/member_wire.rs
@@ -0,0 +1,44 @@
+//! What daemons say of each other's state, as messages, and back.
+
+use bridgevane_coordination::{MemberState, MemberUpdate};
+use bridgevane_protocol::{MemberState as WireState, MemberUpdate as WireUpdate};
+use bridgevane_types::{Incarnation, VmId};
+
+/// An update as a message.
+pub(super) fn to_wire(update: MemberUpdate) -> WireUpdate {
+    let state = match update.state {
+        MemberState::Alive => WireState::Alive,
+        MemberState::Leaving => WireState::Leaving,
+        MemberState::Suspect => WireState::Suspect,
+        MemberState::Dead => WireState::Dead,
+    };
+    WireUpdate {
+        vm: update.vm.to_string(),
+        peer_address: update.address.to_string(),
+        incarnation: update.incarnation.0,
+        refutation: update.refutation,
+        state: state.into(),
+        // Empty: nobody accuses it.
+        accuser: update.accuser.map(|vm| vm.to_string()).unwrap_or_default(),
+    }
+}
+
+/// The update of a message; none when it isn't one.
+pub(super) fn from_wire(update: &WireUpdate) -> Option<MemberUpdate> {
+    let state = match update.state() {
+        WireState::Unspecified => return None,
+        WireState::Alive => MemberState::Alive,
+        WireState::Leaving => MemberState::Leaving,
+        WireState::Suspect => MemberState::Suspect,
+        WireState::Dead => MemberState::Dead,
+    };
+    Some(MemberUpdate {
+        vm: VmId::new(&update.vm),
+        // Without an address it can't be reached, and counts as unknown.
+        address: update.peer_address.parse().ok()?,
+        incarnation: Incarnation(update.incarnation),
+        refutation: update.refutation,
+        state,
+        accuser: (!update.accuser.is_empty()).then(|| VmId::new(&update.accuser)),
+    })
+}
--- a/src/modules/serve/pools/actor.rs
+++ b/src/modules/serve/pools/actor.rs
@@ -5,7 +5,8 @@
 use crate::modules::serve::pools::engine_link::EngineLink;
 use crate::modules::serve::pools::engine_poll;
 use crate::modules::serve::pools::handle::{MAX_MESSAGES, PoolHandle, PoolMessage, PoolView};
-use crate::modules::serve::pools::messages::{NamedOffer, OrderSender, PoolOrder, PoolReport};
+use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport};
+use crate::modules::serve::pools::orders::OrderSender;
 use bridgevane_adapters::{CacheChange, CacheEvent};
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
--- a/src/modules/serve/pools/directory.rs
+++ b/src/modules/serve/pools/directory.rs
@@ -1,8 +1,6 @@
 //! The pools of all services on this VM.
 
 use crate::modules::serve::configuration::in_force::InForce;
-use crate::modules::serve::context::Context;
-use crate::modules::serve::pools::actor;
 use crate::modules::serve::pools::engine_link::EngineLink;
 use crate::modules::serve::pools::handle::PoolHandle;
 use arc_swap::ArcSwap;
@@ -29,6 +27,16 @@
         self.links.load().get(&key).cloned()
     }
 
+    /// Puts the pools of a newer configuration in place.
+    pub(super) fn put(&self, pools: HashMap<ServiceName, PoolHandle>) {
+        self.pools.store(Arc::new(pools));
+    }
+
+    /// All pools, to change a copy of them.
+    pub(super) fn copy(&self) -> HashMap<ServiceName, PoolHandle> {
+        HashMap::clone(&self.pools.load())
+    }
+
     /// All pools.
     pub fn all(&self) -> Vec<(ServiceName, PoolHandle)> {
         let pools = self.pools.load();
@@ -38,24 +46,8 @@
             .collect()
     }
 
-    /// Follows a configuration: starts pools of new services, tells the others.
-    pub fn follow(&self, context: &Arc<Context>, in_force: &Arc<InForce>) {
-        self.follow_links(in_force);
-        let mut pools = HashMap::clone(&self.pools.load());
-        for name in in_force.document.service.keys() {
-            match pools.get(name) {
-                Some(pool) => pool.reconfigure(in_force.clone()),
-                None => {
-                    let pool = actor::spawn(context.clone(), name.clone(), in_force.clone());
-                    pools.insert(name.clone(), pool);
-                }
-            }
-        }
-        self.pools.store(Arc::new(pools));
-    }
-
     /// Keeps links, and so their open connections, while names and addresses stay.
-    fn follow_links(&self, in_force: &InForce) {
+    pub(super) fn follow_links(&self, in_force: &InForce) {
         let known = self.links.load();
         let mut links = HashMap::new();
         for (service, config) in &in_force.document.service {
--- a/src/modules/serve/pools/engine_poll.rs
+++ b/src/modules/serve/pools/engine_poll.rs
@@ -3,6 +3,7 @@
 use crate::modules::serve::context::Context;
 use crate::modules::serve::pools::engine_link::EngineLink;
 use crate::modules::serve::pools::handle::PoolMessage;
+use crate::modules::serve::pools::homes;
 use bridgevane_adapters::{EngineCallError, LoadReport, ModelEngine, PlainCallError, PlainService};
 use bridgevane_config::ServiceKind;
 use bridgevane_events::{Event, event};
@@ -34,7 +35,7 @@
         }
         let serving = &context.config.serving;
         // Only who decides for the pool needs reports: engines are asked by one daemon.
-        if !context.homes.is_home(&context, &service) {
+        if !homes::is_home(&context, &service) {
             tokio::time::sleep(serving.poll_without_home_ms.as_std()).await;
             continue;
         }
@@ -46,7 +47,7 @@
                 .map(|engine| poll(engine, &messages, reads_cache)),
         )
         .await;
-        let pause_ms = match context.homes.is_sole_home(&context, &service) {
+        let pause_ms = match homes::is_sole_home(&context, &service) {
             true => serving.poll_every_ms,
             false => serving.poll_without_home_ms,
         };
--- a/src/modules/serve/pools/handle.rs
+++ b/src/modules/serve/pools/handle.rs
@@ -1,7 +1,8 @@
 //! The way to a pool: what it can be told, and asked.
 
 use crate::modules::serve::configuration::in_force::InForce;
-use crate::modules::serve::pools::messages::{NamedOffer, OrderSender, PoolReport};
+use crate::modules::serve::pools::messages::{NamedOffer, PoolReport};
+use crate::modules::serve::pools::orders::OrderSender;
 use bridgevane_adapters::CacheEvent;
 use bridgevane_decisions::{BrokenPromise, ClassView, DecisionRecord, EngineView, RequestView};
 use bridgevane_types::{AttemptNumber, DurationMs, EndpointId, RequestId, ServiceName, Tokens};
--- a/src/modules/serve/pools/homes.rs
+++ b/src/modules/serve/pools/homes.rs
@@ -5,10 +5,12 @@
 //! lagged reports are worse than the home's, and better than none.
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::peers::frames::request_of;
 use crate::modules::serve::peers::links::{LinkHandle, OpenOffers, Peer};
+use crate::modules::serve::peers::request_on_wire::request_of;
 use crate::modules::serve::pools::handle::PoolMessage;
-use crate::modules::serve::pools::messages::{NamedOffer, OrderSender, PoolOrder, PoolReport};
+use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport};
+use crate::modules::serve::pools::orders::OrderSender;
+use crate::modules::serve::pools::remote_requests::RemoteRequest;
 use crate::modules::serve::pools::wire::{
     code_of, offer_from_wire, offer_to_wire, outcome_of, report_from_wire, report_to_wire,
 };
@@ -20,244 +22,184 @@
 };
 use bridgevane_types::{
     AttemptNumber, DurationMs, EndpointId, Outcome, RefusalCode, RequestId, ServiceName, Tier,
-    TimeMs, Tokens, VmId,
+    Tokens, VmId,
 };
-use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
 /// A home that doesn't take an offer in this time is passed over.
 const TAKE_MS: u64 = 400;
-/// How long a home that was passed over is left alone.
-const AVOID_MS: u64 = 2_000;
 /// How often offers are looked through for such as weren't taken.
 const SWEEP_EVERY: Duration = Duration::from_millis(100);
 
-/// A request of this daemon that another one decides on.
-struct Remote {
-    offer: NamedOffer,
-    orders: UnboundedSender<PoolOrder>,
-    home: VmId,
-    address: SocketAddr,
-    sent_at: TimeMs,
-    is_taken: bool,
-    running: Option<(EndpointId, AttemptNumber)>,
-    delivered: Tokens,
-}
-
-/// Requests that other daemons decide on.
-#[derive(Default)]
-pub struct PoolHomes {
-    remote: Mutex<HashMap<RequestId, Remote>>,
-    avoided: Mutex<HashMap<VmId, TimeMs>>,
-}
-
 /// The pool's name among the keys that have homes.
 fn home_key(service: &ServiceName) -> String {
     format!("pool/{service}")
 }
 
-impl PoolHomes {
-    fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, Remote>> {
-        self.remote.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    fn is_avoided(&self, now: TimeMs, vm: &VmId) -> bool {
-        let avoided = self.avoided.lock().unwrap_or_else(PoisonError::into_inner);
-        avoided.get(vm).is_some_and(|until| now < *until)
-    }
+/// Whether this daemon decides for `service` now.
+pub fn is_home(context: &Context, service: &ServiceName) -> bool {
+    let home = context.members.remote_home(&home_key(service));
+    home.is_none_or(|(vm, _)| context.homes.is_avoided(context.now(), &vm))
+}
 
-    fn avoid(&self, now: TimeMs, vm: &VmId) {
-        let mut avoided = self.avoided.lock().unwrap_or_else(PoisonError::into_inner);
-        avoided.retain(|_, until| now < *until);
-        avoided.insert(vm.clone(), now + DurationMs(AVOID_MS));
-    }
+/// Whether this daemon is the home of `service` by its view of who lives, so that nobody
+/// else decides on its engines.
+pub fn is_sole_home(context: &Context, service: &ServiceName) -> bool {
+    context.members.remote_home(&home_key(service)).is_none()
+}
 
-    /// Whether this daemon decides for `service` now.
-    pub fn is_home(&self, context: &Context, service: &ServiceName) -> bool {
-        let home = context.members.remote_home(context, &home_key(service));
-        home.is_none_or(|(vm, _)| self.is_avoided(context.now(), &vm))
+/// Offers a request to the home of its pool; false when no pool takes it.
+pub fn offer(
+    context: &Arc<Context>,
+    offer: NamedOffer,
+    orders: UnboundedSender<PoolOrder>,
+) -> bool {
+    let home = context.members.remote_home(&home_key(&offer.service));
+    let now = context.now();
+    let Some((vm, address)) = home.filter(|(vm, _)| !context.homes.is_avoided(now, vm)) else {
+        return offer_here(context, offer, orders);
+    };
+    let request = offer.request;
+    let frame = Body::PoolOffer(offer_to_wire(&offer));
+    let remote = RemoteRequest {
+        offer,
+        orders,
+        home: vm.clone(),
+        address,
+        sent_at: now,
+        is_taken: false,
+        running: None,
+        delivered: Tokens(0),
+    };
+    context.homes.lock().insert(request, remote);
+    if !context.links.to(address).send(frame) {
+        pass_over(context, &vm);
     }
+    true
+}
 
-    /// Whether this daemon is the home of `service` by its view of who lives, so that nobody
-    /// else decides on its engines.
-    pub fn is_sole_home(&self, context: &Context, service: &ServiceName) -> bool {
-        context
-            .members
-            .remote_home(context, &home_key(service))
-            .is_none()
+/// Reports on a request to whoever decides on it.
+pub async fn report(
+    context: &Arc<Context>,
+    service: &ServiceName,
+    request: RequestId,
+    report: PoolReport,
+) {
+    if report_remote(context, request, report) {
+        return;
     }
-
-    /// Offers a request to the home of its pool; false when no pool takes it.
-    pub fn offer(
-        &self,
-        context: &Arc<Context>,
-        offer: NamedOffer,
-        orders: UnboundedSender<PoolOrder>,
-    ) -> bool {
-        let home = context
-            .members
-            .remote_home(context, &home_key(&offer.service));
-        let now = context.now();
-        let Some((vm, address)) = home.filter(|(vm, _)| !self.is_avoided(now, vm)) else {
-            return offer_here(context, offer, orders);
-        };
-        let request = offer.request;
-        let frame = Body::PoolOffer(offer_to_wire(&offer));
-        let remote = Remote {
-            offer,
-            orders,
-            home: vm.clone(),
-            address,
-            sent_at: now,
-            is_taken: false,
-            running: None,
-            delivered: Tokens(0),
-        };
-        self.lock().insert(request, remote);
-        if !context.links.to(context, address).send(frame) {
-            self.pass_over(context, &vm);
-        }
-        true
+    if let Some(pool) = context.pools.get(service) {
+        pool.report(request, report).await;
     }
+}
 
-    /// Reports on a request to whoever decides on it.
-    pub async fn report(
-        &self,
-        context: &Arc<Context>,
-        service: &ServiceName,
-        request: RequestId,
-        report: PoolReport,
-    ) {
-        if self.report_remote(context, request, report) {
-            return;
-        }
-        if let Some(pool) = context.pools.get(service) {
-            pool.report(request, report).await;
+fn report_remote(context: &Arc<Context>, request: RequestId, report: PoolReport) -> bool {
+    let mut remotes = context.homes.lock();
+    let Some(remote) = remotes.get_mut(&request) else {
+        return false;
+    };
+    let address = remote.address;
+    let frame = report_to_wire(&remote.offer.service, request, report);
+    match report {
+        PoolReport::FirstToken(_) => remote.delivered += Tokens(1),
+        PoolReport::Progress(_, delivered, _) => remote.delivered = delivered,
+        PoolReport::Finished(_, AttemptEnd::Done(_) | AttemptEnd::CallerGone) => {
+            remotes.remove(&request);
         }
+        PoolReport::Finished(_, _) => remote.running = None,
     }
+    drop(remotes);
+    context.links.to(address).send(Body::PoolReport(frame));
+    true
+}
 
-    fn report_remote(
-        &self,
-        context: &Arc<Context>,
-        request: RequestId,
-        report: PoolReport,
-    ) -> bool {
-        let mut remotes = self.lock();
-        let Some(remote) = remotes.get_mut(&request) else {
-            return false;
-        };
-        let address = remote.address;
-        let frame = report_to_wire(&remote.offer.service, request, report);
-        match report {
-            PoolReport::FirstToken(_) => remote.delivered += Tokens(1),
-            PoolReport::Progress(_, delivered, _) => remote.delivered = delivered,
-            PoolReport::Finished(_, AttemptEnd::Done(_) | AttemptEnd::CallerGone) => {
-                remotes.remove(&request);
-            }
-            PoolReport::Finished(_, _) => remote.running = None,
-        }
+/// The home of a request of this daemon has decided.
+pub fn on_order(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, order: &WireOrder) {
+    let Some(request) = request_of(&order.request) else {
+        return;
+    };
+    let mut remotes = context.homes.lock();
+    let remote = remotes
+        .get_mut(&request)
+        .filter(|remote| remote.home == peer.vm);
+    let Some(remote) = remote else {
         drop(remotes);
-        context
-            .links
-            .to(context, address)
-            .send(Body::PoolReport(frame));
-        true
-    }
-
-    /// The home of a request of this daemon has decided.
-    pub fn on_order(
-        &self,
-        context: &Arc<Context>,
-        peer: &Peer,
-        link: &LinkHandle,
-        order: &WireOrder,
-    ) {
-        let Some(request) = request_of(&order.request) else {
-            return;
-        };
-        let mut remotes = self.lock();
-        let remote = remotes
-            .get_mut(&request)
-            .filter(|remote| remote.home == peer.vm);
-        let Some(remote) = remote else {
-            drop(remotes);
-            // It was passed over meanwhile: it must forget the request.
-            if matches!(order.order, Some(pool_order::Order::Dispatch(_))) {
-                let gone = PoolReport::Finished(AttemptNumber(0), AttemptEnd::CallerGone);
-                // The service isn't known any more; the home finds it by its own offers.
-                let report = report_to_wire(&ServiceName::new(""), request, gone);
-                link.send(Body::PoolReport(report));
-            }
-            return;
-        };
-        remote.is_taken = true;
-        let (sent, is_over) = follow_order(context, remote, order);
-        if is_over || !sent {
-            remotes.remove(&request);
+        // It was passed over meanwhile: it must forget the request.
+        if matches!(order.order, Some(pool_order::Order::Dispatch(_))) {
+            let gone = PoolReport::Finished(AttemptNumber(0), AttemptEnd::CallerGone);
+            // The service isn't known any more; the home finds it by its own offers.
+            let report = report_to_wire(&ServiceName::new(""), request, gone);
+            link.send(Body::PoolReport(report));
         }
+        return;
+    };
+    remote.is_taken = true;
+    let (sent, is_over) = follow_order(context, remote, order);
+    if is_over || !sent {
+        remotes.remove(&request);
     }
+}
 
-    /// No connection to `address` is left.
-    pub fn unreachable(&self, context: &Arc<Context>, address: SocketAddr) {
-        let lost = {
-            let remotes = self.lock();
-            let at = remotes.values().find(|remote| remote.address == address);
-            at.map(|remote| remote.home.clone())
-        };
-        if let Some(home) = lost {
-            self.pass_over(context, &home);
-        }
+/// No connection to `address` is left.
+pub fn unreachable(context: &Arc<Context>, address: SocketAddr) {
+    let lost = {
+        let remotes = context.homes.lock();
+        let at = remotes.values().find(|remote| remote.address == address);
+        at.map(|remote| remote.home.clone())
+    };
+    if let Some(home) = lost {
+        pass_over(context, &home);
     }
+}
 
-    /// Takes back every request that `home` decides on, and decides here.
-    fn pass_over(&self, context: &Arc<Context>, home: &VmId) {
-        self.avoid(context.now(), home);
-        let taken_back: Vec<Remote> = {
-            let mut remotes = self.lock();
-            let is_its = |_: &RequestId, remote: &mut Remote| remote.home == *home;
-            remotes
-                .extract_if(is_its)
-                .map(|(_, remote)| remote)
-                .collect()
-        };
-        event!(
-            Event::HomePassedOver,
-            vm = home,
-            requests = taken_back.len()
-        );
-        for remote in taken_back {
-            decide_here(context, remote);
-        }
+/// Takes back every request that `home` decides on, and decides here.
+fn pass_over(context: &Arc<Context>, home: &VmId) {
+    context.homes.avoid(context.now(), home);
+    let taken_back: Vec<RemoteRequest> = {
+        let mut remotes = context.homes.lock();
+        let is_its = |_: &RequestId, remote: &mut RemoteRequest| remote.home == *home;
+        remotes
+            .extract_if(is_its)
+            .map(|(_, remote)| remote)
+            .collect()
+    };
+    event!(
+        Event::HomePassedOver,
+        vm = home,
+        requests = taken_back.len()
+    );
+    for remote in taken_back {
+        decide_here(context, remote);
     }
+}
 
-    /// Who lives has changed: homes that are gone are passed over.
-    pub fn membership_changed(&self, context: &Arc<Context>) {
-        let homes: Vec<VmId> = self
-            .lock()
-            .values()
-            .map(|remote| remote.home.clone())
-            .collect();
-        for home in homes {
-            if context.members.address_of(&home).is_none() {
-                self.pass_over(context, &home);
-            }
+/// Who lives has changed: homes that are gone are passed over.
+pub fn membership_changed(context: &Arc<Context>) {
+    let homes: Vec<VmId> = context
+        .homes
+        .lock()
+        .values()
+        .map(|remote| remote.home.clone())
+        .collect();
+    for home in homes {
+        if context.members.address_of(&home).is_none() {
+            pass_over(context, &home);
         }
     }
+}
 
-    /// A daemon whose offers are decided here is gone.
-    pub async fn origin_lost(
-        &self,
-        context: &Arc<Context>,
-        service: &ServiceName,
-        request: RequestId,
-        origin: u64,
-    ) {
-        if let Some(pool) = context.pools.get(service) {
-            pool.send(PoolMessage::OriginLost(request, origin)).await;
-        }
+/// A daemon whose offers are decided here is gone.
+pub async fn origin_lost(
+    context: &Arc<Context>,
+    service: &ServiceName,
+    request: RequestId,
+    origin: u64,
+) {
+    if let Some(pool) = context.pools.get(service) {
+        pool.send(PoolMessage::OriginLost(request, origin)).await;
     }
 }
 
@@ -269,7 +211,7 @@
         let slow: Vec<VmId> = {
             let remotes = context.homes.lock();
             let is_slow =
-                |remote: &&Remote| !remote.is_taken && now.since(remote.sent_at).0 > TAKE_MS;
+                |remote: &&RemoteRequest| !remote.is_taken && now.since(remote.sent_at).0 > TAKE_MS;
             remotes
                 .values()
                 .filter(is_slow)
@@ -278,7 +220,7 @@
         };
         for home in slow {
             if !context.homes.is_avoided(now, &home) {
-                context.homes.pass_over(&context, &home);
+                pass_over(&context, &home);
             }
         }
     }
@@ -296,7 +238,7 @@
 }
 
 /// Goes on with a request here: one that runs is taken over, one that waits is offered anew.
-fn decide_here(context: &Arc<Context>, remote: Remote) {
+fn decide_here(context: &Arc<Context>, remote: RemoteRequest) {
     let Some(pool) = context.pools.get(&remote.offer.service) else {
         return;
     };
@@ -320,7 +262,7 @@
 }
 
 /// Passes an order on to its request; gives whether that listens, and whether it is over.
-fn follow_order(context: &Context, remote: &mut Remote, order: &WireOrder) -> (bool, bool) {
+fn follow_order(context: &Context, remote: &mut RemoteRequest, order: &WireOrder) -> (bool, bool) {
     match &order.order {
         None => (true, false),
         Some(pool_order::Order::Dispatch(dispatch)) => {
--- a/src/modules/serve/pools/mod.rs
+++ b/src/modules/serve/pools/mod.rs
@@ -7,4 +7,7 @@
 pub(crate) mod handle;
 pub(crate) mod homes;
 pub(crate) mod messages;
+pub(crate) mod orders;
+pub(crate) mod remote_requests;
+pub(crate) mod start;
 pub(crate) mod wire;
--- a/src/modules/serve/pools/wire.rs
+++ b/src/modules/serve/pools/wire.rs
@@ -1,6 +1,6 @@
 //! Offers, orders and reports between a request and the home of its pool, as messages.
 
-use crate::modules::serve::peers::frames::{request_bytes, request_of};
+use crate::modules::serve::peers::request_on_wire::{request_bytes, request_of};
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport};
 use bridgevane_decisions::AttemptEnd;
 use bridgevane_protocol::frame::Body;
--- a/src/modules/serve/requests/callers.rs
+++ b/src/modules/serve/requests/callers.rs
@@ -1,7 +1,7 @@
 //! The callers' HTTP interface.
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::keys::claims::KeyedCall;
+use crate::modules::serve::keys::key_homes::KeyedCall;
 use crate::modules::serve::pools::messages::NamedOffer;
 use crate::modules::serve::requests::caller::{identify, read_body};
 use crate::modules::serve::requests::chat_format::{AnswerFormat, ModelCall, Shape};
--- a/src/modules/serve/requests/model_request.rs
+++ b/src/modules/serve/requests/model_request.rs
@@ -7,7 +7,9 @@
 use crate::modules::serve::context::Context;
 use crate::modules::serve::observation::burn::Ended;
 use crate::modules::serve::pools::engine_link::EngineLink;
-use crate::modules::serve::pools::messages::{NamedOffer, OrderReceiver, PoolOrder, PoolReport};
+use crate::modules::serve::pools::homes;
+use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport};
+use crate::modules::serve::pools::orders::OrderReceiver;
 use crate::modules::serve::requests::attempt_reports::Reported;
 use crate::modules::serve::requests::refusal::Refusal;
 use crate::modules::serve::requests::targets::Targets;
@@ -90,7 +92,7 @@
         let (sender, orders) = mpsc::unbounded_channel();
         let arrived_at = context.now();
         let offer = request.offer.clone();
-        let is_taken = context.homes.offer(&context, offer, sender);
+        let is_taken = homes::offer(&context, offer, sender);
         let mut runner = Runner {
             context,
             request,
@@ -383,10 +385,7 @@
 
     async fn report(&self, report: PoolReport) {
         let service = &self.request.offer.service;
-        let homes = &self.context.homes;
-        homes
-            .report(&self.context, service, self.id(), report)
-            .await;
+        homes::report(&self.context, service, self.id(), report).await;
     }
 
     /// Tells the pool that the caller is gone.
--- a/src/modules/serve/requests/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -1,9 +1,12 @@
 //! One call of a plain service from offer to final answer.
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::keys::claims::{self, ClaimAnswer, KeyedCall};
+use crate::modules::serve::keys::claims;
+use crate::modules::serve::keys::key_homes::{ClaimAnswer, KeyedCall};
 use crate::modules::serve::observation::burn::Ended;
-use crate::modules::serve::pools::messages::{NamedOffer, OrderReceiver, PoolOrder, PoolReport};
+use crate::modules::serve::pools::homes;
+use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport};
+use crate::modules::serve::pools::orders::OrderReceiver;
 use crate::modules::serve::requests::refusal::{BadRequest, Refusal};
 use crate::modules::serve::requests::targets::Targets;
 use axum::http::StatusCode;
@@ -38,7 +41,7 @@
         return run_once(&context, request).await;
     };
     let id = request.offer.request;
-    match context.keys.claim(&context, key).await {
+    match claims::claim(&context, key).await {
         ClaimAnswer::Run(let_run) => {
             let result = run_once(&context, request).await;
             claims::end(&context, &let_run, key_end(&result));
@@ -84,7 +87,7 @@
 async fn run_once(context: &Arc<Context>, request: PlainRequest) -> Result<PlainAnswer, Refusal> {
     let arrived_at = context.now();
     let (sender, orders) = mpsc::unbounded_channel();
-    if !context.homes.offer(context, request.offer.clone(), sender) {
+    if !homes::offer(context, request.offer.clone(), sender) {
         let retry_after_ms = Some(DurationMs(1_000));
         let code = RefusalCode::QueueFull;
         let id = request.offer.request;
@@ -112,7 +115,7 @@
                 let end = end_of(&result);
                 let report = PoolReport::Finished(attempt, end);
                 let service = &request.offer.service;
-                context.homes.report(context, service, id, report).await;
+                homes::report(context, service, id, report).await;
                 if let Ok(answer) = result {
                     return Ok(answer);
                 }
--- a/src/modules/serve/rollouts.rs
+++ b/src/modules/serve/rollouts/carry_out.rs
@@ -7,21 +7,22 @@
 use crate::modules::serve::context::Context;
 use crate::modules::serve::operators::fan_out;
 use crate::modules::serve::operators::query_language::Table;
-use crate::modules::serve::operators::rows::{self, Row};
+use crate::modules::serve::operators::row::Row;
+use crate::modules::serve::operators::rows;
+use crate::modules::serve::rollouts::held::Held;
 use bridgevane_adapters::{
-    FencedOrder, KeyValue, KvCas, KvError, LeaseId, ModelEngine, Order, OrderReply, Revision,
-    WeightStore,
+    FencedOrder, KeyValue, KvCas, KvError, LeaseId, ModelEngine, Order, OrderReply, WeightStore,
 };
 use bridgevane_config::{RolloutConfig, ServiceConfig};
 use bridgevane_coordination::{
     HeldLease, Rollout, RolloutEffect, RolloutObservation, RolloutPlan, RolloutStage,
 };
 use bridgevane_events::{Event, event};
-use bridgevane_types::{DurationMs, EndpointId, FenceToken, ModelName, ServiceName, TimeMs};
+use bridgevane_types::{DurationMs, FenceToken, ModelName, ServiceName, TimeMs};
 use derive_more::{Display, Error, From};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 
 /// How often a rollout is looked at.
@@ -52,53 +53,6 @@
     Malformed,
 }
 
-/// A rollout that this daemon carries out.
-#[derive(Clone, Debug)]
-struct Held {
-    lease_id: LeaseId,
-    lease: HeldLease,
-    rollout: Rollout,
-    stored_at: Option<Revision>,
-    watched_since: TimeMs,
-    on_new: BTreeSet<EndpointId>,
-    on_old: BTreeSet<EndpointId>,
-    /// Tickets of the weight store, by version: one serves all engines.
-    tickets: BTreeMap<u64, String>,
-    burn: f64,
-}
-
-/// Rollouts that this daemon carries out.
-#[derive(Default)]
-pub struct Rollouts {
-    held: Mutex<BTreeMap<ModelName, Held>>,
-}
-
-impl Rollouts {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<ModelName, Held>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// Rows for operators.
-    pub fn rows(&self, context: &Context) -> Vec<Row> {
-        let row = |(model, held): (&ModelName, &Held)| {
-            let plan = &held.rollout.plan;
-            Row::default()
-                .with("vm", context.config.vm.as_str())
-                .with("model", model.as_str())
-                .with("from_version", plan.from_version)
-                .with("to_version", plan.to_version)
-                .with("stage", held.rollout.stage.to_string())
-                .with("engines", plan.engines.len())
-                .with("started", held.rollout.started)
-                .with("confirmed", held.on_new.len())
-                .with("burn", held.burn)
-                .with("fence", held.lease.fence().0)
-                .with("generation", held.rollout.generation)
-        };
-        self.lock().iter().map(row).collect()
-    }
-}
-
 /// A clock that counts through a pause of the process and of the machine.
 fn boot_time() -> TimeMs {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
@@ -154,12 +108,7 @@
 
     fn is_mine(&self) -> bool {
         let key = format!("rollout/{}", self.model);
-        !self.context.leaving.is_leaving()
-            && self
-                .context
-                .members
-                .remote_home(self.context, &key)
-                .is_none()
+        !self.context.leaving.is_leaving() && self.context.members.remote_home(&key).is_none()
     }
 
     async fn advance(&self) -> Result<(), RolloutError> {
--- /dev/null
+++ b/src/modules/serve/rollouts/held.rs
@@ -0,0 +1,55 @@
+//! Rollouts that this daemon carries out now; lost with the process, and carried on by another daemon.
+
+use crate::modules::serve::operators::row::Row;
+use bridgevane_adapters::{LeaseId, Revision};
+use bridgevane_coordination::{HeldLease, Rollout};
+use bridgevane_types::{EndpointId, ModelName, TimeMs, VmId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+/// A rollout that this daemon carries out.
+#[derive(Clone, Debug)]
+pub(super) struct Held {
+    pub(super) lease_id: LeaseId,
+    pub(super) lease: HeldLease,
+    pub(super) rollout: Rollout,
+    pub(super) stored_at: Option<Revision>,
+    pub(super) watched_since: TimeMs,
+    pub(super) on_new: BTreeSet<EndpointId>,
+    pub(super) on_old: BTreeSet<EndpointId>,
+    /// Tickets of the weight store, by version: one serves all engines.
+    pub(super) tickets: BTreeMap<u64, String>,
+    pub(super) burn: f64,
+}
+
+/// Rollouts that this daemon carries out.
+#[derive(Default)]
+pub struct Rollouts {
+    held: Mutex<BTreeMap<ModelName, Held>>,
+}
+
+impl Rollouts {
+    pub(super) fn lock(&self) -> MutexGuard<'_, BTreeMap<ModelName, Held>> {
+        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Rows for operators.
+    pub fn rows(&self, own_vm: &VmId) -> Vec<Row> {
+        let row = |(model, held): (&ModelName, &Held)| {
+            let plan = &held.rollout.plan;
+            Row::default()
+                .with("vm", own_vm.as_str())
+                .with("model", model.as_str())
+                .with("from_version", plan.from_version)
+                .with("to_version", plan.to_version)
+                .with("stage", held.rollout.stage.to_string())
+                .with("engines", plan.engines.len())
+                .with("started", held.rollout.started)
+                .with("confirmed", held.on_new.len())
+                .with("burn", held.burn)
+                .with("fence", held.lease.fence().0)
+                .with("generation", held.rollout.generation)
+        };
+        self.lock().iter().map(row).collect()
+    }
+}
