--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -1,7 +1,7 @@
 //! What a model engine gives: generation, load reports, cache events, fenced orders.
 
 use bridgevane_types::{
-    AttemptNumber, DurationMs, FenceToken, ModelName, RequestId, Slots, Tier, TimeMs, Tokens,
+    AttemptNumber, DurationMs, FenceToken, ModelName, RequestId, Slots, Tier, Tokens,
 };
 use derive_more::{Display, Error};
 use futures_util::Stream;
@@ -140,15 +140,6 @@
     Evicted,
 }
 
-/// An exported part of KV cache.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KvBlock {
-    /// The block, as the hash of the chain that ends with it.
-    pub block: u64,
-    /// Its tokens.
-    pub tokens: Tokens,
-}
-
 /// An order with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
@@ -173,16 +164,6 @@
         /// Ticket of the weight store.
         ticket: String,
     },
-    /// Load an adapter of a model.
-    LoadAdapter {
-        /// The adapter.
-        adapter: String,
-    },
-    /// Change role, such as `prefill` or `decode`.
-    ChangeRole {
-        /// The role.
-        role: String,
-    },
 }
 
 /// What an engine answers to an order.
@@ -222,28 +203,9 @@
         sequence: u64,
     ) -> impl Future<Output = Result<Vec<CacheEvent>, EngineCallError>> + Send;
 
-    /// Exports the cached blocks among `blocks`.
-    fn export_kv(
-        &self,
-        blocks: Vec<u64>,
-    ) -> impl Future<Output = Result<Vec<KvBlock>, EngineCallError>> + Send;
-
-    /// Imports exported blocks.
-    fn import_kv(
-        &self,
-        blocks: Vec<KvBlock>,
-    ) -> impl Future<Output = Result<(), EngineCallError>> + Send;
-
     /// Gives a fenced order.
     fn order(
         &self,
         order: FencedOrder,
     ) -> impl Future<Output = Result<OrderReply, EngineCallError>> + Send;
 }
-
-impl LoadReport {
-    /// The moment that the report describes, read at `now`.
-    pub fn described_at(&self, now: TimeMs) -> TimeMs {
-        TimeMs(now.0.saturating_sub(self.age_ms.0))
-    }
-}
--- a/crates/adapters/src/http_engine.rs
+++ b/crates/adapters/src/http_engine.rs
@@ -1,8 +1,8 @@
 //! A model engine over HTTP: JSON calls, answers as one JSON piece a line.
 
 use crate::engine::{
-    CacheEvent, EngineCallError, FencedOrder, GenerateCall, KvBlock, LoadReport, ModelEngine,
-    OrderReply, Piece, PieceEvent,
+    CacheEvent, EngineCallError, FencedOrder, GenerateCall, LoadReport, ModelEngine, OrderReply,
+    Piece, PieceEvent,
 };
 use crate::http_client::{HttpClient, HttpError};
 use bridgevane_types::{AttemptNumber, RequestId};
@@ -162,20 +162,6 @@
             .map_err(engine_error)
     }
 
-    async fn export_kv(&self, blocks: Vec<u64>) -> Result<Vec<KvBlock>, EngineCallError> {
-        self.http
-            .post_json("/engine/kv/export", &blocks, CALL_TIMEOUT)
-            .await
-            .map_err(engine_error)
-    }
-
-    async fn import_kv(&self, blocks: Vec<KvBlock>) -> Result<(), EngineCallError> {
-        self.http
-            .post_json("/engine/kv/import", &blocks, CALL_TIMEOUT)
-            .await
-            .map_err(engine_error)
-    }
-
     async fn order(&self, order: FencedOrder) -> Result<OrderReply, EngineCallError> {
         self.http
             .post_json("/engine/order", &order, CALL_TIMEOUT)
--- a/crates/adapters/src/lib.rs
+++ b/crates/adapters/src/lib.rs
@@ -12,8 +12,8 @@
 mod platform;
 
 pub use engine::{
-    CacheChange, CacheEvent, EndReason, EngineCallError, FencedOrder, GenerateCall, KvBlock,
-    LoadReport, ModelEngine, Order, OrderReply, Piece, PieceEvent,
+    CacheChange, CacheEvent, EndReason, EngineCallError, FencedOrder, GenerateCall, LoadReport,
+    ModelEngine, Order, OrderReply, Piece, PieceEvent,
 };
 pub use http_client::{HttpClient, HttpError};
 pub use http_engine::HttpEngine;
--- a/crates/coordination/src/modules/rollout.rs
+++ b/crates/coordination/src/modules/rollout.rs
@@ -141,8 +141,7 @@
     }
 
     #[superstate]
-    fn going_on(event: &RolloutObservation) -> Outcome<State> {
-        let _ = event;
+    fn going_on() -> Outcome<State> {
         Transition(State::rolling_back())
     }
 
@@ -159,14 +158,12 @@
     }
 
     #[state]
-    fn done(event: &RolloutObservation) -> Outcome<State> {
-        let _ = event;
+    fn done() -> Outcome<State> {
         Handled
     }
 
     #[state]
-    fn rolled_back(event: &RolloutObservation) -> Outcome<State> {
-        let _ = event;
+    fn rolled_back() -> Outcome<State> {
         Handled
     }
 }
--- a/crates/decisions/src/decision_log.rs
+++ b/crates/decisions/src/decision_log.rs
@@ -1,4 +1,4 @@
-//! The log of decisions: what [`crate::check_promises`] and `explain request` read.
+//! The log of decisions, which `explain request` reads, and the checker of promises in tests and the demo.
 
 use crate::effect::CancelCause;
 use crate::index::{ClassIx, EndpointIx};
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -14,7 +14,6 @@
 mod modules;
 mod policy;
 mod pool;
-mod promises;
 
 pub use context::Context;
 pub use decision_log::{Decision, DecisionLog, DecisionRecord, NoLog, Recorder};
@@ -25,4 +24,3 @@
 pub use modules::prefix_cache::{Holders, PrefixCache};
 pub use policy::{ClassPolicy, CustomerPolicy, EnginePolicy, PoolPolicy};
 pub use pool::{ClassView, EngineView, Pool, RequestView};
-pub use promises::{BrokenPromise, check_promises};
--- a/crates/decisions/src/modules/request_life.rs
+++ b/crates/decisions/src/modules/request_life.rs
@@ -65,8 +65,7 @@
     }
 
     #[state(superstate = "running")]
-    fn streaming(event: &LifeEvent) -> Outcome<State> {
-        let _ = event;
+    fn streaming() -> Outcome<State> {
         Super
     }
 
@@ -87,8 +86,7 @@
     }
 
     #[state]
-    fn over(event: &LifeEvent) -> Outcome<State> {
-        let _ = event;
+    fn over() -> Outcome<State> {
         Handled
     }
 }
--- a/crates/decisions/tests/checker.rs
+++ b/crates/decisions/tests/checker.rs
@@ -1,8 +1,7 @@
 //! The checker finds each kind of broken promise in a log made by hand.
 
-use bridgevane_decisions::{
-    BrokenPromise, CancelCause, ClassIx, Decision, DecisionRecord, EndpointIx, check_promises,
-};
+use bridgevane_decisions::{CancelCause, ClassIx, Decision, DecisionRecord, EndpointIx};
+use bridgevane_standins::{BrokenPromise, check_promises};
 use bridgevane_types::{AttemptNumber, Outcome, RefusalCode, RequestId, Tier, TimeMs, Tokens};
 
 const HIGH: RequestId = RequestId(1);
--- a/crates/decisions/tests/pool_sequences.rs
+++ b/crates/decisions/tests/pool_sequences.rs
@@ -4,8 +4,9 @@
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
     AttemptEnd, ClassIx, ClassPolicy, Context, CustomerIx, CustomerPolicy, Effect, EndpointIx,
-    EnginePolicy, KindIx, Offer, Policy, Pool, PoolPolicy, Recorder, check_promises,
+    EnginePolicy, KindIx, Offer, Policy, Pool, PoolPolicy, Recorder,
 };
+use bridgevane_standins::check_promises;
 use bridgevane_types::{
     AttemptNumber, DurationMs, Outcome, RefusalCode, RequestId, Share, Slots, Tier, TimeMs, Tokens,
 };
--- a/crates/decisions/tests/promises.rs
+++ b/crates/decisions/tests/promises.rs
@@ -3,8 +3,9 @@
 
 mod support;
 
+use bridgevane_decisions::Pool;
 use bridgevane_decisions::configs::Settings;
-use bridgevane_decisions::{BrokenPromise, Pool};
+use bridgevane_standins::BrokenPromise;
 use support::{Driver, Fault, RunResult, Setup, ravaton, solcata};
 
 /// A small pool under a load, for half a minute.
--- a/crates/decisions/tests/support/driver.rs
+++ b/crates/decisions/tests/support/driver.rs
@@ -4,10 +4,12 @@
 use bridgevane_adapters::EndReason;
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, BrokenPromise, CancelCause, ClassIx, Context, CustomerIx, Decision, Effect,
-    EndpointIx, KindIx, Offer, Policy, Recorder, check_promises,
+    AttemptEnd, CancelCause, ClassIx, Context, CustomerIx, Decision, Effect, EndpointIx, KindIx,
+    Offer, Policy, Recorder,
+};
+use bridgevane_standins::{
+    BrokenPromise, EngineModel, EngineSpec, Job, ModelEvent, check_promises,
 };
-use bridgevane_standins::{EngineModel, EngineSpec, Job, ModelEvent};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Slots, Tier, TimeMs, Tokens};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
--- a/crates/standins/src/engine_model.rs
+++ b/crates/standins/src/engine_model.rs
@@ -287,17 +287,6 @@
         }
     }
 
-    /// Puts imported blocks into the cache.
-    pub fn import(&mut self, blocks: &[u64]) {
-        self.store(blocks);
-    }
-
-    /// Which of `blocks` are cached.
-    pub fn cached_among(&self, blocks: &[u64]) -> Vec<u64> {
-        let is_cached = |block: &&u64| self.cached.contains(block);
-        blocks.iter().filter(is_cached).copied().collect()
-    }
-
     fn publish(&mut self, block: u64, change: CacheChange) {
         self.cache_sequence += 1;
         self.cache_events.push_back(CacheEvent {
--- a/crates/standins/src/engine_server.rs
+++ b/crates/standins/src/engine_server.rs
@@ -10,8 +10,7 @@
 use axum::routing::post;
 use axum::{Json, Router};
 use bridgevane_adapters::{
-    CacheEvent, EndReason, FencedOrder, GenerateCall, KvBlock, LoadReport, OrderReply, Piece,
-    PieceEvent,
+    CacheEvent, EndReason, FencedOrder, GenerateCall, LoadReport, OrderReply, Piece, PieceEvent,
 };
 use bridgevane_types::{AttemptNumber, DurationMs, FenceToken, RequestId, Tokens};
 use derive_more::{Display, Error};
@@ -129,8 +128,6 @@
             .route("/engine/cancel", post(cancel))
             .route("/engine/load", post(load))
             .route("/engine/cache-events", post(cache_events))
-            .route("/engine/kv/export", post(export_kv))
-            .route("/engine/kv/import", post(import_kv))
             .route("/engine/order", post(order))
             .route("/standin/fault", post(set_fault))
             .route("/standin/orders", post(read_orders))
@@ -382,27 +379,6 @@
     Ok(Json(events))
 }
 
-async fn export_kv(
-    State(standin): State<EngineStandin>,
-    Json(blocks): Json<Vec<u64>>,
-) -> Result<Json<Vec<KvBlock>>, StatusCode> {
-    standin.admit().await?;
-    let tokens = Tokens(standin.settings.spec.block_tokens);
-    let cached = standin.lock().model.cached_among(&blocks);
-    let exported = cached.into_iter().map(|block| KvBlock { block, tokens });
-    Ok(Json(exported.collect()))
-}
-
-async fn import_kv(
-    State(standin): State<EngineStandin>,
-    Json(blocks): Json<Vec<KvBlock>>,
-) -> Result<Json<()>, StatusCode> {
-    standin.admit().await?;
-    let blocks: Vec<u64> = blocks.into_iter().map(|block| block.block).collect();
-    standin.lock().model.import(&blocks);
-    Ok(Json(()))
-}
-
 async fn order(
     State(standin): State<EngineStandin>,
     Json(order): Json<FencedOrder>,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! They answer the same contracts as the real systems, on loopback, with faults that
 //! tests and the demo switch on. [`EngineModel`] is the pure part of the engine: the
-//! HTTP stand-in drives it by the clock, benchmarks drive it in virtual time.
+//! HTTP stand-in drives it by the clock, benchmarks drive it in virtual time. [`check_promises`] reads
+//! a pool's log of decisions.
 
 mod answer_text;
 mod engine_model;
@@ -10,6 +11,7 @@
 mod fault;
 mod plain_server;
 mod platform_server;
+mod promises;
 mod serving;
 
 pub use answer_text::{answer_length, prompt_blocks, prompt_tokens, token_text};
@@ -18,4 +20,5 @@
 pub use fault::Fault;
 pub use plain_server::PlainStandin;
 pub use platform_server::{PlatformSettings, PlatformStandin};
+pub use promises::{BrokenPromise, check_promises};
 pub use serving::{Served, StandinError, serve};
--- a/crates/decisions/src/promises.rs
+++ b/crates/standins/src/promises.rs
@@ -1,8 +1,8 @@
-//! The brief's promises as predicates over the decision log, apart from the deciding code.
+//! What `serve` promises, as predicates over the log of decisions: for tests, benchmarks and the demo's verdict.
+//!
+//! It stands apart from the deciding code, and the product doesn't contain it.
 
-use crate::decision_log::{Decision, DecisionRecord};
-use crate::effect::CancelCause;
-use crate::index::EndpointIx;
+use bridgevane_decisions::{CancelCause, Decision, DecisionRecord, EndpointIx};
 use bridgevane_types::{Outcome, RefusalCode, RequestId, Tier};
 use derive_more::Display;
 use std::collections::{HashMap, HashSet};
--- a/crates/standins/tests/contract.rs
+++ b/crates/standins/tests/contract.rs
@@ -262,7 +262,7 @@
 }
 
 #[tokio::test]
-async fn cache_events_have_gaps_and_blocks_move() {
+async fn cache_events_have_gaps() {
     let (standin, engine, _served) = engine(false).await;
     follow(&engine, 0).await;
     let events = engine.cache_events(0).await.expect("events");
@@ -278,18 +278,6 @@
     });
     let with_gap = engine.cache_events(0).await.expect("events");
     assert_eq!(with_gap.len(), events.len() - 1);
-    let blocks: Vec<u64> = events.iter().map(|event| event.block).collect();
-    let exported = engine.export_kv(blocks.clone()).await.expect("exported");
-    let (_, other, _other_served) = self::engine(false).await;
-    assert!(
-        other
-            .export_kv(blocks.clone())
-            .await
-            .expect("nothing")
-            .is_empty()
-    );
-    other.import_kv(exported.clone()).await.expect("imported");
-    assert_eq!(other.export_kv(blocks).await, Ok(exported));
 }
 
 #[tokio::test]
--- a/src/commands/demo/results.rs
+++ b/src/commands/demo/results.rs
@@ -4,6 +4,7 @@
 use super::load::{CallerResult, Ended};
 use super::stage::Stage;
 use crate::modules::serve::requests::targets::Targets;
+use bridgevane_standins::check_promises;
 use bridgevane_types::{ClassName, DurationMs};
 use comfy_table::{Table, presets};
 use serde::Serialize;
@@ -68,7 +69,8 @@
             broken.push(format!("the call of key {key} ran more than once"));
         }
         for (_, pool) in stage.context.pools.all() {
-            let promises = pool.check().await;
+            let decisions = pool.decisions().await;
+            let promises = check_promises(&decisions);
             broken.extend(promises.iter().map(ToString::to_string));
         }
         let computed = stage.computed_tokens().max(1);
--- a/src/modules/serve/pools/actor.rs
+++ b/src/modules/serve/pools/actor.rs
@@ -11,7 +11,7 @@
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
     AttemptEnd, Context as DecisionContext, Effect, EndpointIx, Offer, Policy, Pool, PoolPolicy,
-    Recorder, check_promises,
+    Recorder,
 };
 use bridgevane_types::{
     AttemptNumber, DurationMs, EndpointId, Outcome, RefusalCode, RequestId, ServiceName, Tier,
@@ -150,12 +150,15 @@
             PoolMessage::Reconfigure(in_force) => self.follow(&in_force),
             PoolMessage::OriginLost(request, origin) => self.origin_lost(request, origin),
             PoolMessage::View(reply) => {
+                // Who asked may have stopped listening.
                 let _ = reply.send(self.view());
             }
-            PoolMessage::Check(reply) => {
-                let _ = reply.send(check_promises(self.log.records()));
+            PoolMessage::Decisions(reply) => {
+                // Who asked may have stopped listening.
+                let _ = reply.send(self.log.records().cloned().collect());
             }
             PoolMessage::Explain(request, reply) => {
+                // Who asked may have stopped listening.
                 let _ = reply.send(self.log.about(request));
             }
         }
--- a/src/modules/serve/pools/handle.rs
+++ b/src/modules/serve/pools/handle.rs
@@ -4,7 +4,7 @@
 use crate::modules::serve::pools::messages::{NamedOffer, PoolReport};
 use crate::modules::serve::pools::orders::OrderSender;
 use bridgevane_adapters::CacheEvent;
-use bridgevane_decisions::{BrokenPromise, ClassView, DecisionRecord, EngineView, RequestView};
+use bridgevane_decisions::{ClassView, DecisionRecord, EngineView, RequestView};
 use bridgevane_types::{AttemptNumber, DurationMs, EndpointId, RequestId, ServiceName, Tokens};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -48,8 +48,8 @@
     OriginLost(RequestId, u64),
     /// An operator looks.
     View(oneshot::Sender<PoolView>),
-    /// Which promises the remembered decisions break.
-    Check(oneshot::Sender<Vec<BrokenPromise>>),
+    /// All decisions that are remembered.
+    Decisions(oneshot::Sender<Vec<DecisionRecord>>),
     /// An operator asks about a request.
     Explain(RequestId, oneshot::Sender<Vec<DecisionRecord>>),
 }
@@ -109,17 +109,14 @@
         receiver.await.ok()
     }
 
-    /// The promises that the remembered decisions break.
-    pub async fn check(&self) -> Vec<BrokenPromise> {
+    /// All decisions that are remembered; none when the pool has ended.
+    pub async fn decisions(&self) -> Vec<DecisionRecord> {
         let (sender, receiver) = oneshot::channel();
-        if self
-            .messages
-            .send(PoolMessage::Check(sender))
-            .await
-            .is_err()
-        {
+        let message = PoolMessage::Decisions(sender);
+        if self.messages.send(message).await.is_err() {
             return Vec::new();
         }
+        // A pool that ends meanwhile has no decisions left.
         receiver.await.unwrap_or_default()
     }
 
