--- a/src/modules/serve/requests/mod.rs
+++ b/src/modules/serve/requests/mod.rs
@@ -2,9 +2,14 @@
 
 pub(crate) mod attempt_reports;
 pub(crate) mod caller;
-pub mod callers;
+pub(crate) mod callers;
 pub(crate) mod chat_format;
+pub(crate) mod model_answer;
+pub(crate) mod model_attempt;
+pub mod model_call;
+pub(crate) mod model_outcome;
 pub(crate) mod model_request;
+pub(crate) mod plain_call;
 pub(crate) mod plain_request;
 pub(crate) mod refusal;
 pub(crate) mod targets;
--- a/src/modules/serve/requests/model_request.rs
+++ b/src/modules/serve/requests/model_request.rs
@@ -1,31 +1,22 @@
-//! One model request from offer to final answer: attempts, resumption, delivery.
+//! One model request, from its offer to its final answer: it obeys its pool's orders.
 //!
-//! A piece is delivered only if it belongs to this request and the running attempt and
-//! continues exactly where the caller's text ends; late, repeated and crossed pieces are
-//! dropped, a gap ends the attempt.
+//! Owns what was delivered so far and how often the request was attempted. An attempt's stream is read in
+//! [`super::model_attempt`], what became of the request is recorded in [`super::model_outcome`].
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::observation::burn::Ended;
 use crate::modules::serve::pools::engine_link::EngineLink;
 use crate::modules::serve::pools::homes;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderReceiver;
-use crate::modules::serve::requests::attempt_reports::Reported;
 use crate::modules::serve::requests::refusal::Refusal;
 use crate::modules::serve::requests::targets::Targets;
-use bridgevane_adapters::{
-    EndReason, EngineCallError, GenerateCall, ModelEngine, Piece, PieceEvent,
-};
+use bridgevane_adapters::EndReason;
 use bridgevane_decisions::{AttemptEnd, CancelCause};
-use bridgevane_events::{Event, event};
 use bridgevane_types::{
-    AttemptNumber, ClassName, DurationMs, ModelName, Outcome, RefusalCode, RequestId, Tier, TimeMs,
-    Tokens,
+    AttemptNumber, ClassName, ModelName, Outcome, RefusalCode, RequestId, Tier, TimeMs, Tokens,
 };
-use futures_util::StreamExt;
 use std::sync::Arc;
 use tokio::sync::mpsc;
-use tokio::time::timeout;
 
 /// What the caller gets.
 #[derive(Clone, Debug, PartialEq)]
@@ -51,7 +42,7 @@
 }
 
 /// How an attempt left the loop that reads its pieces.
-enum AttemptResult {
+pub(super) enum AttemptResult {
     Done(EndReason),
     Cancelled(CancelCause),
     Failed(AttemptEnd),
@@ -60,27 +51,27 @@
 }
 
 /// An attempt as the pool ordered it.
-struct Attempt {
-    number: AttemptNumber,
-    engine: Arc<EngineLink>,
-    priority: Tier,
-    cached_tokens: Tokens,
+pub(super) struct Attempt {
+    pub(super) number: AttemptNumber,
+    pub(super) engine: Arc<EngineLink>,
+    pub(super) priority: Tier,
+    pub(super) cached_tokens: Tokens,
 }
 
-struct Runner {
-    context: Arc<Context>,
-    request: ModelRequest,
-    caller: mpsc::Sender<CallerEvent>,
-    orders: OrderReceiver,
-    arrived_at: TimeMs,
-    first_token_at: Option<TimeMs>,
-    delivered_text: String,
-    delivered: u64,
-    attempts: u64,
+pub(super) struct Runner {
+    pub(super) context: Arc<Context>,
+    pub(super) request: ModelRequest,
+    pub(super) caller: mpsc::Sender<CallerEvent>,
+    pub(super) orders: OrderReceiver,
+    pub(super) arrived_at: TimeMs,
+    pub(super) first_token_at: Option<TimeMs>,
+    pub(super) delivered_text: String,
+    pub(super) delivered: u64,
+    pub(super) attempts: u64,
     /// Some engine has begun to work on it.
-    has_run: bool,
+    pub(super) has_run: bool,
     /// What took it from its last engine.
-    interrupted_by: &'static str,
+    pub(super) interrupted_by: &'static str,
 }
 
 /// Runs `request` in a task of its own; its answer comes out of the receiver.
@@ -116,11 +107,11 @@
 }
 
 impl Runner {
-    fn id(&self) -> RequestId {
+    pub(super) fn id(&self) -> RequestId {
         self.request.offer.request
     }
 
-    fn class(&self) -> &ClassName {
+    pub(super) fn class(&self) -> &ClassName {
         &self.request.offer.class
     }
 
@@ -224,74 +215,12 @@
         }
     }
 
-    /// The attempt's number towards engines. It counts all attempts of the request; a pool that
-    /// took the request over counts its own.
-    fn own_attempt(&self) -> AttemptNumber {
-        AttemptNumber(self.attempts.saturating_sub(1))
-    }
-
-    fn call(&self, attempt: &Attempt) -> GenerateCall {
-        GenerateCall {
-            request: self.id(),
-            attempt: self.own_attempt(),
-            priority: attempt.priority,
-            model: self.request.model.clone(),
-            prompt: self.request.prompt.clone(),
-            max_tokens: self.request.offer.max_tokens,
-            resume_from: Tokens(self.delivered),
-            delivered_text: self.delivered_text.clone(),
-        }
-    }
-
-    async fn stream_attempt(&mut self, attempt: &Attempt) -> AttemptResult {
-        let engine = attempt.engine.model.clone();
-        let starting = engine.generate(self.call(attempt));
-        tokio::pin!(starting);
-        let mut pieces = loop {
-            tokio::select! {
-                started = &mut starting => match started {
-                    Ok(pieces) => {
-                        self.has_run = true;
-                        break pieces;
-                    }
-                    Err(error) => return AttemptResult::Failed(self.failed_start(error)),
-                },
-                order = self.orders.recv() => if let Some(result) = self.obey(attempt, order) {
-                    return result;
-                },
-                () = self.caller.closed() => return AttemptResult::CallerGone,
-            }
-        };
-        let mut reported = Reported::new(self.delivered, self.context.now());
-        loop {
-            tokio::select! {
-                piece = pieces.next() => {
-                    let result = self.take(attempt, piece, &mut reported).await;
-                    if let Some(result) = result {
-                        return result;
-                    }
-                }
-                order = self.orders.recv() => if let Some(result) = self.obey(attempt, order) {
-                    return result;
-                },
-                () = self.caller.closed() => return AttemptResult::CallerGone,
-            }
-        }
-    }
-
-    fn failed_start(&self, error: EngineCallError) -> AttemptEnd {
-        match error {
-            EngineCallError::NotReached => AttemptEnd::NotReached,
-            EngineCallError::Unavailable => AttemptEnd::Unavailable,
-            EngineCallError::Rejected | EngineCallError::Unsupported => AttemptEnd::Rejected,
-            EngineCallError::Cut | EngineCallError::Malformed => AttemptEnd::Lost {
-                delivered: Tokens(self.delivered),
-            },
-        }
-    }
-
     /// What an order that comes while an attempt runs means for it.
-    fn obey(&self, attempt: &Attempt, order: Option<PoolOrder>) -> Option<AttemptResult> {
+    pub(super) fn obey(
+        &self,
+        attempt: &Attempt,
+        order: Option<PoolOrder>,
+    ) -> Option<AttemptResult> {
         match order {
             Some(PoolOrder::Cancel {
                 attempt: number,
@@ -310,161 +239,17 @@
         }
     }
 
-    /// Takes what came from the engine; some result when the attempt is over.
-    async fn take(
-        &mut self,
-        attempt: &Attempt,
-        piece: Option<Result<Piece, EngineCallError>>,
-        reported: &mut Reported,
-    ) -> Option<AttemptResult> {
-        let lost = AttemptEnd::Lost {
-            delivered: Tokens(self.delivered),
-        };
-        let Some(Ok(piece)) = piece else {
-            return Some(AttemptResult::Failed(lost));
-        };
-        if piece.request != self.id() || piece.attempt != self.own_attempt() {
-            event!(Event::PieceDropped, request = self.id(), cause = "crossed");
-            return None;
-        }
-        match piece.event {
-            PieceEvent::Token(_) if piece.offset.0 < self.delivered => {
-                event!(Event::PieceDropped, request = self.id(), cause = "repeated");
-                None
-            }
-            _ if piece.offset.0 > self.delivered => Some(AttemptResult::Failed(lost)),
-            PieceEvent::Token(text) => self.deliver(attempt, text, reported).await,
-            PieceEvent::End(reason) => Some(AttemptResult::Done(reason)),
-        }
-    }
-
-    async fn deliver(
-        &mut self,
-        attempt: &Attempt,
-        text: String,
-        reported: &mut Reported,
-    ) -> Option<AttemptResult> {
-        self.delivered += 1;
-        self.delivered_text.push_str(&text);
-        if !self.send(CallerEvent::Text(text)).await {
-            return Some(AttemptResult::CallerGone);
-        }
-        let now = self.context.now();
-        if self.first_token_at.is_none() {
-            self.first_token_at = Some(now);
-            let seconds = now.since(self.arrived_at).0 as f64 / 1000.0;
-            self.context.metrics.first_token(self.class(), seconds);
-        }
-        let report = reported.next(
-            &self.context.config.serving,
-            attempt.number,
-            self.delivered,
-            now,
-        );
-        if let Some(report) = report {
-            self.report(report).await;
-        }
-        None
-    }
-
-    /// Sends to the caller; false when it is gone or reads nothing.
-    async fn send(&self, event: CallerEvent) -> bool {
-        let limit = self.context.config.serving.slow_reader_timeout_ms.as_std();
-        match timeout(limit, self.caller.send(event)).await {
-            Ok(sent) => sent.is_ok(),
-            Err(_) => {
-                event!(Event::CallerSlow, request = self.id());
-                false
-            }
-        }
-    }
-
-    async fn finish_attempt(&self, number: AttemptNumber, end: AttemptEnd) {
+    pub(super) async fn finish_attempt(&self, number: AttemptNumber, end: AttemptEnd) {
         self.report(PoolReport::Finished(number, end)).await;
     }
 
-    async fn report(&self, report: PoolReport) {
+    pub(super) async fn report(&self, report: PoolReport) {
         let service = &self.request.offer.service;
         homes::report(&self.context, service, self.id(), report).await;
     }
-
-    /// Tells the pool that the caller is gone.
-    async fn leave(&self) {
-        let number = AttemptNumber(self.attempts.saturating_sub(1));
-        self.finish_attempt(number, AttemptEnd::CallerGone).await;
-        self.context
-            .metrics
-            .request_ended(self.class(), "caller_gone");
-    }
-
-    async fn complete(&mut self, reason: EndReason) {
-        let tokens = Tokens(self.delivered);
-        let now = self.context.now();
-        let first_token_ms = self.first_token_at.unwrap_or(now).since(self.arrived_at).0;
-        let whole_ms = now.since(self.arrived_at).0;
-        let is_in_target = self
-            .request
-            .targets
-            .are_met(first_token_ms, whole_ms, tokens.0);
-        let result = if is_in_target { "in_target" } else { "late" };
-        self.context.metrics.request_ended(self.class(), result);
-        self.context.metrics.delivered(self.class(), tokens);
-        let ended = Ended::Whole {
-            is_in_target,
-            is_resumed: self.attempts > 1,
-            tokens,
-            first_token_ms: DurationMs(first_token_ms),
-        };
-        self.context.burn.ended(now, self.class(), ended);
-        self.send(CallerEvent::End(reason, tokens)).await;
-    }
-
-    async fn refuse(&self, refusal: Refusal) {
-        let now = self.context.now();
-        let is_cut = self.delivered > 0 || refusal.outcome != Outcome::NotRun;
-        let ended = if is_cut { Ended::Cut } else { Ended::Refused };
-        self.context.burn.ended(now, self.class(), ended);
-        let result = if is_cut { "cut" } else { "refused" };
-        self.context.metrics.request_ended(self.class(), result);
-        let kind = if is_cut {
-            Event::RequestFailed
-        } else {
-            Event::RequestRefused
-        };
-        event!(
-            kind,
-            request = self.id(),
-            class = self.class(),
-            code = refusal.code
-        );
-        self.send(CallerEvent::Refused(refusal)).await;
-    }
-
-    /// A resumption computes prompt and delivered tokens again, less what is cached.
-    fn count_recomputed(&self, attempt: &Attempt) {
-        let computed = self.request.offer.prompt_tokens.0 + self.delivered;
-        let again = computed.saturating_sub(attempt.cached_tokens.0);
-        self.waste(self.interrupted_by, again);
-    }
-
-    fn waste(&self, cause: &'static str, tokens: u64) {
-        let tokens = Tokens(tokens);
-        self.context.metrics.wasted(cause, tokens);
-        self.context
-            .burn
-            .wasted(self.context.now(), self.class(), tokens);
-    }
-
-    /// Cancels at the engine without waiting: a dead engine needs no cancelling.
-    fn cancel_at_engine(&self, attempt: &Attempt) {
-        let engine = attempt.engine.model.clone();
-        let (request, number) = (self.id(), self.own_attempt());
-        tokio::spawn(async move {
-            let _ = engine.cancel(request, number).await;
-        });
-    }
 }
 
+/// The cause of wasted work, for metrics.
 fn cause_label(cause: CancelCause) -> &'static str {
     match cause {
         CancelCause::Preempted => "preempted",
--- a/src/modules/serve/requests/targets.rs
+++ b/src/modules/serve/requests/targets.rs
@@ -1,5 +1,6 @@
 //! Whether an answer was within its class's latency targets.
 
+use bridgevane_config::ClassConfig;
 use bridgevane_types::DurationMs;
 
 /// The latency targets of a request.
@@ -12,6 +13,14 @@
 }
 
 impl Targets {
+    /// The targets of a class.
+    pub fn of_class(class: &ClassConfig) -> Self {
+        Self {
+            first_token_ms: class.first_token_target_ms,
+            between_tokens_ms: class.between_tokens_target_ms,
+        }
+    }
+
     /// Whether a whole answer was within target.
     pub fn are_met(&self, first_token_ms: u64, whole_ms: u64, tokens: u64) -> bool {
         let gaps = tokens.saturating_sub(1).max(1);
--- a/tests/prefix_blocks.rs
+++ b/tests/prefix_blocks.rs
@@ -1,6 +1,6 @@
 //! Prompts that share their beginning share the blocks by which caches are found.
 
-use bridgevane::modules::serve::requests::callers::prefix_blocks;
+use bridgevane::modules::serve::requests::model_call::prefix_blocks;
 
 #[test]
 fn prompts_of_unlike_lengths_with_one_beginning_share_blocks() {
