--- /dev/null
+++ b/crates/coordination/src/modules/gossip.rs
@@ -0,0 +1,212 @@
+//! What other nodes say of each other: heard, merged into the view, and passed on.
+
+use crate::modules::member::{MemberState, MemberUpdate, apply, new_member, refute};
+use crate::modules::membership::{Membership, MembershipEffect};
+use bridgevane_types::{Incarnation, TimeMs, VmId};
+use std::net::SocketAddr;
+
+impl Membership {
+    /// Hears a node itself: a heartbeat, its answer, or any other frame.
+    pub fn hear(
+        &mut self,
+        now: TimeMs,
+        vm: &VmId,
+        address: SocketAddr,
+        incarnation: Incarnation,
+        effects: &mut Vec<MembershipEffect>,
+    ) {
+        if *vm == self.own.vm {
+            return;
+        }
+        let update = MemberUpdate {
+            vm: vm.clone(),
+            address,
+            incarnation,
+            refutation: 0,
+            state: MemberState::Alive,
+            accuser: None,
+        };
+        self.merge(now, update, effects);
+        let Some(member) = self.members.get_mut(vm) else {
+            return;
+        };
+        if member.incarnation != incarnation {
+            return;
+        }
+        member.heard_at = now;
+        if member.state == MemberState::Dead {
+            // It is heard, so it lives; the others learn it as if it had refuted.
+            member.refutation += 1;
+            member.accusers.clear();
+            member.is_retried = false;
+            member.state = MemberState::Alive;
+            self.pass_on(vm);
+            self.changed(vm, effects);
+            return;
+        }
+        member.accusers.remove(&self.own.vm);
+        if member.state == MemberState::Suspect && member.accusers.is_empty() {
+            member.state = MemberState::Alive;
+            self.changed(vm, effects);
+        }
+    }
+
+    /// Takes updates that came with a heartbeat.
+    pub fn receive(
+        &mut self,
+        now: TimeMs,
+        updates: Vec<MemberUpdate>,
+        effects: &mut Vec<MembershipEffect>,
+    ) {
+        for update in updates {
+            if update.vm == self.own.vm {
+                self.hear_of_self(&update, effects);
+            } else {
+                self.merge(now, update, effects);
+            }
+        }
+    }
+
+    /// Something is said about this node itself.
+    pub(super) fn hear_of_self(
+        &mut self,
+        update: &MemberUpdate,
+        effects: &mut Vec<MembershipEffect>,
+    ) {
+        if update.incarnation > self.own.incarnation {
+            effects.push(MembershipEffect::Superseded);
+            return;
+        }
+        if update.state == MemberState::Leaving
+            && self.own.state == MemberState::Alive
+            && update.incarnation == self.own.incarnation
+            && update.refutation >= self.own.refutation
+        {
+            effects.push(MembershipEffect::ToldToLeave);
+            return;
+        }
+        let is_accused = matches!(update.state, MemberState::Suspect | MemberState::Dead);
+        let is_this_life = update.incarnation == self.own.incarnation;
+        if !is_accused && is_this_life {
+            // Others may have counted a refutation that they saw in its being heard.
+            self.own.refutation = self.own.refutation.max(update.refutation);
+        }
+        if is_accused && is_this_life && update.refutation >= self.own.refutation {
+            self.own.refutation = update.refutation + 1;
+            self.pass_on_own();
+        }
+    }
+
+    pub(super) fn merge(
+        &mut self,
+        now: TimeMs,
+        update: MemberUpdate,
+        effects: &mut Vec<MembershipEffect>,
+    ) {
+        let vm = update.vm.clone();
+        let Some(member) = self.members.get_mut(&vm) else {
+            if update.state == MemberState::Dead {
+                return;
+            }
+            self.members.insert(
+                vm.clone(),
+                new_member(update.address, update.incarnation, now),
+            );
+            self.merge(now, update, effects);
+            self.pass_on(&vm);
+            self.changed(&vm, effects);
+            return;
+        };
+        let before = (member.state, member.is_leaving, member.incarnation);
+        if update.incarnation > member.incarnation {
+            // A new life under the same name: nothing of the old one holds.
+            *member = new_member(update.address, update.incarnation, now);
+            member.refutation = update.refutation;
+        } else if update.incarnation < member.incarnation {
+            return;
+        } else if update.refutation > member.refutation {
+            refute(member, &self.own.vm, update.refutation, now);
+        } else if update.refutation < member.refutation {
+            return;
+        }
+        let is_news = apply(member, &update, now);
+        let after = (member.state, member.is_leaving, member.incarnation);
+        if is_news || before != after {
+            self.pass_on(&vm);
+        }
+        if before != after {
+            self.changed(&vm, effects);
+        }
+    }
+
+    pub(super) fn updates_about(&self, vm: &VmId) -> Vec<MemberUpdate> {
+        if *vm == self.own.vm {
+            return vec![self.own.clone()];
+        }
+        let Some(member) = self.members.get(vm) else {
+            return Vec::new();
+        };
+        let is_leaving = member.is_leaving && member.state == MemberState::Alive;
+        let update = MemberUpdate {
+            vm: vm.clone(),
+            address: member.address,
+            incarnation: member.incarnation,
+            refutation: member.refutation,
+            state: if is_leaving {
+                MemberState::Leaving
+            } else {
+                member.state
+            },
+            accuser: None,
+        };
+        if member.state != MemberState::Suspect {
+            return vec![update];
+        }
+        let accused = |accuser: &VmId| MemberUpdate {
+            accuser: Some(accuser.clone()),
+            ..update.clone()
+        };
+        member.accusers.iter().map(accused).collect()
+    }
+
+    /// Updates to send with the next heartbeat, the least repeated first.
+    pub fn updates(&mut self) -> Vec<MemberUpdate> {
+        let mut order: Vec<(u32, VmId)> = self
+            .pending
+            .iter()
+            .map(|(vm, left)| (*left, vm.clone()))
+            .collect();
+        order.sort_by(|a, b| b.cmp(a));
+        order.truncate(self.config.updates_per_heartbeat);
+        let mut updates = Vec::new();
+        for (left, vm) in order {
+            if left <= 1 {
+                self.pending.remove(&vm);
+            } else {
+                self.pending.insert(vm.clone(), left - 1);
+            }
+            updates.extend(self.updates_about(&vm));
+        }
+        updates
+    }
+
+    /// Everything that is known, for a node that has just started or whose view differs.
+    pub fn all_updates(&self) -> Vec<MemberUpdate> {
+        let mut updates = vec![self.own.clone()];
+        for vm in self.members.keys() {
+            updates.extend(self.updates_about(vm));
+        }
+        updates
+    }
+
+    pub(super) fn pass_on(&mut self, vm: &VmId) {
+        let size = self.members.len() as u32 + 2;
+        let times = self.config.update_repeats * (u32::BITS - size.leading_zeros());
+        self.pending.insert(vm.clone(), times);
+    }
+
+    pub(super) fn pass_on_own(&mut self) {
+        let own = self.own.vm.clone();
+        self.pass_on(&own);
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/modules/suspicion.rs
@@ -0,0 +1,100 @@
+//! What the passing of time does to the membership: heartbeats, suspicion of silent neighbours, confirmed deaths.
+
+use crate::modules::member::{Member, MemberState};
+use crate::modules::membership::{Membership, MembershipEffect};
+use bridgevane_types::{TimeMs, VmId};
+
+impl Membership {
+    /// Acts on the passing of time.
+    pub fn tick(&mut self, now: TimeMs, effects: &mut Vec<MembershipEffect>) {
+        self.forgive_own_pause(now);
+        self.suspect_silent(now);
+        self.confirm_deaths(now, effects);
+        self.forget_dead(now);
+        if now.since(self.beat_at) < self.config.heartbeat_every_ms && self.beat_at != TimeMs(0) {
+            return;
+        }
+        self.beat_at = now;
+        let retried = self.members.iter().filter(|(_, member)| member.is_retried);
+        let retried: Vec<VmId> = retried.map(|(vm, _)| vm.clone()).collect();
+        for vm in self.neighbours().into_iter().chain(retried) {
+            let address = self.members[&vm].address;
+            effects.push(MembershipEffect::Heartbeat { vm, address });
+        }
+    }
+
+    /// A node that was paused itself has heard nobody: that is no ground for suspicion.
+    pub(super) fn forgive_own_pause(&mut self, now: TimeMs) {
+        let paused_ms = now.since(self.ticked_at);
+        self.ticked_at = now;
+        if paused_ms < self.config.suspect_after_ms {
+            return;
+        }
+        for member in self.members.values_mut() {
+            member.heard_at = now;
+            member.suspected_at = now;
+        }
+    }
+
+    pub(super) fn suspect_silent(&mut self, now: TimeMs) {
+        for vm in self.neighbours() {
+            let suspect_after_ms = self.config.suspect_after_ms.0;
+            let Some(member) = self.members.get_mut(&vm) else {
+                continue;
+            };
+            let silent_ms = now.since(member.heard_at).0;
+            let is_accused = member.accusers.contains(&self.own.vm);
+            if is_accused || silent_ms < suspect_after_ms * u64::from(member.patience) {
+                continue;
+            }
+            if member.state != MemberState::Suspect {
+                member.suspected_at = now;
+            }
+            member.state = MemberState::Suspect;
+            member.accusers.insert(self.own.vm.clone());
+            self.pass_on(&vm);
+        }
+    }
+
+    pub(super) fn confirm_deaths(&mut self, now: TimeMs, effects: &mut Vec<MembershipEffect>) {
+        let is_up = |member: &&Member| member.state != MemberState::Dead;
+        let others = self.members.values().filter(is_up).count();
+        // The suspect itself can't confirm, this node can.
+        let needed = self.config.accusers.min(others.max(1));
+        let is_lone = others < self.config.accusers;
+        let wait_ms = if is_lone {
+            self.config.lone_confirm_ms
+        } else {
+            self.config.refute_ms
+        };
+        let is_confirmed = |member: &Member| {
+            member.state == MemberState::Suspect
+                && member.accusers.len() >= needed
+                && now.since(member.suspected_at) >= wait_ms
+        };
+        let confirmed = self
+            .members
+            .iter()
+            .filter(|(_, member)| is_confirmed(member));
+        let dead: Vec<VmId> = confirmed.map(|(vm, _)| vm.clone()).collect();
+        for vm in dead {
+            self.bury(now, &vm, effects);
+        }
+    }
+
+    pub(super) fn bury(&mut self, now: TimeMs, vm: &VmId, effects: &mut Vec<MembershipEffect>) {
+        if let Some(member) = self.members.get_mut(vm) {
+            member.state = MemberState::Dead;
+            member.died_at = now;
+        }
+        self.pass_on(vm);
+        self.changed(vm, effects);
+    }
+
+    pub(super) fn forget_dead(&mut self, now: TimeMs) {
+        let forget_ms = self.config.forget_ms;
+        self.members.retain(|_, member| {
+            member.state != MemberState::Dead || now.since(member.died_at) < forget_ms
+        });
+    }
+}
--- a/crates/decisions/src/pool/dispatch.rs
+++ b/crates/decisions/src/pool/dispatch.rs
@@ -10,7 +10,7 @@
 use crate::index::{ClassIx, EndpointIx};
 use crate::modules::engine_health::HealthState;
 use crate::modules::request_life::LifeEvent;
-use bridgevane_types::{RequestId, Tier, Tokens};
+use bridgevane_types::{AttemptNumber, RequestId, Tier, TimeMs, Tokens};
 use rand::RngExt;
 
 /// The class that goes next, and on what ground.
@@ -302,6 +302,7 @@
         self.start(context, turn, request, choice);
     }
 
+    /// Starts a request on an engine: books it there and with its class, logs it, and gives the order.
     fn start<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
@@ -309,18 +310,45 @@
         request: RequestId,
         choice: Choice,
     ) {
-        let Some(entry) = self.requests.get(&request) else {
-            return;
-        };
-        let charged_ms = self.work_ms(entry);
-        let policy = &self.policy.classes[turn.class.at()];
-        let tier = policy.tier;
-        let Some(entry) = self.requests.get_mut(&request) else {
+        let Some(started) = self.mark_running(context.now, &turn, request, &choice) else {
             return;
         };
+        self.charge_class(&turn, started.charged_ms);
+        let engine = choice.engine;
+        occupy(&mut self.engines[engine.at()], context.now, request);
+        self.refresh_cost(context.settings, engine);
+        self.started.push_back((request, started.attempt));
+        let cached_tokens = Tokens(choice.cached_tokens);
+        context.record(Decision::Dispatched {
+            request,
+            attempt: started.attempt,
+            engine,
+            cached_tokens,
+            is_protected: started.is_protected,
+        });
+        context.effects.push(Effect::Dispatch {
+            request,
+            attempt: started.attempt,
+            engine,
+            priority: started.engine_priority,
+            resume_from: started.delivered,
+            cached_tokens,
+        });
+    }
+
+    /// Books a request on its engine, and as a possible victim of higher tiers.
+    fn mark_running(
+        &mut self,
+        now: TimeMs,
+        turn: &Turn,
+        request: RequestId,
+        choice: &Choice,
+    ) -> Option<Started> {
+        let charged_ms = self.work_ms(self.requests.get(&request)?);
+        let tier = self.policy.classes[turn.class.at()].tier;
+        let entry = self.requests.get_mut(&request)?;
         entry.life.handle(LifeEvent::Dispatch);
-        entry.waited_ms = context.now.since(entry.waits_since).0;
-        let attempt = entry.life.attempt();
+        entry.waited_ms = now.since(entry.waits_since).0;
         let is_protected = turn.is_aged || turn.is_owed;
         let can_be_victim = entry.offer.is_preemptible && !is_protected;
         let victim_cost = can_be_victim.then(|| entry.resume_cost());
@@ -330,47 +358,51 @@
         engine.prefill_tokens += uncached_tokens;
         entry.running = Some(Running {
             engine: choice.engine,
-            since: context.now,
+            since: now,
             uncached_tokens,
             engine_tokens: engine.prefill_tokens,
             is_aged: turn.is_aged,
             victim_cost,
-            heard_at: context.now,
+            heard_at: now,
             charged_ms,
         });
         if let Some(cost) = victim_cost {
             self.victims.insert(tier, cost, request);
         }
+        Some(Started {
+            attempt: entry.life.attempt(),
+            is_protected,
+            // Inside the engine, too, nothing may keep it waiting: a low priority would starve
+            // its prompt behind those of higher tiers.
+            engine_priority: if is_protected { Tier(0) } else { tier },
+            delivered: Tokens(entry.delivered),
+            charged_ms,
+        })
+    }
+
+    /// Charges the work of a request to its class.
+    fn charge_class(&mut self, turn: &Turn, charged_ms: f64) {
+        let min_share = self.policy.classes[turn.class.at()].min_share;
         let class = &mut self.classes[turn.class.at()];
         class.aged_running += u32::from(turn.is_aged);
         class.used_since_tick_ms += charged_ms;
-        if policy.min_share.0 > 0.0 {
+        if min_share.0 > 0.0 {
             class.share.charge(charged_ms);
         }
-        occupy(&mut self.engines[choice.engine.at()], context.now, request);
-        let delivered = entry.delivered;
-        self.refresh_cost(context.settings, choice.engine);
-        self.started.push_back((request, attempt));
-        context.record(Decision::Dispatched {
-            request,
-            attempt,
-            engine: choice.engine,
-            cached_tokens: Tokens(choice.cached_tokens),
-            is_protected,
-        });
-        context.effects.push(Effect::Dispatch {
-            request,
-            attempt,
-            engine: choice.engine,
-            // Inside the engine, too, nothing may keep it waiting: a low priority would starve
-            // its prompt behind those of higher tiers.
-            priority: if is_protected { Tier(0) } else { tier },
-            resume_from: Tokens(delivered),
-            cached_tokens: Tokens(choice.cached_tokens),
-        });
     }
 }
 
+/// A request that was booked on an engine.
+struct Started {
+    attempt: AttemptNumber,
+    /// It waited for its class's longest wait, or its class is owed its part: it isn't preempted.
+    is_protected: bool,
+    engine_priority: Tier,
+    /// Tokens that the caller has already.
+    delivered: Tokens,
+    charged_ms: f64,
+}
+
 fn occupy(engine: &mut Engine, now: bridgevane_types::TimeMs, request: RequestId) {
     if engine.load.in_flight() == 0 {
         engine.heard_at = now;
