--- a/crates/adapters/src/http_platform.rs
+++ b/crates/adapters/src/http_platform.rs
@@ -2,18 +2,18 @@
 
 use crate::http_client::{HttpClient, HttpError};
 use crate::platform::{
-    KeyValue, KvCas, KvError, KvLease, KvValue, LeaseId, Revision, VmEntry, VmList, WeightStore,
+    KeyValue, KvCas, KvError, KvLease, KvRevision, KvValue, LeaseId, VmEntry, VmList, WeightStore,
 };
 use bridgevane_types::{DurationMs, ModelName};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an ordinary call may take. Not measured, chosen because the service answers in milliseconds when it is
-/// well.
+/// How long an ordinary call may take. Not measured, chosen because the service answers in
+/// milliseconds when it is well.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// What a watch may take beyond its own wait. Not measured, chosen because a slow service may take as long for any
-/// call.
+/// What a watch may take beyond its own wait. Not measured, chosen because a slow service may take
+/// as long for any call.
 const WATCH_SLACK: Duration = Duration::from_secs(2);
 
 /// The platform at an address.
@@ -30,7 +30,7 @@
 #[derive(Serialize)]
 struct WatchBody<'a> {
     key: &'a str,
-    after: Revision,
+    after: KvRevision,
     wait_ms: DurationMs,
 }
 
@@ -86,7 +86,7 @@
             .map_err(kv_error)
     }
 
-    async fn compare_and_swap(&self, cas: KvCas) -> Result<Revision, KvError> {
+    async fn compare_and_swap(&self, cas: KvCas) -> Result<KvRevision, KvError> {
         self.http
             .post_json("/kv/cas", &cas, CALL_TIMEOUT)
             .await
@@ -96,7 +96,7 @@
     async fn watch(
         &self,
         key: &str,
-        after: Revision,
+        after: KvRevision,
         wait_ms: DurationMs,
     ) -> Result<Option<KvValue>, KvError> {
         let body = WatchBody {
--- a/crates/adapters/src/lib.rs
+++ b/crates/adapters/src/lib.rs
@@ -21,5 +21,5 @@
 pub use http_platform::HttpPlatform;
 pub use plain::{PlainAnswer, PlainCall, PlainCallError, PlainService};
 pub use platform::{
-    KeyValue, KvCas, KvError, KvLease, KvValue, LeaseId, Revision, VmEntry, VmList, WeightStore,
+    KeyValue, KvCas, KvError, KvLease, KvRevision, KvValue, LeaseId, VmEntry, VmList, WeightStore,
 };
--- a/crates/adapters/src/platform.rs
+++ b/crates/adapters/src/platform.rs
@@ -24,7 +24,7 @@
     Deserialize,
 )]
 #[serde(transparent)]
-pub struct Revision(pub u64);
+pub struct KvRevision(pub u64);
 
 /// A lease of the key-value service.
 #[derive(Clone, Copy, Debug, Display, From, Into, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
     /// The value as text.
     pub text: String,
     /// The revision that wrote it.
-    pub revision: Revision,
+    pub revision: KvRevision,
 }
 
 /// A compare-and-swap.
@@ -46,7 +46,7 @@
     /// The key.
     pub key: String,
     /// The revision that the key must have; none: the key must be absent.
-    pub expected: Option<Revision>,
+    pub expected: Option<KvRevision>,
     /// The new value; none: remove the key.
     pub text: Option<String>,
     /// The lease whose end removes the key.
@@ -104,13 +104,13 @@
     fn compare_and_swap(
         &self,
         cas: KvCas,
-    ) -> impl Future<Output = Result<Revision, KvError>> + Send;
+    ) -> impl Future<Output = Result<KvRevision, KvError>> + Send;
 
     /// Waits at most `wait_ms` for a value newer than `after`; none: nothing newer.
     fn watch(
         &self,
         key: &str,
-        after: Revision,
+        after: KvRevision,
         wait_ms: DurationMs,
     ) -> impl Future<Output = Result<Option<KvValue>, KvError>> + Send;
 
--- a/crates/gateway/src/control/endpoint_registry.rs
+++ b/crates/gateway/src/control/endpoint_registry.rs
@@ -1,7 +1,8 @@
-//! The endpoint registry: every endpoint that has a record, or had one until lately, with its revision.
+//! The endpoint registry: every endpoint that has a record, or had one until lately, with its
+//! revision.
 //!
-//! Only the follower of the source touches it, under the lock of [`super::state`]; requests read the
-//! [`Directory`] that is made of it. An older record never replaces a newer one.
+//! Only the follower of the source touches it, under the lock of [`super::state`]; requests read
+//! the [`Directory`] that is made of it. An older record never replaces a newer one.
 
 use crate::control::source::Revision;
 use crate::decisions::replication::record_expiry::Removal;
@@ -14,7 +15,7 @@
 use std::sync::Arc;
 
 #[derive(Debug)]
-struct Entry {
+struct RegistryEntry {
     /// The revision of the newest record, or of its removal.
     revision: Revision,
     endpoint: Arc<Endpoint>,
@@ -23,7 +24,7 @@
 /// The registry.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointRegistry {
-    entries: HashMap<EndpointId, Entry>,
+    entries: HashMap<EndpointId, RegistryEntry>,
     next_index: u32,
 }
 
@@ -47,7 +48,8 @@
         self.next_index += 1;
         let id = record.id.clone();
         let endpoint = Arc::new(Endpoint::new(index, record));
-        self.entries.insert(id, Entry { revision, endpoint });
+        self.entries
+            .insert(id, RegistryEntry { revision, endpoint });
     }
 
     /// A record is gone.
@@ -106,7 +108,7 @@
     }
 }
 
-impl Entry {
+impl RegistryEntry {
     fn update(&mut self, record: EndpointRecord, revision: Revision) {
         self.revision = revision;
         self.endpoint.renew();
--- a/crates/gateway/src/control/replica.rs
+++ b/crates/gateway/src/control/replica.rs
@@ -1,8 +1,8 @@
 //! The replica: the records of the control source as this daemon has them, and the newest changes.
 //!
-//! Owns the records in the source's own form and a bounded list of changes, from which daemons that follow
-//! this one are brought up to date. A revision never goes back: what is older than the replica is passed
-//! over, so that nothing that is gone comes back by a daemon that is behind.
+//! Owns the records in the source's own form and a bounded list of changes, from which daemons that
+//! follow this one are brought up to date. A revision never goes back: what is older than the
+//! replica is passed over, so that nothing that is gone comes back by a daemon that is behind.
 //! Tests: `replica.rs`, among them every order of six steps of a source and two daemons.
 
 use crate::control::patch::{Patch, PatchDoesNotFit};
@@ -10,16 +10,16 @@
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that are remembered; a daemon that is further behind gets everything. Not measured, chosen because a
-/// release changes every endpoint's record once or twice within seconds.
+/// Changes that are remembered; a daemon that is further behind gets everything. Not measured,
+/// chosen because a release changes every endpoint's record once or twice within seconds.
 const MAX_CHANGES: usize = 512;
-/// Bytes of remembered changes. Not measured, chosen because it is small against the memory of the smallest
-/// VM (88 MB) and holds a hundred changes of a document as patches.
+/// Bytes of remembered changes. Not measured, chosen because it is small against the memory of the
+/// smallest VM (88 MB) and holds a hundred changes of a document as patches.
 const MAX_CHANGE_BYTES: usize = 256 * 1024;
 
 /// What became of a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RecordOutcome {
     /// Its whole value.
     Whole(Bytes),
     /// How its value differs from the one of `base`.
@@ -41,15 +41,15 @@
     /// The revision that made it.
     pub revision: Revision,
     /// What became of it.
-    pub outcome: Outcome,
+    pub outcome: RecordOutcome,
 }
 
 impl RecordChange {
     fn bytes(&self) -> usize {
         let value = match &self.outcome {
-            Outcome::Whole(value) => value.len(),
-            Outcome::Patched { patch, .. } => patch.inserted.len(),
-            Outcome::Gone => 0,
+            RecordOutcome::Whole(value) => value.len(),
+            RecordOutcome::Patched { patch, .. } => patch.inserted.len(),
+            RecordOutcome::Gone => 0,
         };
         self.key.len() + value
     }
@@ -123,15 +123,15 @@
             return false;
         }
         let outcome = match (&record.value, known) {
-            (None, _) => Outcome::Gone,
+            (None, _) => RecordOutcome::Gone,
             (Some(new), Some(old)) => match Patch::between(&old.bytes, new) {
-                Some(patch) => Outcome::Patched {
+                Some(patch) => RecordOutcome::Patched {
                     base: old.revision,
                     patch,
                 },
-                None => Outcome::Whole(new.clone()),
+                None => RecordOutcome::Whole(new.clone()),
             },
-            (Some(new), None) => Outcome::Whole(new.clone()),
+            (Some(new), None) => RecordOutcome::Whole(new.clone()),
         };
         match &record.value {
             None => {
@@ -171,7 +171,7 @@
             let all = self.records.iter().map(|(key, value)| RecordChange {
                 key: key.clone(),
                 revision: value.revision,
-                outcome: Outcome::Whole(value.bytes.clone()),
+                outcome: RecordOutcome::Whole(value.bytes.clone()),
             });
             return Update::Everything(all.collect());
         }
@@ -214,9 +214,9 @@
     known: Option<&Value>,
 ) -> Result<Option<Bytes>, PatchDoesNotFit> {
     let (base, patch) = match &change.outcome {
-        Outcome::Gone => return Ok(None),
-        Outcome::Whole(value) => return Ok(Some(value.clone())),
-        Outcome::Patched { base, patch } => (*base, patch),
+        RecordOutcome::Gone => return Ok(None),
+        RecordOutcome::Whole(value) => return Ok(Some(value.clone())),
+        RecordOutcome::Patched { base, patch } => (*base, patch),
     };
     let known = known.ok_or(PatchDoesNotFit)?;
     if known.revision >= change.revision {
--- a/crates/gateway/src/decisions/endpoint/stream_reservation.rs
+++ b/crates/gateway/src/decisions/endpoint/stream_reservation.rs
@@ -1,13 +1,18 @@
 //! Stream reservation: in each data centre some engines are reserved for streams.
 //!
 //! An engine that reads a long prompt gives nobody a token meanwhile, so that streams beside it
-//! pause. Rule: in each data centre, `RESERVED_SHARE` of the engines, those with the lowest hash of
-//! their id, are reserved for requests that count as streams; every daemon that sees the same
-//! endpoints reserves the same ones. A request counts as a stream when its prompt is short or its
-//! answer long against it. The reservation is a cost in [`super::placement`], not a wall.
+//! pause.
+//!
+//! Rule: in each data centre, `RESERVED_SHARE` of the engines, those with the lowest hash of their
+//! id, are reserved for requests that count as streams; every daemon that sees the same endpoints
+//! reserves the same ones. A request counts as a stream when its prompt is short or its answer long
+//! against it. The reservation is a cost in [`super::placement`], not a wall.
+//!
 //! Inputs: ids and data centres of a service's endpoints; a prompt's tokens and most answer tokens.
+//!
 //! Measured: commit e941a2e (longest pause of practice plans, p99: 348 to 79 ms; ravaton 0.089 to
 //! 0.659, solcata 0.432 to 0.797).
+//!
 //! Tests: `decisions.rs::streams_and_long_prompts_go_to_different_engines`,
 //! `streams_leave_an_engine_before_its_slots_are_taken`.
 
@@ -21,8 +26,8 @@
 /// grown scale-2 from 0.808 to 0.734 (commit 8f01409); more than 0.3 was not tried.
 const RESERVED_SHARE: f64 = 0.3;
 /// Answer tokens for each prompt token from which a request counts as a stream. Not measured by
-/// itself; chosen because the largest answer that a client allows is about four times the usual one:
-/// by the time of such an answer, reports counted as streams and joined them (commit e941a2e).
+/// itself; chosen because the largest answer that a client allows is about four times the usual
+/// one: by the time of such an answer, reports counted as streams and joined them (commit e941a2e).
 const MIN_ANSWER_RATIO: f64 = 0.15;
 /// The longest prompt that counts as a stream whatever its answer: an engine reads it in about one
 /// step (2,048 tokens at the users' sites). Measured in commit 00d04db: ravaton 0.698 to 0.683,
@@ -38,7 +43,7 @@
 
 /// An endpoint of a service.
 #[derive(Clone, Debug)]
-pub(crate) struct Member<'a> {
+pub(crate) struct ReservationMember<'a> {
     /// Its index on this daemon.
     pub(crate) index: EndpointIx,
     /// Its id, the same on all daemons.
@@ -48,7 +53,9 @@
 }
 
 /// The endpoints of a service that are reserved for streams.
-pub(crate) fn reserve<'a>(members: impl Iterator<Item = Member<'a>>) -> HashSet<EndpointIx> {
+pub(crate) fn reserve<'a>(
+    members: impl Iterator<Item = ReservationMember<'a>>,
+) -> HashSet<EndpointIx> {
     let mut by_data_centre: HashMap<&DataCentreId, Vec<(u64, EndpointIx)>> = HashMap::new();
     for member in members {
         let hash = xxh3_64(member.id.as_bytes());
--- a/crates/gateway/src/decisions/resend/mod.rs
+++ b/crates/gateway/src/decisions/resend/mod.rs
@@ -1,22 +1,27 @@
 //! Sending again: may a request go to another endpoint, and if not, why not?
 //!
-//! Inputs: what happened ([`Failure`]), the route's policy, which attempts there were, the time left
-//! until the deadline, and the retry budget that all daemons share ([`retry_budget`]).
+//! Inputs: what happened ([`Failure`]), the route's policy, which attempts there were, the time
+//! left until the deadline, and the retry budget that all daemons share ([`retry_budget`]).
+//!
 //! Rules, in this order:
 //! 1. A request that was *not sent* goes elsewhere for free; one that its endpoint says it did
 //!    *not run* goes elsewhere and takes from the budget. Both may run once only. At most
 //!    [`MAX_ENDPOINTS`] endpoints are tried this way.
-//! 2. A request that *may have run* is sent again only where its route allows more than one run, while
-//!    runs are left, and the budget gives one. So does one whose endpoint answered with a server error.
-//! 3. A *silent* endpoint's request is sent to a second one under the same rule; the run that is still
-//!    out counts ([`hedging`] says when).
-//! 4. A *stream* that broke off goes on elsewhere under the same rule, where its route can be resumed and
-//!    time is left.
+//! 2. A request that *may have run* is sent again only where its route allows more than one run,
+//!    while runs are left, and the budget gives one. So does one whose endpoint answered with a
+//!    server error.
+//! 3. A *silent* endpoint's request is sent to a second one under the same rule; the run that is
+//!    still out counts ([`hedging`] says when).
+//! 4. A *stream* that broke off goes on elsewhere under the same rule, where its route can be
+//!    resumed and time is left.
+//!
+//! Reason: a call that may run once must never run twice, and retries must not make an overload
+//! worse. "Not run" is said only where it is proved: no byte was sent, or the endpoint says so.
+//!
+//! Measured: commits c4eddeb (server errors of resumable streams: ravaton 0.777 to 0.789), 359f77a
+//! (the budget).
 //!
-//! Reason: a call that may run once must never run twice, and retries must not make an overload worse.
-//! "Not run" is said only where it is proved: no byte was sent, or the endpoint says so.
-//! Measured: commits c4eddeb (server errors of resumable streams: ravaton 0.777 to 0.789), 359f77a (the
-//! budget). Tests: `resend.rs`; `exchange.rs::outcomes_of_plain_requests`.
+//! Tests: `resend.rs`; `exchange.rs::outcomes_of_plain_requests`.
 
 pub mod hedging;
 pub mod retry_budget;
@@ -25,8 +30,8 @@
 use derive_more::{Display, Error};
 use std::time::Duration;
 
-/// Endpoints that are tried at most while the request has not run. Not measured (commit c8e2817). Fewer
-/// refuse more while some endpoints are full; each costs a round trip of the client's time.
+/// Endpoints that are tried at most while the request has not run. Not measured (commit c8e2817).
+/// Fewer refuse more while some endpoints are full; each costs a round trip of the client's time.
 pub const MAX_ENDPOINTS: usize = 4;
 /// The least time that an endpoint is given. Not measured, chosen because it is a round trip and a
 /// step of the fastest endpoints; below it the answer would come too late.
@@ -109,7 +114,7 @@
 
 /// What became of a request so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Progress {
+pub struct ResendProgress {
     /// Endpoints that it was sent to, or was to be sent to.
     pub endpoints_tried: usize,
     /// Attempts that ran, or may have run.
@@ -141,15 +146,15 @@
     BudgetEmpty,
 }
 
-/// Decides whether a request is sent again. `take_from_budget` takes one retry, if one is left; it is
-/// called last, and only where a retry is paid for.
+/// Decides whether a request is sent again. `take_from_budget` takes one retry, if one is left; it
+/// is called last, and only where a retry is paid for.
 ///
 /// # Errors
 /// [`NoResend`] when it isn't.
 pub fn check(
     failure: Failure,
     policy: ResendPolicy,
-    progress: Progress,
+    progress: ResendProgress,
     take_from_budget: impl FnOnce() -> bool,
 ) -> Result<(), NoResend> {
     let is_free = match failure {
@@ -178,7 +183,7 @@
     Err(NoResend::BudgetEmpty)
 }
 
-fn check_endpoints(progress: Progress) -> Result<(), NoResend> {
+fn check_endpoints(progress: ResendProgress) -> Result<(), NoResend> {
     if progress.endpoints_tried >= MAX_ENDPOINTS {
         return Err(NoResend::NoEndpointsLeft);
     }
@@ -195,7 +200,7 @@
     Ok(())
 }
 
-fn check_resume(policy: ResendPolicy, progress: Progress) -> Result<(), NoResend> {
+fn check_resume(policy: ResendPolicy, progress: ResendProgress) -> Result<(), NoResend> {
     if !policy.is_resumable {
         return Err(NoResend::NotResumable);
     }
--- a/crates/gateway/src/endpoints/directory.rs
+++ b/crates/gateway/src/endpoints/directory.rs
@@ -1,8 +1,9 @@
 //! The directory: all endpoints that may get work, by service.
 //!
-//! It is immutable and read without locks; [`crate::control::state`] builds a new one on each change.
+//! It is immutable and read without locks; [`crate::control::state`] builds a new one on each
+//! change.
 
-use crate::decisions::endpoint::stream_reservation::{self, Member};
+use crate::decisions::endpoint::stream_reservation::{self, ReservationMember};
 use crate::endpoints::endpoint::Endpoint;
 use bridgevane_decisions::EndpointIx;
 use bridgevane_types::ServiceName;
@@ -23,11 +24,14 @@
     pub fn new(mut all: Vec<Arc<Endpoint>>) -> Self {
         all.sort_by_key(|endpoint| endpoint.index);
         let records: Vec<_> = all.iter().map(|endpoint| endpoint.record.load()).collect();
-        let members = all.iter().zip(&records).map(|(endpoint, record)| Member {
-            index: endpoint.index,
-            id: record.id.as_str(),
-            data_centre: &record.data_centre,
-        });
+        let members = all
+            .iter()
+            .zip(&records)
+            .map(|(endpoint, record)| ReservationMember {
+                index: endpoint.index,
+                id: record.id.as_str(),
+                data_centre: &record.data_centre,
+            });
         let reserved_for_streams = stream_reservation::reserve(members);
         drop(records);
         Self {
--- a/crates/gateway/src/endpoints/endpoint.rs
+++ b/crates/gateway/src/endpoints/endpoint.rs
@@ -1,10 +1,11 @@
 //! One endpoint: its record from the control source, and its state on this daemon.
 //!
-//! Owns load, health and idle connections, each behind its own lock or atomics. Its record is replaced as a whole by
-//! [`crate::control::endpoint_registry`]; requests hold the endpoint by reference count while they need it.
+//! Owns load, health and idle connections, each behind its own lock or atomics. Its record is
+//! replaced as a whole by [`crate::control::endpoint_registry`]; requests hold the endpoint by
+//! reference count while they need it.
 
 use crate::clock::AtomicTime;
-use crate::endpoints::health::Health;
+use crate::endpoints::health::EndpointHealth;
 use crate::endpoints::idle_connections::IdleConnections;
 use crate::endpoints::load::EndpointLoad;
 use crate::pending_prefill::EndpointHash;
@@ -42,7 +43,7 @@
     /// Requests there.
     pub load: EndpointLoad,
     /// What became of requests there.
-    pub health: Health,
+    pub health: EndpointHealth,
     /// Open connections without a request.
     pub(crate) idle_connections: IdleConnections,
     /// When it counts as gone, since its record went during an outage of the source.
@@ -57,13 +58,14 @@
             hash: EndpointHash::of_id(&record.id),
             record: ArcSwap::from_pointee(record),
             load: EndpointLoad::default(),
-            health: Health::default(),
+            health: EndpointHealth::default(),
             idle_connections: IdleConnections::default(),
             expires_at: AtomicTime::default(),
         }
     }
 
-    /// Its record is gone; it is used until `at` nonetheless, or until an earlier moment set before.
+    /// Its record is gone; it is used until `at` nonetheless, or until an earlier moment set
+    /// before.
     pub(crate) fn expire_at(&self, at: TimeMs) {
         self.expires_at.set_if_unset(at);
     }
--- a/crates/gateway/src/endpoints/health.rs
+++ b/crates/gateway/src/endpoints/health.rs
@@ -8,11 +8,11 @@
 
 /// The outcomes of requests at one endpoint.
 #[derive(Debug, Default)]
-pub struct Health {
+pub struct EndpointHealth {
     outcomes: Mutex<Outcomes>,
 }
 
-impl Health {
+impl EndpointHealth {
     fn outcomes(&self) -> MutexGuard<'_, Outcomes> {
         self.outcomes.lock().expect("no panic under this lock")
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,14 @@
 //! The forwarding gateway: requests are passed to endpoints as they came.
 //!
-//! A [`ControlSource`] supplies routes, customers' keys and endpoints, and an adapter supplies the names of
-//! headers ([`HeaderNames`]). This package decides which endpoint gets a request, what may be sent again, what
-//! is refused, and whether the configuration is recent enough to act on ([`decisions`]). It owns no state that
-//! outlives the process.
+//! A [`ControlSource`] supplies routes, customers' keys and endpoints, and an adapter supplies the
+//! names of headers ([`HeaderNames`]). This package decides which endpoint gets a request, what may
+//! be sent again, what is refused, and whether the configuration is recent enough to act on
+//! ([`decisions`]). It owns no state that outlives the process.
 //!
-//! What other packages may use is listed here; everything else is the crate's own. Dependencies go one way:
-//! plain types (`prompt`, `route`, `pending_prefill`), `decisions`, `endpoints`, `control`, the `gateway` with
-//! its owners, and on top `requests`, `replication` and `lifecycle`, which act.
+//! What other packages may use is listed here; everything else is the crate's own. Dependencies go
+//! one way: plain types (`prompt`, `route`, `pending_prefill`), `decisions`, `endpoints`,
+//! `control`, the `gateway` with its owners, and on top `requests`, `replication` and `lifecycle`,
+//! which act.
 
 mod clock;
 mod control;
@@ -49,10 +50,10 @@
 
 // State that tests of the rules set up.
 pub use control::patch::{Patch, PatchDoesNotFit};
-pub use control::replica::{Outcome, Replica, Update};
+pub use control::replica::{RecordOutcome, Replica, Update};
 pub use endpoints::directory::ServiceEndpoints;
 pub use endpoints::endpoint::Endpoint;
-pub use endpoints::health::Health;
+pub use endpoints::health::EndpointHealth;
 pub use endpoints::load::EndpointLoad;
 pub use endpoints::prompt_locations::PromptLocations;
 pub use endpoints::selection::{Selected, SelectionRequest, select_endpoint};
--- a/crates/gateway/src/replication/message.rs
+++ b/crates/gateway/src/replication/message.rs
@@ -3,7 +3,7 @@
 //! The messages are `bridgevane-protocol`'s; their field numbers never change.
 
 use crate::control::patch::Patch;
-use crate::control::replica::{Outcome, RecordChange, Update};
+use crate::control::replica::{RecordChange, RecordOutcome, Update};
 use crate::control::source::Revision;
 use crate::pending_prefill::{EndpointHash, MIN_REPORTED_TOKENS, PendingPrefill};
 use bridgevane_protocol::record_change::Change;
@@ -14,14 +14,14 @@
 use derive_more::{Display, Error};
 use prost::Message;
 
-/// Records are packed from so many bytes on. Not measured by itself (commit 8f01409: states of 0.9 MB over
-/// links of 10 Mbit/s), chosen because below it packing saves a packet or two.
+/// Records are packed from so many bytes on. Not measured by itself (commit 8f01409: states of 0.9
+/// MB over links of 10 Mbit/s), chosen because below it packing saves a packet or two.
 const PACKED_FROM_BYTES: usize = 4 * 1024;
 /// The most that packed records may unpack to. Chosen because it is sixteen times the largest value
 /// of the platform's store; a sender can't make a daemon allocate more.
 const MAX_UNPACKED_BYTES: usize = 16 << 20;
-/// Endpoints in one message at most, those with the most tokens. Not measured by itself (commit 8f01409),
-/// chosen because at eight bytes each they stay below one packet.
+/// Endpoints in one message at most, those with the most tokens. Not measured by itself (commit
+/// 8f01409), chosen because at eight bytes each they stay below one packet.
 const MAX_REPORTED_ENDPOINTS: usize = 64;
 
 /// Records in an answer that can't be used here.
@@ -70,9 +70,9 @@
 
 fn change_message(change: RecordChange) -> RecordChangeMessage {
     let outcome = match change.outcome {
-        Outcome::Gone => Change::Gone(true),
-        Outcome::Whole(value) => Change::Whole(value),
-        Outcome::Patched { base, patch } => Change::Patch(RecordPatch {
+        RecordOutcome::Gone => Change::Gone(true),
+        RecordOutcome::Whole(value) => Change::Whole(value),
+        RecordOutcome::Patched { base, patch } => Change::Patch(RecordPatch {
             base_revision: base.0,
             kept_head: patch.kept_head as u64,
             kept_tail: patch.kept_tail as u64,
@@ -88,9 +88,9 @@
 
 fn change_of_message(message: RecordChangeMessage) -> Result<RecordChange, MessageError> {
     let outcome = match message.change.ok_or(MessageError::UnknownChange)? {
-        Change::Gone(_) => Outcome::Gone,
-        Change::Whole(value) => Outcome::Whole(value),
-        Change::Patch(patch) => Outcome::Patched {
+        Change::Gone(_) => RecordOutcome::Gone,
+        Change::Whole(value) => RecordOutcome::Whole(value),
+        Change::Patch(patch) => RecordOutcome::Patched {
             base: Revision(patch.base_revision),
             patch: Patch {
                 kept_head: patch.kept_head as usize,
--- a/crates/gateway/src/requests/attempt.rs
+++ b/crates/gateway/src/requests/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt: a request is sent to one endpoint, and the head of its answer is read.
 //!
-//! Owns the connection until the answer's body was read. Whether the request is sent again is not decided here: the
-//! caller gets an [`AttemptError`] that says whether it may have run.
+//! Owns the connection until the answer's body was read. Whether the request is sent again is not
+//! decided here: the caller gets an [`AttemptError`] that says whether it may have run.
 
 use crate::clock::Clock;
 use crate::decisions::endpoint::idle_connections::{MAX_IDLE_TRIES, may_reuse};
@@ -24,13 +24,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a connection to an endpoint may take to come up. Not measured, chosen because a lost opening
-/// packet is sent again only after a second, when another endpoint has long answered.
+/// How long a connection to an endpoint may take to come up. Not measured, chosen because a lost
+/// opening packet is sent again only after a second, when another endpoint has long answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// An endpoint's answer, its body still to be read.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct EndpointAnswer {
     /// The endpoint that answers, and why it was selected.
     pub(crate) selected: Selected,
     /// The load there when the request was sent, for logs.
@@ -44,13 +44,13 @@
     connection: Connection,
 }
 
-impl Answer {
+impl EndpointAnswer {
     pub(crate) fn endpoint(&self) -> &Arc<Endpoint> {
         &self.selected.endpoint
     }
 
-    /// The body was read to its end: keeps the connection for `idle_timeout`, if there is one, and gives
-    /// the head.
+    /// The body was read to its end: keeps the connection for `idle_timeout`, if there is one, and
+    /// gives the head.
     pub(crate) fn keep_connection(
         self,
         idle_timeout: Option<Duration>,
@@ -113,7 +113,7 @@
     pub(crate) async fn run<F: Fn() -> bool>(
         self,
         hedge: Hedge<F>,
-    ) -> Result<Answer, AttemptError> {
+    ) -> Result<EndpointAnswer, AttemptError> {
         let endpoint = &self.selected.endpoint;
         let request = self.request()?;
         let load = endpoint.load.snapshot(self.clock.now());
@@ -130,7 +130,7 @@
             endpoint.load.on_report(self.clock.now(), reported);
         }
         response_head::check(self.names, &self.inbound.id, &head, &headers)?;
-        Ok(Answer {
+        Ok(EndpointAnswer {
             selected: self.selected.clone(),
             load,
             head,
@@ -149,8 +149,8 @@
         Ok(self.inbound.outbound(self.names, &id, self.last_event_id))
     }
 
-    /// Sends the request on an idle connection or a new one, and waits for the answer's head. An idle
-    /// connection that turns out closed before a byte was sent on it is replaced by another.
+    /// Sends the request on an idle connection or a new one, and waits for the answer's head. An
+    /// idle connection that turns out closed before a byte was sent on it is replaced by another.
     async fn send<F: Fn() -> bool>(
         &self,
         mut request: Request<Full<Bytes>>,
--- a/crates/gateway/src/requests/exchange.rs
+++ b/crates/gateway/src/requests/exchange.rs
@@ -1,4 +1,5 @@
-//! The exchange of one request: endpoints are selected until one answers, or the request is refused.
+//! The exchange of one request: endpoints are selected until one answers, or the request is
+//! refused.
 //!
 //! Owns what became of the request so far. Whether it is shed, hedged or sent again is decided in
 //! [`crate::decisions`]; here the inputs are gathered, the verdicts carried out and logged.
@@ -6,12 +7,12 @@
 use crate::decisions::admission::load_shedding::{self, QueuedRequest};
 use crate::decisions::admission::refusal::{Refusal, RefusalReason};
 use crate::decisions::resend::{
-    self, AttemptError, Failure, NoResend, Progress, ResendPolicy, hedging,
+    self, AttemptError, Failure, NoResend, ResendPolicy, ResendProgress, hedging,
 };
 use crate::endpoints::endpoint::Endpoint;
 use crate::endpoints::selection::{Selected, SelectionRequest, select_endpoint};
 use crate::gateway::Gateway;
-use crate::requests::attempt::{Answer, Attempt, Hedge};
+use crate::requests::attempt::{Attempt, EndpointAnswer, Hedge};
 use crate::requests::inbound::InboundRequest;
 use crate::requests::response_head;
 use crate::route::Route;
@@ -25,11 +26,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// The longest answer that is read whole before it is passed on. Not measured, chosen because answers
-/// of plain services have some KB, and a daemon holds many at once.
+/// The longest answer that is read whole before it is passed on. Not measured, chosen because
+/// answers of plain services have some KB, and a daemon holds many at once.
 const MAX_WHOLE_ANSWER_BYTES: usize = 256 * 1024;
-/// One plain success in so many is logged. Not measured, chosen because a line costs processor time, and
-/// successes need only a picture; everything else is logged.
+/// One plain success in so many is logged. Not measured, chosen because a line costs processor
+/// time, and successes need only a picture; everything else is logged.
 const SUCCESS_SAMPLE: u32 = 16;
 
 /// An answer that was read whole.
@@ -72,7 +73,7 @@
     pub(crate) async fn dispatch(
         &mut self,
         last_event_id: Option<&HeaderValue>,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<EndpointAnswer, Refusal> {
         loop {
             let selected = self.select()?;
             self.check_queue(&selected)?;
@@ -159,7 +160,7 @@
         &mut self,
         selected: &Selected,
         last_event_id: Option<&HeaderValue>,
-    ) -> Result<Answer, AttemptError> {
+    ) -> Result<EndpointAnswer, AttemptError> {
         let endpoint = &selected.endpoint;
         self.tried.push(endpoint.clone());
         let sent_at = self.gateway.clock.now();
@@ -198,7 +199,7 @@
         }
     }
 
-    fn on_answered(&mut self, answer: &Answer) {
+    fn on_answered(&mut self, answer: &EndpointAnswer) {
         self.runs += 1;
         if answer.head.status.is_server_error() {
             answer.endpoint().health.on_failed(self.gateway.clock.now());
@@ -241,7 +242,11 @@
     }
 
     /// The same after the body of an answer broke off, or did not come to its end in time.
-    fn after_broken_answer(&self, answer: Answer, error: AttemptError) -> Result<(), Refusal> {
+    fn after_broken_answer(
+        &self,
+        answer: EndpointAnswer,
+        error: AttemptError,
+    ) -> Result<(), Refusal> {
         let endpoint = answer.endpoint().clone();
         let status = answer.head.status;
         endpoint.health.on_failed(self.gateway.clock.now());
@@ -261,9 +266,10 @@
         resend.map_err(|_| Refusal::after_failure(error, self.runs))
     }
 
-    /// Whether the request may be sent again after a failure, and why not; takes from the retry budget.
+    /// Whether the request may be sent again after a failure, and why not; takes from the retry
+    /// budget.
     pub(crate) fn may_resend(&self, failure: Failure) -> Result<(), NoResend> {
-        let progress = Progress {
+        let progress = ResendProgress {
             endpoints_tried: self.tried.len(),
             runs: self.runs,
             remaining: self.inbound.remaining(),
@@ -277,11 +283,11 @@
     }
 
     /// Whether another endpoint is asked in place of an answer.
-    fn is_retried(&self, answer: &Answer) -> bool {
+    fn is_retried(&self, answer: &EndpointAnswer) -> bool {
         answer.head.status.is_server_error() && self.may_resend(Failure::ServerError).is_ok()
     }
 
-    fn finish_whole(&self, answer: Answer, body: Bytes) -> WholeAnswer {
+    fn finish_whole(&self, answer: EndpointAnswer, body: Bytes) -> WholeAnswer {
         let pace = Pace {
             first: self.inbound.arrived.elapsed(),
             longest_gap: Duration::ZERO,
@@ -295,7 +301,7 @@
     }
 
     /// Keeps the connection of an answer whose body was read to its end; gives the answer's head.
-    pub(crate) fn keep_connection(&self, answer: Answer) -> response::Parts {
+    pub(crate) fn keep_connection(&self, answer: EndpointAnswer) -> response::Parts {
         let headers = self.gateway.endpoint_headers(&answer.head.headers);
         let idle_timeout = response_head::idle_timeout(&headers);
         let max_idle = self.gateway.max_idle_connections(answer.endpoint());
@@ -303,7 +309,7 @@
     }
 
     /// Counts an answer that reached its end, and logs it; of the plain successes a sample.
-    pub(crate) fn on_served(&self, answer: &Answer, pace: Pace) {
+    pub(crate) fn on_served(&self, answer: &EndpointAnswer, pace: Pace) {
         let status = answer.head.status;
         let metrics = &self.gateway.metrics;
         metrics.served(&self.inbound.service, status.as_u16(), pace.first);
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -1,10 +1,11 @@
 //! Passes a stream on to the client, and goes on at another endpoint when it breaks off.
 //!
-//! Owns the exchange while the stream lasts. Dropped when the client leaves, it closes the endpoint's connection at once.
+//! Owns the exchange while the stream lasts. Dropped when the client leaves, it closes the
+//! endpoint's connection at once.
 
 use crate::decisions::resend::{Failure, NoResend};
 use crate::requests::answer_body::StreamError;
-use crate::requests::attempt::Answer;
+use crate::requests::attempt::EndpointAnswer;
 use crate::requests::exchange::{Exchange, Pace, resend_text};
 use crate::requests::response_head;
 use crate::requests::server_events::EventSplitter;
@@ -49,7 +50,7 @@
 pub(crate) struct Relay {
     exchange: Exchange,
     /// The answer that is read now; none at the end.
-    answer: Option<Answer>,
+    answer: Option<EndpointAnswer>,
     /// Set for streams that can be resumed: only whole events are passed on.
     splitter: Option<EventSplitter>,
     has_first_piece: bool,
@@ -59,7 +60,7 @@
 }
 
 impl Relay {
-    pub(crate) fn new(exchange: Exchange, answer: Answer) -> Self {
+    pub(crate) fn new(exchange: Exchange, answer: EndpointAnswer) -> Self {
         let is_resumable = exchange.inbound.route.is_resumable();
         let is_success = answer.head.status.is_success();
         Self {
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -10,7 +10,7 @@
 use bridgevane_gateway::decisions::endpoint::queue_delay::{PendingRequest, QueueDelay};
 use bridgevane_gateway::decisions::replication::fleet_size::FleetSize;
 use bridgevane_gateway::{
-    Customer, Endpoint, EndpointLoad, EndpointRecord, GatewaySettings, Health, Prompt,
+    Customer, Endpoint, EndpointHealth, EndpointLoad, EndpointRecord, GatewaySettings, Prompt,
     PromptLocations, PromptPart, RetryBudgets, Route, RouteTarget, Selected, SelectionRequest,
     ServiceEndpoints, select_endpoint,
 };
@@ -279,7 +279,7 @@
 
 #[test]
 fn an_endpoint_that_was_lost_comes_back_and_is_away_longer_each_time() {
-    let health = Health::default();
+    let health = EndpointHealth::default();
     assert!(health.on_lost(NOW));
     assert!(!health.on_lost(NOW), "it is away already");
     assert_eq!(health.trust(TimeMs(NOW.0 + 499)), Trust::Ejected);
@@ -302,7 +302,7 @@
 
 #[test]
 fn an_endpoint_that_failed_gets_work_again_after_a_while() {
-    let health = Health::default();
+    let health = EndpointHealth::default();
     for _ in 0..20 {
         health.on_failed(NOW);
     }
--- a/crates/gateway/tests/replica.rs
+++ b/crates/gateway/tests/replica.rs
@@ -1,7 +1,7 @@
 //! Records as one daemon passes them to another.
 
 use bridgevane_gateway::{
-    Changes, FullState, MessageError, Outcome, Patch, PatchDoesNotFit, Replica, Revision,
+    Changes, FullState, MessageError, Patch, PatchDoesNotFit, RecordOutcome, Replica, Revision,
     SourceRecord, Update, put_update, take_update,
 };
 use bridgevane_protocol::RecordsAnswer;
@@ -94,7 +94,7 @@
     let Update::Changes(newer) = upstream.update_since(downstream.at()) else {
         panic!("it is not far behind");
     };
-    let is_patch = |at: usize| matches!(newer[at].outcome, Outcome::Patched { .. });
+    let is_patch = |at: usize| matches!(newer[at].outcome, RecordOutcome::Patched { .. });
     assert!(is_patch(0) && is_patch(1), "one on top of the other");
     assert!(follow(&upstream, &mut downstream));
     assert_eq!(downstream.at(), Revision(9));
--- a/crates/gateway/tests/resend.rs
+++ b/crates/gateway/tests/resend.rs
@@ -2,8 +2,8 @@
 
 use bridgevane_gateway::decisions::admission::refusal::{Refusal, RefusalReason};
 use bridgevane_gateway::decisions::resend::{
-    AttemptError, Failure, MAX_ENDPOINTS, MIN_REMAINING, NoResend, OpenError, Progress,
-    ResendPolicy, check, hedging,
+    AttemptError, Failure, MAX_ENDPOINTS, MIN_REMAINING, NoResend, OpenError, ResendPolicy,
+    ResendProgress, check, hedging,
 };
 use bridgevane_types::DurationMs;
 use std::cell::Cell;
@@ -28,8 +28,8 @@
 const NOT_RUN: Failure = Failure::Attempt(AttemptError::NotExecuted { retry_after: None });
 const BROKEN: Failure = Failure::Attempt(AttemptError::Broken);
 
-fn progress(endpoints_tried: usize, runs: u32) -> Progress {
-    Progress {
+fn progress(endpoints_tried: usize, runs: u32) -> ResendProgress {
+    ResendProgress {
         endpoints_tried,
         runs,
         remaining: Duration::from_secs(1),
@@ -40,7 +40,7 @@
 fn verdict(
     failure: Failure,
     policy: ResendPolicy,
-    progress: Progress,
+    progress: ResendProgress,
     has_budget: bool,
 ) -> (Result<(), NoResend>, bool) {
     let is_taken = Cell::new(false);
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_stream_without_time_left_is_not_resumed() {
-    let late = Progress {
+    let late = ResendProgress {
         remaining: MIN_REMAINING,
         ..progress(1, 1)
     };
--- a/crates/standins/src/platform_server.rs
+++ b/crates/standins/src/platform_server.rs
@@ -6,7 +6,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::post;
 use axum::{Json, Router};
-use bridgevane_adapters::{KvCas, KvLease, KvValue, LeaseId, Revision, VmEntry};
+use bridgevane_adapters::{KvCas, KvLease, KvRevision, KvValue, LeaseId, VmEntry};
 use bridgevane_types::{DurationMs, ModelName};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -80,7 +80,7 @@
     keys: HashMap<String, Stored>,
     leases: HashMap<LeaseId, Lease>,
     next_lease: u64,
-    revision: Revision,
+    revision: KvRevision,
     vms: Vec<VmEntry>,
     fault: Fault,
     started: Instant,
@@ -113,7 +113,7 @@
 #[derive(Deserialize)]
 struct WatchBody {
     key: String,
-    after: Revision,
+    after: KvRevision,
     wait_ms: DurationMs,
 }
 
@@ -148,7 +148,7 @@
             keys: HashMap::new(),
             leases: HashMap::new(),
             next_lease: 0,
-            revision: Revision(0),
+            revision: KvRevision(0),
             vms: Vec::new(),
             fault: Fault::default(),
             started: Instant::now(),
@@ -179,7 +179,7 @@
     }
 
     /// Writes a key without any condition, as an operator's first set-up does.
-    pub fn put(&self, key: &str, text: &str) -> Revision {
+    pub fn put(&self, key: &str, text: &str) -> KvRevision {
         let mut platform = self.lock();
         platform.revision.0 += 1;
         let value = KvValue {
@@ -258,7 +258,7 @@
             .retain(|_, stored| stored.lease.is_none_or(|id| leases.contains_key(&id)));
     }
 
-    fn swap(&mut self, cas: KvCas) -> Result<Revision, StatusCode> {
+    fn swap(&mut self, cas: KvCas) -> Result<KvRevision, StatusCode> {
         let current = self.keys.get(&cas.key).map(|stored| stored.value.revision);
         if current != cas.expected {
             return Err(StatusCode::CONFLICT);
@@ -295,7 +295,7 @@
 async fn compare_and_swap(
     State(standin): State<PlatformStandin>,
     Json(cas): Json<KvCas>,
-) -> Result<Json<Revision>, Response> {
+) -> Result<Json<KvRevision>, Response> {
     standin.admit(CallKind::Write).await?;
     let (result, is_answer_lost) = {
         let mut platform = standin.lock();
--- a/crates/standins/tests/contract.rs
+++ b/crates/standins/tests/contract.rs
@@ -3,8 +3,8 @@
 
 use bridgevane_adapters::{
     CacheChange, EngineCallError, FencedOrder, GenerateCall, HttpEngine, HttpPlainService,
-    HttpPlatform, KeyValue, KvCas, KvError, ModelEngine, Order, OrderReply, PieceEvent, PlainCall,
-    PlainCallError, PlainService, Revision, VmList, WeightStore,
+    HttpPlatform, KeyValue, KvCas, KvError, KvRevision, ModelEngine, Order, OrderReply, PieceEvent,
+    PlainCall, PlainCallError, PlainService, VmList, WeightStore,
 };
 use bridgevane_standins::{
     EngineSpec, EngineStandin, EngineStandinSettings, Fault, PlainStandin, PlatformSettings,
@@ -25,7 +25,7 @@
     (standin, adapter, served)
 }
 
-fn cas(key: &str, expected: Option<Revision>, text: &str) -> KvCas {
+fn cas(key: &str, expected: Option<KvRevision>, text: &str) -> KvCas {
     KvCas {
         key: key.into(),
         expected,
--- a/src/configs/gateway.rs
+++ b/src/configs/gateway.rs
@@ -1,10 +1,12 @@
 //! Settings of `gateway`: flags, then environment variables, then defaults; checked together.
 //!
-//! Bounds that the platform sets (a key's removal, an endpoint's leaving, a stop) are turned here into the
-//! gateway's own times, which leave a margin for what comes after a decision.
+//! Bounds that the platform sets (a key's removal, an endpoint's leaving, a stop) are turned here
+//! into the gateway's own times, which leave a margin for what comes after a decision.
 
 use crate::configs::log::LogConfig;
-use crate::configs::settings_reader::{ADDRESS, NAME, Reader, SettingProblems, SettingSource};
+use crate::configs::settings_reader::{
+    ADDRESS, NAME, SettingProblems, SettingReader, SettingSource,
+};
 use bridgevane_gateway::GatewaySettings;
 use bridgevane_types::{Bytes, DurationMs, Share};
 use std::net::SocketAddr;
@@ -26,7 +28,8 @@
 /// Bytes of a megabyte, since settings say megabytes.
 const BYTES_PER_MB: u64 = 1 << 20;
 
-/// Default of `--key-removal-ms`, from the users' small sites; the deploy file gives each site's own.
+/// Default of `--key-removal-ms`, from the users' small sites; the deploy file gives each site's
+/// own.
 const DEFAULT_KEY_REMOVAL_MS: u64 = 5_000;
 /// Default of `--drain-ms`, from the users' small sites.
 const DEFAULT_DRAIN_MS: u64 = 2_000;
@@ -34,31 +37,34 @@
 const DEFAULT_STOP_S: f64 = 10.0;
 /// Default of `--retry-ratio`, from the users' sites.
 const DEFAULT_RETRY_RATIO: f64 = 0.2;
-/// Default of `--retry-slack`. Not measured, chosen because it leaves one retry a window to each of twelve daemons.
+/// Default of `--retry-slack`. Not measured, chosen because it leaves one retry a window to each of
+/// twelve daemons.
 const DEFAULT_RETRY_SLACK: f64 = 12.0;
 /// Default of `--retry-window-s`, from the users' sites.
 const DEFAULT_RETRY_WINDOW_S: f64 = 10.0;
 /// Default of `--memory-mb`, from the size that the product is designed for (docs/CAPACITY.md).
 const DEFAULT_MEMORY_MB: u64 = 128;
 
-/// Of the time in which a key's removal must be in force, what is left for a request to get out. Not measured, chosen
-/// because it covers a slow VM's turn between the last look at the proof and the send.
+/// Of the time in which a key's removal must be in force, what is left for a request to get out.
+/// Not measured, chosen because it covers a slow VM's turn between the last look at the proof and
+/// the send.
 const KEY_REMOVAL_MARGIN_MS: u64 = 300;
-/// Of the time in which an endpoint's leaving must be in force, what is left for requests to get there. Not measured,
-/// chosen because it is the time that a connection may take to come up.
+/// Of the time in which an endpoint's leaving must be in force, what is left for requests to get
+/// there. Not measured, chosen because it is the time that a connection may take to come up.
 const DRAIN_MARGIN_MS: u64 = 300;
-/// How long one wait for changes lasts at the source: the configuration is proved that often. Measured with commit
-/// 19dad9b: waits of 1.7 s left proofs of up to 3.4 s when an outage began; few daemons ask, and the others' proofs
-/// are as old as theirs.
+/// How long one wait for changes lasts at the source: the configuration is proved that often.
+/// Measured with commit 19dad9b: waits of 1.7 s left proofs of up to 3.4 s when an outage began;
+/// few daemons ask, and the others' proofs are as old as theirs.
 const WATCH_WAIT: DurationMs = DurationMs(500);
-/// How long the balancer sends connections after the daemon isn't ready any more. Chosen because it asks once a second
-/// and believes the second miss; the rest is for slow answers.
+/// How long the balancer sends connections after the daemon isn't ready any more. Chosen because it
+/// asks once a second and believes the second miss; the rest is for slow answers.
 const BALANCER_DELAY: DurationMs = DurationMs(2_600);
-/// Of the time that a stop may take, what is kept for the process to end. Not measured, chosen because logs are written
-/// out every 200 ms.
+/// Of the time that a stop may take, what is kept for the process to end. Not measured, chosen
+/// because logs are written out every 200 ms.
 const STOP_MARGIN_MS: u64 = 400;
-/// The part of the memory that bodies may take: one in so many. Not measured, chosen because a daemon needs 5 to 8 MB
-/// itself (docs/CAPACITY.md), and buffers of connections come on top of bodies.
+/// The part of the memory that bodies may take: one in so many. Not measured, chosen because a
+/// daemon needs 5 to 8 MB itself (docs/CAPACITY.md), and buffers of connections come on top of
+/// bodies.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 
 impl GatewayConfig {
@@ -67,7 +73,7 @@
     /// # Errors
     /// Every problem at once.
     pub fn read(source: &impl SettingSource) -> Result<Self, SettingProblems> {
-        let mut reader = Reader::new(source);
+        let mut reader = SettingReader::new(source);
         let vm = reader.required("vm-id", NAME);
         let data_centre = reader.required("data-centre", NAME);
         let client_address = reader.required("client-address", ADDRESS);
@@ -118,7 +124,7 @@
 }
 
 impl Bounds {
-    fn read(reader: &mut Reader<'_, impl SettingSource>) -> Self {
+    fn read(reader: &mut SettingReader<'_, impl SettingSource>) -> Self {
         let key_removal_ms = reader.optional("key-removal-ms", MILLISECONDS);
         let drain_ms = reader.optional("drain-ms", MILLISECONDS);
         let stop_s: Option<f64> = reader.optional("stop-s", "a number of seconds");
@@ -138,7 +144,7 @@
 }
 
 impl Retries {
-    fn read(reader: &mut Reader<'_, impl SettingSource>) -> Self {
+    fn read(reader: &mut SettingReader<'_, impl SettingSource>) -> Self {
         let ratio = reader.optional("retry-ratio", "a share such as 0.2");
         let slack: Option<f64> = reader.optional("retry-slack", "a number of retries");
         let window_s: Option<f64> = reader.optional("retry-window-s", "seconds");
--- a/src/configs/log.rs
+++ b/src/configs/log.rs
@@ -1,6 +1,6 @@
 //! Settings of logs, the same for all commands that log.
 
-use crate::configs::settings_reader::{Reader, SettingSource};
+use crate::configs::settings_reader::{SettingReader, SettingSource};
 use derive_more::{Display, Error};
 use std::str::FromStr;
 
@@ -44,7 +44,7 @@
 
 impl LogConfig {
     /// Reads `--log-format` and `--log-level`.
-    pub(crate) fn read(reader: &mut Reader<'_, impl SettingSource>) -> Self {
+    pub(crate) fn read(reader: &mut SettingReader<'_, impl SettingSource>) -> Self {
         let default = Self::default();
         let format = reader.optional("log-format", "json or text");
         let level = reader.optional("log-level", "error, warn, info or debug");
--- a/src/configs/serve.rs
+++ b/src/configs/serve.rs
@@ -5,12 +5,13 @@
 use crate::configs::peers::PeersConfig;
 use crate::configs::serving::ServingConfig;
 use crate::configs::settings_reader::{
-    ADDRESS, NAME, Reader, Required, SettingProblems, SettingSource,
+    ADDRESS, NAME, Required, SettingProblems, SettingReader, SettingSource,
 };
 use bridgevane_types::{DataCentreId, VmId};
 use std::net::SocketAddr;
 
-/// The shortest key that daemons may share. Not measured, chosen because a shorter one can be guessed by trying.
+/// The shortest key that daemons may share. Not measured, chosen because a shorter one can be
+/// guessed by trying.
 const MIN_PEER_KEY_LEN: usize = 16;
 
 /// Everything that `serve` needs to know before it starts.
@@ -54,7 +55,7 @@
     /// # Errors
     /// Every problem at once.
     pub fn read(source: &impl SettingSource) -> Result<Self, SettingProblems> {
-        let mut reader = Reader::new(source);
+        let mut reader = SettingReader::new(source);
         let vm: Required<VmId> = reader.required("vm-id", NAME);
         let data_centre: Required<DataCentreId> = reader.required("data-centre", NAME);
         let caller_address = reader.required("caller-address", ADDRESS);
--- a/src/configs/settings_reader.rs
+++ b/src/configs/settings_reader.rs
@@ -1,8 +1,9 @@
 //! Reading settings from flags, then environment variables; every problem in one go.
 //!
-//! A command's arguments implement [`SettingSource`] by [`setting_source`], so that each flag is mapped once: to
-//! the field of its name. A configuration reads its settings with a [`Reader`], and gets their values only
-//! after [`Reader::finish`] has found no problem.
+//! A command's arguments implement `SettingSource` by `setting_source`, so that each flag is
+//! mapped once: to the field of its name. A configuration reads its settings with a
+//! `SettingReader`, and gets their values only after `SettingReader::finish` has found no
+//! problem.
 
 use derive_more::{Display, Error};
 use std::str::FromStr;
@@ -43,8 +44,8 @@
     format!("BRIDGEVANE_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-/// Implements [`SettingSource`] for a command's arguments: the flag `--vm-id` is the field `vm_id`; where it isn't
-/// given, its environment variable is read.
+/// Implements [`SettingSource`] for a command's arguments: the flag `--vm-id` is the field `vm_id`;
+/// where it isn't given, its environment variable is read.
 macro_rules! setting_source {
     ($arguments:ty: $($field:ident),* $(,)?) => {
         impl $crate::configs::settings_reader::SettingSource for $arguments {
@@ -63,7 +64,7 @@
 pub(crate) use setting_source;
 
 /// Reads settings and gathers what is wrong with them.
-pub(crate) struct Reader<'a, S> {
+pub(crate) struct SettingReader<'a, S> {
     source: &'a S,
     problems: Vec<SettingProblem>,
 }
@@ -86,7 +87,7 @@
     }
 }
 
-impl<'a, S: SettingSource> Reader<'a, S> {
+impl<'a, S: SettingSource> SettingReader<'a, S> {
     pub(crate) fn new(source: &'a S) -> Self {
         Self {
             source,
--- a/src/modules/serve/configuration/change.rs
+++ b/src/modules/serve/configuration/change.rs
@@ -8,7 +8,7 @@
 use crate::modules::serve::configuration::follow::CONFIG_KEY;
 use crate::modules::serve::context::Context;
 use crate::modules::serve::operators::query_language::{Operand, Statement, Target};
-use bridgevane_adapters::{KeyValue, KvCas, KvError, Revision};
+use bridgevane_adapters::{KeyValue, KvCas, KvError, KvRevision};
 use bridgevane_config::{
     AcceptedOperation, ConfigProblems, Document, Envelope, EnvelopeError, OperationStatus, Sections,
 };
@@ -18,13 +18,13 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// How often a change is tried on top of others' changes of other sections. Not measured, chosen because each
-/// failed try means that another operator's change went through meanwhile.
+/// How often a change is tried on top of others' changes of other sections. Not measured, chosen
+/// because each failed try means that another operator's change went through meanwhile.
 const TRIES: u32 = 5;
 
 /// A change that an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum ProposedChange {
     /// A statement of the language.
     Statement(Statement),
     /// A whole document, made on top of a version.
@@ -39,7 +39,7 @@
     /// The operator.
     pub operator: OperatorName,
     /// The change.
-    pub change: Change,
+    pub change: ProposedChange,
 }
 
 /// What became of a proposal.
@@ -93,7 +93,7 @@
 
 struct Read {
     envelope: Envelope,
-    revision: Option<Revision>,
+    revision: Option<KvRevision>,
 }
 
 /// Carries a proposal out.
@@ -102,8 +102,8 @@
 /// [`ChangeError`], which tells whether it took effect.
 pub async fn propose(context: &Arc<Context>, proposal: Proposal) -> Result<Decided, ChangeError> {
     let mut base = match &proposal.change {
-        Change::Document(_, base) => Some(*base),
-        Change::Statement(_) => None,
+        ProposedChange::Document(_, base) => Some(*base),
+        ProposedChange::Statement(_) => None,
     };
     for _ in 0..TRIES {
         let read = read(context).await.map_err(ChangeError::Away)??;
@@ -160,7 +160,7 @@
 async fn store(
     context: &Context,
     next: &Envelope,
-    expected: Option<Revision>,
+    expected: Option<KvRevision>,
 ) -> Result<Result<(), KvError>, ChangeError> {
     let cas = KvCas {
         key: CONFIG_KEY.to_owned(),
@@ -206,10 +206,10 @@
 
 /// Whether someone else changed the same sections since the proposal's base. A whole document
 /// replaces everything, so any change overlaps.
-fn overlaps(change: &Change, meanwhile: &[AcceptedOperation], paths: &[String]) -> bool {
+fn overlaps(change: &ProposedChange, meanwhile: &[AcceptedOperation], paths: &[String]) -> bool {
     match change {
-        Change::Document(..) => !meanwhile.is_empty(),
-        Change::Statement(_) => {
+        ProposedChange::Document(..) => !meanwhile.is_empty(),
+        ProposedChange::Statement(_) => {
             let changed = meanwhile.iter().flat_map(|operation| &operation.changed);
             changed.into_iter().any(|path| paths.contains(path))
         }
@@ -229,10 +229,10 @@
 }
 
 /// The document after the change.
-fn apply(change: &Change, document: &Document) -> Result<Document, ChangeError> {
+fn apply(change: &ProposedChange, document: &Document) -> Result<Document, ChangeError> {
     match change {
-        Change::Document(next, _) => Ok((**next).clone()),
-        Change::Statement(statement) => apply_statement(statement, document),
+        ProposedChange::Document(next, _) => Ok((**next).clone()),
+        ProposedChange::Statement(statement) => apply_statement(statement, document),
     }
 }
 
--- a/src/modules/serve/configuration/follow.rs
+++ b/src/modules/serve/configuration/follow.rs
@@ -3,7 +3,7 @@
 
 use crate::modules::serve::configuration::accept;
 use crate::modules::serve::context::Context;
-use bridgevane_adapters::{KeyValue, KvValue, Revision};
+use bridgevane_adapters::{KeyValue, KvRevision, KvValue};
 use bridgevane_config::Envelope;
 use bridgevane_events::{Event, event};
 use bridgevane_types::DurationMs;
@@ -12,15 +12,16 @@
 
 /// The key under which the platform's service holds the configuration.
 pub const CONFIG_KEY: &str = "bridgevane/config";
-/// How long one watch waits. Not measured, chosen because a waiting watch counts as one call, whatever its length.
+/// How long one watch waits. Not measured, chosen because a waiting watch counts as one call,
+/// whatever its length.
 const WATCH_MS: DurationMs = DurationMs(30_000);
-/// How often it is looked whether this daemon is a watcher, or may call again. Not measured, chosen because a
-/// watcher that died must be replaced within the 5 s of a change.
+/// How often it is looked whether this daemon is a watcher, or may call again. Not measured, chosen
+/// because a watcher that died must be replaced within the 5 s of a change.
 const LOOK_EVERY: Duration = Duration::from_millis(200);
 
 /// Follows until the daemon ends.
 pub async fn run(context: Arc<Context>) {
-    let mut after = Revision(0);
+    let mut after = KvRevision(0);
     loop {
         let is_due = context.members.is_watcher() && context.replica.may_call(context.now());
         if !is_due {
--- a/src/modules/serve/configuration/replica.rs
+++ b/src/modules/serve/configuration/replica.rs
@@ -1,4 +1,5 @@
-//! This daemon's copy of the configuration as it goes between daemons, and its budget of the platform's calls.
+//! This daemon's copy of the configuration as it goes between daemons, and its budget of the
+//! platform's calls.
 //!
 //! Owns both behind locks that no request takes; what requests read is [`super::in_force`].
 
@@ -12,7 +13,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// This daemon's copy, and its budget of calls for it.
-pub struct Replica {
+pub struct ConfigCopy {
     replica: Mutex<ConfigReplica>,
     budget: Mutex<CallBudget>,
     /// Some peer or the platform has answered since the start.
@@ -21,7 +22,7 @@
     has_served: AtomicBool,
 }
 
-impl Replica {
+impl ConfigCopy {
     /// An empty copy.
     pub fn new(seed: u64) -> Self {
         Self {
--- a/src/modules/serve/context.rs
+++ b/src/modules/serve/context.rs
@@ -1,10 +1,11 @@
 //! The state of `serve`: one owner a concern, handed down instead of globals.
 //!
-//! It knows the owners; no owner knows it. What acts on them (the modules that take a context) uses each other one way only.
+//! It knows the owners; no owner knows it. What acts on them (the modules that take a context) uses
+//! each other one way only.
 
 use crate::configs::serve::ServeConfig;
 use crate::modules::serve::configuration::in_force::ConfigInForce;
-use crate::modules::serve::configuration::replica::Replica;
+use crate::modules::serve::configuration::replica::ConfigCopy;
 use crate::modules::serve::keys::key_homes::KeyHomes;
 use crate::modules::serve::leaving::Leaving;
 use crate::modules::serve::observation::burn::Burn;
@@ -35,7 +36,7 @@
     /// Pools of all services.
     pub pools: PoolDirectory,
     /// The configuration as it goes between daemons.
-    pub replica: Replica,
+    pub replica: ConfigCopy,
     /// Who lives in this data centre.
     pub members: Members,
     /// Connections to other daemons.
@@ -61,7 +62,8 @@
 }
 
 impl Context {
-    /// The state of a daemon that has just started, and the connections to daemons that it will ask for.
+    /// The state of a daemon that has just started, and the connections to daemons that it will ask
+    /// for.
     pub fn new(
         config: ServeConfig,
         incarnation: Incarnation,
@@ -76,7 +78,7 @@
             platform: HttpPlatform::new(config.platform_address),
             in_force: ConfigInForce::default(),
             pools: PoolDirectory::default(),
-            replica: Replica::new(seed),
+            replica: ConfigCopy::new(seed),
             members: Members::new(config.vm.clone(), config.peers.address, incarnation),
             links,
             homes: RemoteRequests::default(),
--- a/src/modules/serve/operators/interface.rs
+++ b/src/modules/serve/operators/interface.rs
@@ -1,6 +1,8 @@
 //! The operators' HTTP interface: statements in, answers out, by name and bearer token.
 
-use crate::modules::serve::configuration::change::{self, Change, ChangeError, Decided, Proposal};
+use crate::modules::serve::configuration::change::{
+    self, ChangeError, Decided, Proposal, ProposedChange,
+};
 use crate::modules::serve::context::Context;
 use crate::modules::serve::operators::fan_out;
 use crate::modules::serve::operators::queries::Answer;
@@ -19,8 +21,8 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// The largest document that an operator may propose: a value of the platform's service. From the platform's limit
-/// of a value.
+/// The largest document that an operator may propose: a value of the platform's service. From the
+/// platform's limit of a value.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// What an operator sends.
@@ -60,6 +62,7 @@
 }
 
 fn operator_of(context: &Context, headers: &HeaderMap) -> Option<OperatorName> {
+    // A header that is no text holds no token, and is refused as such.
     let header = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let token = header.strip_prefix("Bearer ")?;
     let known = context.config.operators.iter();
@@ -125,7 +128,7 @@
             | Statement::DrainEngine { .. }
             | Statement::RollOut { .. }),
         ) => {
-            let change = Change::Statement(statement);
+            let change = ProposedChange::Statement(statement);
             propose(&context, operator, &ask, change, text).await
         }
         Ok(Statement::DrainVm { vm, .. }) => {
@@ -196,7 +199,7 @@
         let what = "give the version that the document was made on".into();
         return error(StatusCode::BAD_REQUEST, what);
     };
-    let change = Change::Document(Box::new(document), base);
+    let change = ProposedChange::Document(Box::new(document), base);
     propose(context, operator, ask, change, "document").await
 }
 
@@ -204,7 +207,7 @@
     context: &Arc<Context>,
     operator: OperatorName,
     ask: &Ask,
-    change: Change,
+    change: ProposedChange,
     text: &str,
 ) -> Response {
     let Some(operation_id) = ask.operation_id.clone() else {
--- a/src/modules/serve/pools/actor.rs
+++ b/src/modules/serve/pools/actor.rs
@@ -2,8 +2,8 @@
 
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::context::Context;
-use crate::modules::serve::pools::engine_link::EngineLink;
-use crate::modules::serve::pools::engine_poll;
+use crate::modules::serve::pools::endpoint_link::EndpointLink;
+use crate::modules::serve::pools::endpoint_poll;
 use crate::modules::serve::pools::handle::{MAX_MESSAGES, PoolHandle, PoolMessage, PoolView};
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderSender;
@@ -170,6 +170,7 @@
             request: offer.request,
             class: policy.class_ix(&offer.class)?,
             customer: policy.customer_ix(&offer.customer)?,
+            // A kind that isn't known here yet is estimated like the first one.
             kind: policy.kind_ix(&offer.kind).unwrap_or_default(),
             prompt_tokens: offer.prompt_tokens,
             max_tokens: offer.max_tokens,
@@ -305,7 +306,7 @@
         &mut self,
         request: RequestId,
         attempt: AttemptNumber,
-        link: Option<Arc<EngineLink>>,
+        link: Option<Arc<EndpointLink>>,
         priority: Tier,
         cached_tokens: Tokens,
     ) {
@@ -341,7 +342,7 @@
         self.pool.set_policy(policy, &self.settings);
         if !self.is_polled {
             self.is_polled = true;
-            let poll = engine_poll::run(
+            let poll = endpoint_poll::run(
                 self.context.clone(),
                 self.service.clone(),
                 self.messages.clone(),
--- a/src/modules/serve/pools/directory.rs
+++ b/src/modules/serve/pools/directory.rs
@@ -1,7 +1,7 @@
 //! The pools of all services on this VM.
 
 use crate::modules::serve::configuration::in_force::InForce;
-use crate::modules::serve::pools::engine_link::EngineLink;
+use crate::modules::serve::pools::endpoint_link::EndpointLink;
 use crate::modules::serve::pools::handle::PoolHandle;
 use arc_swap::ArcSwap;
 use bridgevane_types::{EndpointId, ServiceName};
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct PoolDirectory {
     pools: ArcSwap<HashMap<ServiceName, PoolHandle>>,
-    links: ArcSwap<HashMap<(ServiceName, EndpointId), Arc<EngineLink>>>,
+    links: ArcSwap<HashMap<(ServiceName, EndpointId), Arc<EndpointLink>>>,
 }
 
 impl PoolDirectory {
@@ -22,7 +22,7 @@
     }
 
     /// The link to a worker.
-    pub fn link(&self, service: &ServiceName, engine: &EndpointId) -> Option<Arc<EngineLink>> {
+    pub fn link(&self, service: &ServiceName, engine: &EndpointId) -> Option<Arc<EndpointLink>> {
         let key = (service.clone(), engine.clone());
         self.links.load().get(&key).cloned()
     }
@@ -58,7 +58,7 @@
                     .filter(|link| link.address == engine.address);
                 let link = match same {
                     Some(link) => link.clone(),
-                    None => Arc::new(EngineLink::new(name.clone(), engine.address)),
+                    None => Arc::new(EndpointLink::new(name.clone(), engine.address)),
                 };
                 links.insert(key, link);
             }
--- a/src/modules/serve/pools/engine_link.rs
+++ b/src/modules/serve/pools/endpoint_link.rs
@@ -6,7 +6,7 @@
 
 /// One worker of a service; the service's kind says which of the two adapters is used.
 #[derive(Debug)]
-pub struct EngineLink {
+pub struct EndpointLink {
     /// Name.
     pub name: EndpointId,
     /// Address.
@@ -17,7 +17,7 @@
     pub plain: HttpPlainService,
 }
 
-impl EngineLink {
+impl EndpointLink {
     /// The worker at `address`.
     pub fn new(name: EndpointId, address: SocketAddr) -> Self {
         Self {
--- a/src/modules/serve/pools/engine_poll.rs
+++ b/src/modules/serve/pools/endpoint_poll.rs
@@ -1,7 +1,7 @@
 //! Reads load reports and cache events of a pool's engines.
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::pools::engine_link::EngineLink;
+use crate::modules::serve::pools::endpoint_link::EndpointLink;
 use crate::modules::serve::pools::handle::PoolMessage;
 use crate::modules::serve::pools::homes;
 use bridgevane_adapters::{EngineCallError, LoadReport, ModelEngine, PlainCallError, PlainService};
@@ -15,7 +15,7 @@
 
 /// What is remembered of one engine between reads.
 struct Polled {
-    link: Arc<EngineLink>,
+    link: Arc<EndpointLink>,
     kind: ServiceKind,
     cache_sequence: u64,
     is_reachable: bool,
@@ -73,7 +73,7 @@
         let entry = match known.iter().position(same) {
             Some(found) => known.swap_remove(found),
             None => Polled {
-                link: Arc::new(EngineLink::new(name.clone(), engine.address)),
+                link: Arc::new(EndpointLink::new(name.clone(), engine.address)),
                 kind: config.kind,
                 cache_sequence: 0,
                 is_reachable: true,
@@ -109,6 +109,7 @@
                 busy: report.running.0 + report.waiting.0,
                 age_ms: report.age_ms,
             };
+            // The pool has ended, and so will this task.
             let _ = messages.send(message).await;
         }
         Err(error) => {
@@ -132,6 +133,7 @@
     if let Some(last) = events.last() {
         polled.cache_sequence = last.sequence;
         let name = polled.link.name.clone();
+        // The pool has ended, and so will this task.
         let _ = messages.send(PoolMessage::Cache(name, events)).await;
     }
 }
--- a/src/modules/serve/pools/messages.rs
+++ b/src/modules/serve/pools/messages.rs
@@ -1,6 +1,6 @@
 //! What passes between a request and the pool that decides on it, wherever the pool is.
 
-use crate::modules::serve::pools::engine_link::EngineLink;
+use crate::modules::serve::pools::endpoint_link::EndpointLink;
 use bridgevane_decisions::{AttemptEnd, CancelCause};
 use bridgevane_types::{
     AttemptNumber, ClassName, CustomerId, DurationMs, KindName, Outcome, RefusalCode, RequestId,
@@ -8,8 +8,8 @@
 };
 use std::sync::Arc;
 
-/// When a caller may come back whose request found no pool, no engine or a full queue. Not measured, chosen because a
-/// configuration or a queue changes within seconds.
+/// When a caller may come back whose request found no pool, no engine or a full queue. Not
+/// measured, chosen because a configuration or a queue changes within seconds.
 pub const RETRY_SOON: DurationMs = DurationMs(1_000);
 
 /// A request that asks a pool to be served, by names.
@@ -47,7 +47,7 @@
         /// The attempt.
         attempt: AttemptNumber,
         /// The engine.
-        engine: Arc<EngineLink>,
+        engine: Arc<EndpointLink>,
         /// Priority inside the engine.
         priority: Tier,
         /// Prompt tokens that are believed to be cached there.
--- a/src/modules/serve/pools/mod.rs
+++ b/src/modules/serve/pools/mod.rs
@@ -2,8 +2,8 @@
 
 pub(crate) mod actor;
 pub(crate) mod directory;
-pub(crate) mod engine_link;
-pub(crate) mod engine_poll;
+pub(crate) mod endpoint_link;
+pub(crate) mod endpoint_poll;
 pub(crate) mod handle;
 pub(crate) mod homes;
 pub(crate) mod messages;
--- a/src/modules/serve/requests/caller.rs
+++ b/src/modules/serve/requests/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::context::Context;
-use crate::modules::serve::requests::refusal::{BadRequest, Refusal};
+use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal};
 use axum::body::{Body, Bytes};
 use axum::http::{HeaderMap, header};
 use bridgevane_config::ClassConfig;
@@ -24,12 +24,12 @@
 }
 
 /// Checks that the VM takes work and that the key is a customer's.
-pub(crate) fn identify(context: &Context, headers: &HeaderMap) -> Result<Caller, Refusal> {
+pub(crate) fn identify(context: &Context, headers: &HeaderMap) -> Result<Caller, CallerRefusal> {
     let request = context.new_request_id();
     if context.leaving.is_leaving() {
         let code = RefusalCode::Leaving;
         let retry_after_ms = Some(DurationMs(0));
-        return Err(Refusal::refused(
+        return Err(CallerRefusal::refused(
             request,
             code,
             Outcome::NotRun,
@@ -41,14 +41,15 @@
         .load()
         .filter(|_| context.replica.may_serve());
     let Some(in_force) = in_force else {
-        return Err(Refusal::bad_request(request, BadRequest::NotReady));
+        return Err(CallerRefusal::bad_request(request, BadRequest::NotReady));
     };
     let key = headers
         .get(header::AUTHORIZATION)
+        // A header that is no text holds no key, and is refused as such.
         .and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
     let known = key.and_then(|key| in_force.customer_of_key(key));
     let Some((customer, config)) = known else {
-        return Err(Refusal::bad_request(request, BadRequest::UnknownKey));
+        return Err(CallerRefusal::bad_request(request, BadRequest::UnknownKey));
     };
     let customer = customer.clone();
     let default_kind = config.default_kind.clone();
@@ -65,12 +66,12 @@
     context: &Context,
     request: RequestId,
     body: Body,
-) -> Result<Bytes, Refusal> {
+) -> Result<Bytes, CallerRefusal> {
     let serving = &context.config.serving;
     let reading = Limited::new(body, serving.max_body_bytes).collect();
     let read = tokio::time::timeout(serving.body_timeout_ms.as_std(), reading).await;
     let Ok(read) = read else {
-        return Err(Refusal::bad_request(request, BadRequest::BodyTimeout));
+        return Err(CallerRefusal::bad_request(request, BadRequest::BodyTimeout));
     };
     read.map(|body| body.to_bytes()).map_err(|error| {
         let bad = if error.is::<LengthLimitError>() {
@@ -78,18 +79,18 @@
         } else {
             BadRequest::MalformedBody
         };
-        Refusal::bad_request(request, bad)
+        CallerRefusal::bad_request(request, bad)
     })
 }
 
 impl Caller {
     /// The answer to a request that is at fault.
-    pub(crate) fn bad(&self, bad: BadRequest) -> Refusal {
-        Refusal::bad_request(self.request, bad)
+    pub(crate) fn bad(&self, bad: BadRequest) -> CallerRefusal {
+        CallerRefusal::bad_request(self.request, bad)
     }
 
     /// The kind that the header names, or the customer's default one, with its class.
-    pub(crate) fn kind(&self, headers: &HeaderMap) -> Result<(KindName, ClassName), Refusal> {
+    pub(crate) fn kind(&self, headers: &HeaderMap) -> Result<(KindName, ClassName), CallerRefusal> {
         let named = headers
             .get(KIND_HEADER)
             .and_then(|value| value.to_str().ok());
@@ -104,7 +105,7 @@
     }
 
     /// The class's configuration.
-    pub(crate) fn class(&self, class: &ClassName) -> Result<&ClassConfig, Refusal> {
+    pub(crate) fn class(&self, class: &ClassName) -> Result<&ClassConfig, CallerRefusal> {
         let config = self.in_force.document.class.get(class);
         config.ok_or_else(|| self.bad(BadRequest::KindNotAllowed))
     }
--- a/src/modules/serve/requests/model_answer.rs
+++ b/src/modules/serve/requests/model_answer.rs
@@ -2,7 +2,7 @@
 
 use crate::modules::serve::requests::chat_format::AnswerFormat;
 use crate::modules::serve::requests::model_request::CallerEvent;
-use crate::modules::serve::requests::refusal::{Refusal, header_value};
+use crate::modules::serve::requests::refusal::{CallerRefusal, header_value};
 use axum::Json;
 use axum::body::{Body, Bytes};
 use axum::response::{IntoResponse, Response};
@@ -31,7 +31,7 @@
         }
     }
     let code = RefusalCode::RetriesExhausted;
-    Refusal::refused(format.request, code, Outcome::Unknown, None).into_response()
+    CallerRefusal::refused(format.request, code, Outcome::Unknown, None).into_response()
 }
 
 /// An answer as server-sent events. The status waits for the first event, so that a refusal
@@ -46,7 +46,7 @@
         Some(first) => first,
         None => {
             let code = RefusalCode::RetriesExhausted;
-            let refusal = Refusal::refused(format.request, code, Outcome::Unknown, None);
+            let refusal = CallerRefusal::refused(format.request, code, Outcome::Unknown, None);
             return refusal.into_response();
         }
     };
@@ -59,8 +59,8 @@
     (headers, Body::from_stream(events)).into_response()
 }
 
-/// Pieces that are sent to the caller in one write at most. Not measured, chosen because it bounds the memory of
-/// one connection.
+/// Pieces that are sent to the caller in one write at most. Not measured, chosen because it bounds
+/// the memory of one connection.
 const MAX_BATCH: usize = 64;
 
 /// Whatever is ready goes out in one write: a caller that reads slower than the engine writes
--- a/src/modules/serve/requests/model_attempt.rs
+++ b/src/modules/serve/requests/model_attempt.rs
@@ -1,10 +1,13 @@
 //! One attempt of a model request: its call of an engine, and the pieces that come back.
 //!
-//! A piece is delivered only if it belongs to this request and the running attempt and continues exactly where the
-//! caller's text ends; late, repeated and crossed pieces are dropped, a gap ends the attempt.
+//! A piece is delivered only if it belongs to this request and the running attempt and continues
+//! exactly where the caller's text ends; late, repeated and crossed pieces are dropped, a gap ends
+//! the attempt.
 
 use crate::modules::serve::requests::attempt_reports::Reported;
-use crate::modules::serve::requests::model_request::{Attempt, AttemptResult, CallerEvent, Runner};
+use crate::modules::serve::requests::model_request::{
+    AttemptResult, CallerEvent, EngineAttempt, Runner,
+};
 use bridgevane_adapters::{EngineCallError, GenerateCall, ModelEngine, Piece, PieceEvent};
 use bridgevane_decisions::AttemptEnd;
 use bridgevane_events::{Event, event};
@@ -19,7 +22,7 @@
         AttemptNumber(self.attempts.saturating_sub(1))
     }
 
-    fn call(&self, attempt: &Attempt) -> GenerateCall {
+    fn call(&self, attempt: &EngineAttempt) -> GenerateCall {
         GenerateCall {
             request: self.id(),
             attempt: self.own_attempt(),
@@ -32,7 +35,7 @@
         }
     }
 
-    pub(super) async fn stream_attempt(&mut self, attempt: &Attempt) -> AttemptResult {
+    pub(super) async fn stream_attempt(&mut self, attempt: &EngineAttempt) -> AttemptResult {
         let engine = attempt.engine.model.clone();
         let starting = engine.generate(self.call(attempt));
         tokio::pin!(starting);
@@ -82,7 +85,7 @@
     /// Takes what came from the engine; some result when the attempt is over.
     async fn take(
         &mut self,
-        attempt: &Attempt,
+        attempt: &EngineAttempt,
         piece: Option<Result<Piece, EngineCallError>>,
         reported: &mut Reported,
     ) -> Option<AttemptResult> {
@@ -109,7 +112,7 @@
 
     async fn deliver(
         &mut self,
-        attempt: &Attempt,
+        attempt: &EngineAttempt,
         text: String,
         reported: &mut Reported,
     ) -> Option<AttemptResult> {
@@ -149,10 +152,11 @@
     }
 
     /// Cancels at the engine without waiting: a dead engine needs no cancelling.
-    pub(super) fn cancel_at_engine(&self, attempt: &Attempt) {
+    pub(super) fn cancel_at_engine(&self, attempt: &EngineAttempt) {
         let engine = attempt.engine.model.clone();
         let (request, number) = (self.id(), self.own_attempt());
         tokio::spawn(async move {
+            // An engine that can't be reached runs nothing that could be cancelled.
             let _ = engine.cancel(request, number).await;
         });
     }
--- a/src/modules/serve/requests/model_call.rs
+++ b/src/modules/serve/requests/model_call.rs
@@ -5,7 +5,7 @@
 use crate::modules::serve::requests::caller::{identify, read_body};
 use crate::modules::serve::requests::chat_format::{AnswerFormat, ModelCall, Shape};
 use crate::modules::serve::requests::model_request::{self, CallerEvent, ModelRequest};
-use crate::modules::serve::requests::refusal::{BadRequest, Refusal};
+use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal};
 use crate::modules::serve::requests::targets::Targets;
 use axum::extract::Request;
 use bridgevane_types::Tokens;
@@ -14,15 +14,16 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Characters that count as one prompt token before the engine has counted. Not measured, chosen because it is the
-/// usual rule of thumb for English text; engines count exactly.
+/// Characters that count as one prompt token before the engine has counted. Not measured, chosen
+/// because it is the usual rule of thumb for English text; engines count exactly.
 const CHARS_PER_TOKEN: u64 = 4;
-/// Characters of a prefix block, as the engines cut prompts. Chosen because it is 16 tokens of 4 characters.
+/// Characters of a prefix block, as the engines cut prompts. Chosen because it is 16 tokens of 4
+/// characters.
 const BLOCK_CHARS: usize = 64;
 /// Prompt tokens of a prefix block. From the engines' usual block size.
 const BLOCK_TOKENS: u32 = 16;
-/// Blocks that are sent with an offer at most; a longer prompt is thinned out. Not measured, chosen because the
-/// first 256 tokens tell prompts of one customer apart.
+/// Blocks that are sent with an offer at most; a longer prompt is thinned out. Not measured, chosen
+/// because the first 256 tokens tell prompts of one customer apart.
 const MAX_BLOCKS: usize = 16;
 
 /// Hashes of the prompt's prefixes, and the tokens that one stands for. A long prompt keeps
@@ -43,7 +44,7 @@
     context: &Arc<Context>,
     shape: Shape,
     request: Request,
-) -> Result<(AnswerFormat, ModelCall, mpsc::Receiver<CallerEvent>), Refusal> {
+) -> Result<(AnswerFormat, ModelCall, mpsc::Receiver<CallerEvent>), CallerRefusal> {
     let (head, body) = request.into_parts();
     let caller = identify(context, &head.headers)?;
     let (kind, class) = caller.kind(&head.headers)?;
--- a/src/modules/serve/requests/model_outcome.rs
+++ b/src/modules/serve/requests/model_outcome.rs
@@ -1,8 +1,9 @@
-//! What became of a model request: told to its pool and its caller, counted in metrics and burn, logged.
+//! What became of a model request: told to its pool and its caller, counted in metrics and burn,
+//! logged.
 
 use crate::modules::serve::observation::burn::Ended;
-use crate::modules::serve::requests::model_request::{Attempt, CallerEvent, Runner};
-use crate::modules::serve::requests::refusal::Refusal;
+use crate::modules::serve::requests::model_request::{CallerEvent, EngineAttempt, Runner};
+use crate::modules::serve::requests::refusal::CallerRefusal;
 use bridgevane_adapters::EndReason;
 use bridgevane_decisions::AttemptEnd;
 use bridgevane_events::{Event, event};
@@ -40,7 +41,7 @@
         self.send(CallerEvent::End(reason, tokens)).await;
     }
 
-    pub(super) async fn refuse(&self, refusal: Refusal) {
+    pub(super) async fn refuse(&self, refusal: CallerRefusal) {
         let now = self.context.now();
         let is_cut = self.delivered > 0 || refusal.outcome != Outcome::NotRun;
         let ended = if is_cut { Ended::Cut } else { Ended::Refused };
@@ -62,7 +63,7 @@
     }
 
     /// A resumption computes prompt and delivered tokens again, less what is cached.
-    pub(super) fn count_recomputed(&self, attempt: &Attempt) {
+    pub(super) fn count_recomputed(&self, attempt: &EngineAttempt) {
         let computed = self.request.offer.prompt_tokens.0 + self.delivered;
         let again = computed.saturating_sub(attempt.cached_tokens.0);
         self.waste(self.interrupted_by, again);
--- a/src/modules/serve/requests/model_request.rs
+++ b/src/modules/serve/requests/model_request.rs
@@ -1,14 +1,15 @@
 //! One model request, from its offer to its final answer: it obeys its pool's orders.
 //!
-//! Owns what was delivered so far and how often the request was attempted. An attempt's stream is read in
-//! [`super::model_attempt`], what became of the request is recorded in [`super::model_outcome`].
+//! Owns what was delivered so far and how often the request was attempted. An attempt's stream is
+//! read in [`super::model_attempt`], what became of the request is recorded in
+//! [`super::model_outcome`].
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::pools::engine_link::EngineLink;
+use crate::modules::serve::pools::endpoint_link::EndpointLink;
 use crate::modules::serve::pools::homes;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderReceiver;
-use crate::modules::serve::requests::refusal::Refusal;
+use crate::modules::serve::requests::refusal::CallerRefusal;
 use crate::modules::serve::requests::targets::Targets;
 use bridgevane_adapters::EndReason;
 use bridgevane_decisions::{AttemptEnd, CancelCause};
@@ -26,7 +27,7 @@
     /// The answer is whole.
     End(EndReason, Tokens),
     /// The final answer without a whole result.
-    Refused(Refusal),
+    Refused(CallerRefusal),
 }
 
 /// What a request needs to run.
@@ -47,13 +48,13 @@
     Cancelled(CancelCause),
     Failed(AttemptEnd),
     CallerGone,
-    Refused(Refusal),
+    Refused(CallerRefusal),
 }
 
 /// An attempt as the pool ordered it.
-pub(super) struct Attempt {
+pub(super) struct EngineAttempt {
     pub(super) number: AttemptNumber,
-    pub(super) engine: Arc<EngineLink>,
+    pub(super) engine: Arc<EndpointLink>,
     pub(super) priority: Tier,
     pub(super) cached_tokens: Tokens,
 }
@@ -131,7 +132,7 @@
                     priority,
                     cached_tokens,
                 }) => {
-                    let attempt = Attempt {
+                    let attempt = EngineAttempt {
                         number: attempt,
                         engine,
                         priority,
@@ -147,7 +148,7 @@
                     outcome,
                     retry_after_ms,
                 }) => {
-                    let refusal = Refusal::refused(self.id(), code, outcome, retry_after_ms);
+                    let refusal = CallerRefusal::refused(self.id(), code, outcome, retry_after_ms);
                     self.refuse(refusal).await;
                     return;
                 }
@@ -159,24 +160,24 @@
         }
     }
 
-    fn pool_gone(&self) -> Refusal {
+    fn pool_gone(&self) -> CallerRefusal {
         let outcome = if self.attempts == 0 {
             Outcome::NotRun
         } else {
             Outcome::Unknown
         };
-        Refusal::refused(self.id(), RefusalCode::NoEngine, outcome, None)
+        CallerRefusal::refused(self.id(), RefusalCode::NoEngine, outcome, None)
     }
 
     async fn refuse_full(&mut self) {
         let retry_after_ms = Some(RETRY_SOON);
         let code = RefusalCode::QueueFull;
-        let refusal = Refusal::refused(self.id(), code, Outcome::NotRun, retry_after_ms);
+        let refusal = CallerRefusal::refused(self.id(), code, Outcome::NotRun, retry_after_ms);
         self.refuse(refusal).await;
     }
 
     /// Runs an attempt; true when the request is over.
-    async fn run_attempt(&mut self, attempt: Attempt) -> bool {
+    async fn run_attempt(&mut self, attempt: EngineAttempt) -> bool {
         self.attempts += 1;
         if self.attempts > 1 && self.has_run {
             self.count_recomputed(&attempt);
@@ -218,7 +219,7 @@
     /// What an order that comes while an attempt runs means for it.
     pub(super) fn obey(
         &self,
-        attempt: &Attempt,
+        attempt: &EngineAttempt,
         order: Option<PoolOrder>,
     ) -> Option<AttemptResult> {
         match order {
@@ -231,7 +232,7 @@
                 outcome,
                 retry_after_ms,
             }) => {
-                let refusal = Refusal::refused(self.id(), code, outcome, retry_after_ms);
+                let refusal = CallerRefusal::refused(self.id(), code, outcome, retry_after_ms);
                 Some(AttemptResult::Refused(refusal))
             }
             Some(_) => None,
--- a/src/modules/serve/requests/plain_call.rs
+++ b/src/modules/serve/requests/plain_call.rs
@@ -5,7 +5,7 @@
 use crate::modules::serve::pools::messages::NamedOffer;
 use crate::modules::serve::requests::caller::{Caller, identify, read_body};
 use crate::modules::serve::requests::plain_request::{self, PlainRequest};
-use crate::modules::serve::requests::refusal::{BadRequest, Refusal, header_value};
+use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal, header_value};
 use crate::modules::serve::requests::targets::Targets;
 use axum::body::Bytes;
 use axum::extract::Request;
@@ -42,7 +42,7 @@
     service: ServiceName,
     path: String,
     request: Request,
-) -> Result<Response, Refusal> {
+) -> Result<Response, CallerRefusal> {
     let (head, body) = request.into_parts();
     let caller = identify(context, &head.headers)?;
     let path = format!("/{path}");
@@ -67,7 +67,7 @@
     let running = tokio::spawn(plain_request::run(context.clone(), plain_request));
     let unknown = || {
         let code = RefusalCode::OutcomeUnknown;
-        Refusal::refused(caller.request, code, Outcome::Unknown, None)
+        CallerRefusal::refused(caller.request, code, Outcome::Unknown, None)
     };
     let answer = running.await.map_err(|_| unknown())??;
     Ok(response(caller.request, answer))
@@ -78,7 +78,7 @@
     caller: &Caller,
     service: &ServiceName,
     path: &str,
-) -> Result<(RouteConfig, Targets), Refusal> {
+) -> Result<(RouteConfig, Targets), CallerRefusal> {
     let config = caller.in_force.document.service.get(service);
     let config = config
         .filter(|config| config.kind == ServiceKind::Plain)
@@ -94,6 +94,7 @@
     let key = text_header(&head.headers, IDEMPOTENCY_KEY);
     PlainCall {
         request: caller.request,
+        // Without a query the path stands alone.
         path: format!("{path}{}", query.as_deref().unwrap_or("")),
         idempotency_key: key.map(|key| IdempotencyKey::from(key.as_str())),
         content_type: text_header(&head.headers, header::CONTENT_TYPE),
--- a/src/modules/serve/requests/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -7,7 +7,7 @@
 use crate::modules::serve::pools::homes;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderReceiver;
-use crate::modules::serve::requests::refusal::{BadRequest, Refusal};
+use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal};
 use crate::modules::serve::requests::targets::Targets;
 use axum::http::StatusCode;
 use bridgevane_adapters::{PlainAnswer, PlainCall, PlainCallError, PlainService};
@@ -30,12 +30,15 @@
     pub targets: Targets,
 }
 
-/// Runs a call, at most once for its key. It goes on to its end when the caller goes away: a call that may not be
-/// repeated must not be cut.
+/// Runs a call, at most once for its key. It goes on to its end when the caller goes away: a call
+/// that may not be repeated must not be cut.
 ///
 /// # Errors
 /// The final answer when there is no result.
-pub async fn run(context: Arc<Context>, request: PlainRequest) -> Result<PlainAnswer, Refusal> {
+pub async fn run(
+    context: Arc<Context>,
+    request: PlainRequest,
+) -> Result<PlainAnswer, CallerRefusal> {
     let _in_progress = context.leaving.begin_request();
     let Some(key) = request.key.clone() else {
         return run_once(&context, request).await;
@@ -52,10 +55,11 @@
     }
 }
 
-fn key_end(result: &Result<PlainAnswer, Refusal>) -> KeyEnd {
+fn key_end(result: &Result<PlainAnswer, CallerRefusal>) -> KeyEnd {
     match result {
         Ok(answer) => KeyEnd::Done(StoredAnswer {
             status: answer.status.as_u16(),
+            // Empty stands for none, and is read so.
             content_type: answer.content_type.clone().unwrap_or_default(),
             body: answer.body.to_vec(),
         }),
@@ -72,30 +76,38 @@
     }
 }
 
-/// When a caller may come back whose key can't be remembered. Not measured, chosen because keys are remembered for ten minutes,
-/// and some are forgotten every few seconds at the peak.
+/// When a caller may come back whose key can't be remembered. Not measured, chosen because keys are
+/// remembered for ten minutes, and some are forgotten every few seconds at the peak.
 const KEYS_FULL_RETRY: DurationMs = DurationMs(10_000);
 
-fn refused_by(id: RequestId, verdict: &Verdict) -> Refusal {
+fn refused_by(id: RequestId, verdict: &Verdict) -> CallerRefusal {
     match verdict {
-        Verdict::Running => Refusal::bad_request(id, BadRequest::KeyInProgress),
-        Verdict::Mismatch => Refusal::bad_request(id, BadRequest::KeyReused),
+        Verdict::Running => CallerRefusal::bad_request(id, BadRequest::KeyInProgress),
+        Verdict::Mismatch => CallerRefusal::bad_request(id, BadRequest::KeyReused),
         Verdict::Full => {
             let retry_after_ms = Some(KEYS_FULL_RETRY);
-            Refusal::refused(id, RefusalCode::QueueFull, Outcome::NotRun, retry_after_ms)
+            CallerRefusal::refused(id, RefusalCode::QueueFull, Outcome::NotRun, retry_after_ms)
         }
-        _ => Refusal::refused(id, RefusalCode::OutcomeUnknown, Outcome::Unknown, None),
+        _ => CallerRefusal::refused(id, RefusalCode::OutcomeUnknown, Outcome::Unknown, None),
     }
 }
 
-async fn run_once(context: &Arc<Context>, request: PlainRequest) -> Result<PlainAnswer, Refusal> {
+async fn run_once(
+    context: &Arc<Context>,
+    request: PlainRequest,
+) -> Result<PlainAnswer, CallerRefusal> {
     let arrived_at = context.now();
     let (sender, orders) = mpsc::unbounded_channel();
     if !homes::offer(context, request.offer.clone(), sender) {
         let retry_after_ms = Some(RETRY_SOON);
         let code = RefusalCode::QueueFull;
         let id = request.offer.request;
-        return Err(Refusal::refused(id, code, Outcome::NotRun, retry_after_ms));
+        return Err(CallerRefusal::refused(
+            id,
+            code,
+            Outcome::NotRun,
+            retry_after_ms,
+        ));
     }
     let result = follow_orders(context, &request, orders).await;
     count(context, &request, arrived_at, &result);
@@ -106,7 +118,7 @@
     context: &Arc<Context>,
     request: &PlainRequest,
     mut orders: OrderReceiver,
-) -> Result<PlainAnswer, Refusal> {
+) -> Result<PlainAnswer, CallerRefusal> {
     let id = request.offer.request;
     let mut has_sent = false;
     while let Some(order) = orders.recv().await {
@@ -129,7 +141,7 @@
                 code,
                 outcome,
                 retry_after_ms,
-            } => return Err(Refusal::refused(id, code, outcome, retry_after_ms)),
+            } => return Err(CallerRefusal::refused(id, code, outcome, retry_after_ms)),
         }
     }
     let outcome = if has_sent {
@@ -137,7 +149,12 @@
     } else {
         Outcome::NotRun
     };
-    Err(Refusal::refused(id, RefusalCode::NoEngine, outcome, None))
+    Err(CallerRefusal::refused(
+        id,
+        RefusalCode::NoEngine,
+        outcome,
+        None,
+    ))
 }
 
 fn end_of(result: &Result<PlainAnswer, PlainCallError>) -> AttemptEnd {
@@ -154,7 +171,7 @@
     context: &Context,
     request: &PlainRequest,
     arrived_at: TimeMs,
-    result: &Result<PlainAnswer, Refusal>,
+    result: &Result<PlainAnswer, CallerRefusal>,
 ) {
     let class = &request.offer.class;
     let now = context.now();
--- a/src/modules/serve/requests/refusal.rs
+++ b/src/modules/serve/requests/refusal.rs
@@ -46,7 +46,7 @@
 
 /// A final answer without the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct CallerRefusal {
     /// The request.
     pub request: RequestId,
     /// HTTP status.
@@ -70,11 +70,11 @@
     Refused(RefusalCode),
 }
 
-/// When to come back to a daemon that isn't ready. Not measured, chosen because a daemon that starts has its
-/// configuration within a second.
+/// When to come back to a daemon that isn't ready. Not measured, chosen because a daemon that
+/// starts has its configuration within a second.
 const NOT_READY_RETRY: DurationMs = DurationMs(1_000);
 
-impl Refusal {
+impl CallerRefusal {
     /// The answer to a request that is at fault: it was not run.
     pub fn bad_request(request: RequestId, bad: BadRequest) -> Self {
         let status = match bad {
@@ -156,7 +156,7 @@
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("invalid"))
 }
 
-impl IntoResponse for Refusal {
+impl IntoResponse for CallerRefusal {
     fn into_response(self) -> Response {
         let mut response = (self.status, Json(self.error_object())).into_response();
         let headers = response.headers_mut();
--- a/src/modules/serve/rollouts/held.rs
+++ b/src/modules/serve/rollouts/held.rs
@@ -1,7 +1,8 @@
-//! Rollouts that this daemon carries out now; lost with the process, and carried on by another daemon.
+//! Rollouts that this daemon carries out now; lost with the process, and carried on by another
+//! daemon.
 
 use crate::modules::serve::operators::row::Row;
-use bridgevane_adapters::{LeaseId, Revision};
+use bridgevane_adapters::{KvRevision, LeaseId};
 use bridgevane_coordination::{HeldLease, Rollout};
 use bridgevane_types::{EndpointId, ModelName, TimeMs, VmId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +14,7 @@
     pub(super) lease_id: LeaseId,
     pub(super) lease: HeldLease,
     pub(super) rollout: Rollout,
-    pub(super) stored_at: Option<Revision>,
+    pub(super) stored_at: Option<KvRevision>,
     pub(super) watched_since: TimeMs,
     pub(super) on_new: BTreeSet<EndpointId>,
     pub(super) on_old: BTreeSet<EndpointId>,
