--- a/crates/adapters/src/http_client.rs
+++ b/crates/adapters/src/http_client.rs
@@ -10,14 +10,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest answer that is read as a whole: values of the platform are up to a megabyte. Not measured, chosen
-/// because a value of the platform's service has up to 1 MB, and JSON may double it.
+/// The longest answer that is read as a whole: values of the platform are up to a megabyte. Not
+/// measured, chosen because a value of the platform's service has up to 1 MB, and JSON may double
+/// it.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// How long a connection may take to open. Not measured, chosen because a lost opening packet is sent again after a
-/// second.
+/// How long a connection may take to open. Not measured, chosen because a lost opening packet is
+/// sent again after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections kept to one endpoint. Not measured, chosen because it covers the streams that an engine runs at
-/// once.
+/// Idle connections kept to one endpoint. Not measured, chosen because it covers the streams that
+/// an engine runs at once.
 const MAX_IDLE_PER_HOST: usize = 64;
 
 /// Why an HTTP call failed.
@@ -115,6 +116,7 @@
         let retry_after_ms = response
             .headers()
             .get("retry-after-ms")
+            // Without a readable time to come back the caller's own pause holds.
             .and_then(|value| value.to_str().ok()?.parse().ok())
             .unwrap_or(0);
         Err(HttpError::Status {
--- a/crates/adapters/src/http_engine.rs
+++ b/crates/adapters/src/http_engine.rs
@@ -16,8 +16,8 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// How long a call with a short answer may take. Not measured; half would fail calls of a busy engine, twice would
-/// hold a pool's reading of its engines up.
+/// How long a call with a short answer may take. Not measured; half would fail calls of a busy
+/// engine, twice would hold a pool's reading of its engines up.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest line of an answer. Not measured, chosen because a piece holds one token's text.
 const MAX_LINE_BYTES: usize = 64 << 10;
--- a/crates/adapters/src/http_plain.rs
+++ b/crates/adapters/src/http_plain.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a load report may take. Not measured; the same as for engines, since one reading asks both.
+/// How long a load report may take. Not measured; the same as for engines, since one reading asks
+/// both.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The worker at an address.
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -4,8 +4,8 @@
 use crate::problem::{ConfigProblem, ConfigProblems};
 use std::collections::BTreeMap;
 
-/// The most that all minimum shares may add up to: the rest of a pool goes by tier. Not measured, chosen because more would
-/// turn the order by tier round.
+/// The most that all minimum shares may add up to: the rest of a pool goes by tier. Not measured,
+/// chosen because more would turn the order by tier round.
 const MAX_SHARE_SUM: f64 = 0.5;
 /// Hex digits of a key digest, from the 128 bits of its hash.
 const DIGEST_LEN: usize = 32;
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -49,8 +49,8 @@
     1
 }
 
-/// How long a batch of a rollout is watched unless the document says it. Not measured, chosen because the shortest window of burn
-/// must see some of it.
+/// How long a batch of a rollout is watched unless the document says it. Not measured, chosen
+/// because the shortest window of burn must see some of it.
 const DEFAULT_WATCH: DurationMs = DurationMs(60_000);
 
 fn default_watch_ms() -> DurationMs {
--- a/crates/config/src/envelope.rs
+++ b/crates/config/src/envelope.rs
@@ -9,8 +9,9 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Operations that the envelope remembers. At 2,900 changes a day this is some two hours. Not measured, chosen
-/// because it is about two hours of the changes to design for, and 28 KB (docs/CAPACITY.md).
+/// Operations that the envelope remembers. At 2,900 changes a day this is some two hours. Not
+/// measured, chosen because it is about two hours of the changes to design for, and 28 KB
+/// (docs/CAPACITY.md).
 const MAX_OPERATIONS: usize = 256;
 
 /// An operation that was accepted.
--- a/crates/coordination/src/configs/call_budget.rs
+++ b/crates/coordination/src/configs/call_budget.rs
@@ -19,7 +19,8 @@
 
 /// Not measured; it doubles, so that an outage costs few calls (docs/design/11).
 const FIRST_PAUSE: DurationMs = DurationMs(500);
-/// Not measured, chosen because a service that is back should be noticed within a quarter of a minute.
+/// Not measured, chosen because a service that is back should be noticed within a quarter of a
+/// minute.
 const MAX_PAUSE: DurationMs = DurationMs(15_000);
 
 impl Default for CallBudgetConfig {
--- a/crates/coordination/src/configs/key_registry.rs
+++ b/crates/coordination/src/configs/key_registry.rs
@@ -13,7 +13,8 @@
     pub max_answer_bytes: usize,
 }
 
-/// Not measured, chosen because callers repeat a call within minutes; each key costs up to 1.3 KB (docs/CAPACITY.md).
+/// Not measured, chosen because callers repeat a call within minutes; each key costs up to 1.3 KB
+/// (docs/CAPACITY.md).
 const REMEMBER: DurationMs = DurationMs(600_000);
 
 impl Default for KeyRegistryConfig {
--- a/crates/coordination/src/configs/membership.rs
+++ b/crates/coordination/src/configs/membership.rs
@@ -29,7 +29,8 @@
 const HEARTBEAT_EVERY: DurationMs = DurationMs(1_000);
 /// Chosen because three heartbeats in a row are seldom lost (docs/design/07).
 const SUSPECT_AFTER: DurationMs = DurationMs(3_000);
-/// Chosen because an accusation and its answer each travel within a heartbeat or two (docs/design/07).
+/// Chosen because an accusation and its answer each travel within a heartbeat or two
+/// (docs/design/07).
 const REFUTE_WITHIN: DurationMs = DurationMs(3_000);
 /// Chosen because one accuser alone may itself be cut off: twice the time (docs/design/07).
 const LONE_CONFIRM_AFTER: DurationMs = DurationMs(6_000);
--- a/crates/coordination/src/modules/config_replica.rs
+++ b/crates/coordination/src/modules/config_replica.rs
@@ -8,8 +8,8 @@
 use derive_more::{Display, Error};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Deltas that are kept for nodes that are behind. Not measured, chosen because it is about an hour of the changes
-/// to design for; whoever is further behind gets everything.
+/// Deltas that are kept for nodes that are behind. Not measured, chosen because it is about an hour
+/// of the changes to design for; whoever is further behind gets everything.
 const MAX_DELTAS: usize = 128;
 
 /// Why a change was not accepted.
--- a/crates/coordination/src/modules/held_lease.rs
+++ b/crates/coordination/src/modules/held_lease.rs
@@ -6,8 +6,8 @@
 
 use bridgevane_types::{DurationMs, FenceToken, TimeMs};
 
-/// Part of the lease's time that is kept as a margin for clocks that run unevenly. Not measured, chosen because
-/// clocks of VMs differ far less in rate.
+/// Part of the lease's time that is kept as a margin for clocks that run unevenly. Not measured,
+/// chosen because clocks of VMs differ far less in rate.
 const CLOCK_MARGIN_PARTS: u64 = 10;
 
 /// A lease that this node holds, as far as it knows.
--- a/crates/coordination/src/modules/member.rs
+++ b/crates/coordination/src/modules/member.rs
@@ -60,8 +60,8 @@
     pub(super) patience: u32,
 }
 
-/// The longest patience with a node whose refutations keep coming by way of others. Not measured, chosen because a
-/// daemon that hears late itself must still notice a death within seconds.
+/// The longest patience with a node whose refutations keep coming by way of others. Not measured,
+/// chosen because a daemon that hears late itself must still notice a death within seconds.
 const MAX_PATIENCE: u32 = 8;
 
 /// A node that is heard of for the first time in this life.
--- a/crates/coordination/src/modules/membership.rs
+++ b/crates/coordination/src/modules/membership.rs
@@ -6,8 +6,8 @@
 //! into a private suspicion and a confirmed one is that of the Sentinel paper (subjective
 //! and objective down); its election is not taken over.
 //!
-//! Here is the view and what others ask of it; time acts on it in [`super::suspicion`], what other nodes say in
-//! [`super::gossip`].
+//! Here is the view and what others ask of it; time acts on it in [`super::suspicion`], what other
+//! nodes say in [`super::gossip`].
 
 use crate::configs::MembershipConfig;
 use crate::modules::member::{Member, MemberState, MemberUpdate, new_member};
--- a/crates/coordination/src/modules/suspicion.rs
+++ b/crates/coordination/src/modules/suspicion.rs
@@ -1,4 +1,5 @@
-//! What the passing of time does to the membership: heartbeats, suspicion of silent neighbours, confirmed deaths.
+//! What the passing of time does to the membership: heartbeats, suspicion of silent neighbours,
+//! confirmed deaths.
 
 use crate::modules::member::{Member, MemberState};
 use crate::modules::membership::{Membership, MembershipEffect};
--- a/crates/decisions/src/decision_log.rs
+++ b/crates/decisions/src/decision_log.rs
@@ -1,4 +1,5 @@
-//! The log of decisions, which `explain request` reads, and the checker of promises in tests and the demo.
+//! The log of decisions, which `explain request` reads, and the checker of promises in tests and
+//! the demo.
 
 use crate::effect::CancelCause;
 use crate::index::{ClassIx, EndpointIx};
--- a/crates/decisions/src/modules/customer_limits.rs
+++ b/crates/decisions/src/modules/customer_limits.rs
@@ -4,11 +4,11 @@
 use crate::policy::CustomerPolicy;
 use bridgevane_types::{DurationMs, TimeMs};
 
-/// Seconds of its rate that a customer may use at once. From the document's rule: a rate holds over ten seconds
-/// (docs/CONFIGURATION.md).
+/// Seconds of its rate that a customer may use at once. From the document's rule: a rate holds over
+/// ten seconds (docs/CONFIGURATION.md).
 const BURST_S: f64 = 10.0;
-/// How long a caller waits when only the concurrency limit is reached. Not measured, chosen because answers take
-/// seconds; sooner would only be refused again.
+/// How long a caller waits when only the concurrency limit is reached. Not measured, chosen because
+/// answers take seconds; sooner would only be refused again.
 const CONCURRENCY_RETRY_MS: u64 = 1_000;
 
 #[derive(Clone, Debug, Default)]
--- a/crates/decisions/src/modules/engine_health.rs
+++ b/crates/decisions/src/modules/engine_health.rs
@@ -19,8 +19,8 @@
     Normal,
     /// It could not be reached.
     Lost,
-    /// It broke off a stream, or answered that it takes no work. An engine that refuses fast looks idle and would
-    /// draw ever more work.
+    /// It broke off a stream, or answered that it takes no work. An engine that refuses fast looks
+    /// idle and would draw ever more work.
     Unavailable,
     /// It gave this many tokens at normal speed.
     GoodTokens(u64),
--- a/crates/decisions/src/modules/engine_load.rs
+++ b/crates/decisions/src/modules/engine_load.rs
@@ -5,15 +5,16 @@
 
 use bridgevane_types::{DurationMs, TimeMs};
 
-/// Samples of own work that are kept: with one a tenth of a second, 6.4 s of lag. Chosen because 64 samples of 100
-/// ms cover the oldest report that counts.
+/// Samples of own work that are kept: with one a tenth of a second, 6.4 s of lag. Chosen because 64
+/// samples of 100 ms cover the oldest report that counts.
 const SAMPLES: usize = 64;
-/// Time between two samples. Not measured, chosen because reports lag by hundreds of milliseconds, and finer
-/// samples say no more.
+/// Time between two samples. Not measured, chosen because reports lag by hundreds of milliseconds,
+/// and finer samples say no more.
 const SAMPLE_EVERY_MS: u64 = 100;
 
-/// A report that nothing follows for this long no longer counts: its requests have ended, or
-/// the engine is gone, which its health tells. Not measured, chosen because engines are asked every 5 s.
+/// A report that nothing follows for this long no longer counts: its requests have ended, or the
+/// engine is gone, which its health tells. Not measured, chosen because engines are asked every 5
+/// s.
 const REPORT_MEMORY_MS: u64 = 5_000;
 
 /// Work on one engine.
--- a/crates/decisions/src/modules/estimates.rs
+++ b/crates/decisions/src/modules/estimates.rs
@@ -12,8 +12,8 @@
 
 /// The longest length that a sketch tells apart. Chosen because no model gives longer answers.
 const MAX_LENGTH: u64 = 1 << 20;
-/// Significant digits of a sketch: one keeps it at some 2 KB. Chosen because a sketch then has 1.9 KB
-/// (docs/CAPACITY.md), and an estimate needs no more.
+/// Significant digits of a sketch: one keeps it at some 2 KB. Chosen because a sketch then has 1.9
+/// KB (docs/CAPACITY.md), and an estimate needs no more.
 const DIGITS: u8 = 1;
 
 /// Lengths of two generations: the running one and the one before.
--- a/crates/decisions/src/modules/guaranteed_share.rs
+++ b/crates/decisions/src/modules/guaranteed_share.rs
@@ -2,8 +2,8 @@
 
 use bridgevane_types::TimeMs;
 
-/// Credit that a class keeps at most, in milliseconds of all its guaranteed slots. Not measured, chosen because a
-/// class that was idle must not take the whole pool for longer.
+/// Credit that a class keeps at most, in milliseconds of all its guaranteed slots. Not measured,
+/// chosen because a class that was idle must not take the whole pool for longer.
 const MAX_CREDIT_MS: f64 = 10_000.0;
 
 /// Credit of one class, in slot-milliseconds.
--- a/crates/decisions/src/modules/prefix_cache.rs
+++ b/crates/decisions/src/modules/prefix_cache.rs
@@ -8,8 +8,8 @@
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
-/// Holders that are remembered for a block. Not measured, chosen because a prefix is spread over few engines; each
-/// costs 16 bytes a block.
+/// Holders that are remembered for a block. Not measured, chosen because a prefix is spread over
+/// few engines; each costs 16 bytes a block.
 const MAX_HOLDERS: usize = 4;
 
 /// Engines that may hold a prefix, with the blocks that each holds of it.
@@ -89,6 +89,7 @@
 fn oldest(holders: &[Option<Holder>; MAX_HOLDERS]) -> usize {
     let seen_at = |slot: &Option<Holder>| slot.map_or(TimeMs(0), |holder| holder.seen_at);
     let oldest = (0..MAX_HOLDERS).min_by_key(|at| seen_at(&holders[*at]));
+    // There is always an oldest: MAX_HOLDERS isn't 0.
     oldest.unwrap_or(0)
 }
 
--- a/crates/decisions/src/modules/victims.rs
+++ b/crates/decisions/src/modules/victims.rs
@@ -3,8 +3,8 @@
 use bridgevane_types::{RequestId, Tier};
 use std::collections::BTreeSet;
 
-/// Tiers that are told apart; higher numbers share the last. Chosen because it is four times the eight tiers to
-/// design for.
+/// Tiers that are told apart; higher numbers share the last. Chosen because it is four times the
+/// eight tiers to design for.
 const TIERS: usize = 32;
 
 /// Preemptible running requests.
--- a/crates/decisions/src/pool/admit.rs
+++ b/crates/decisions/src/pool/admit.rs
@@ -10,8 +10,8 @@
 use crate::modules::request_life::{LifeEvent, LifeState};
 use bridgevane_types::{DurationMs, Outcome, RefusalCode, RequestId};
 
-/// When to come back after no engine could serve. Not measured, chosen because a configuration changes within
-/// seconds.
+/// When to come back after no engine could serve. Not measured, chosen because a configuration
+/// changes within seconds.
 const NO_ENGINE_RETRY_MS: f64 = 1_000.0;
 
 impl Pool {
--- a/crates/decisions/src/pool/dispatch.rs
+++ b/crates/decisions/src/pool/dispatch.rs
@@ -249,8 +249,8 @@
         cached_tokens: u64,
         avoid: Option<EndpointIx>,
     ) -> Option<Choice> {
-        /// Not measured, chosen because it must exceed any queue: such an engine gets work only when all are
-        /// avoided.
+        /// Not measured, chosen because it must exceed any queue: such an engine gets work only
+        /// when all are avoided.
         const COST_OF_AVOIDED_MS: f64 = 100_000.0;
         let load_cost_ms = *self.load_costs_ms.get(at.at())?;
         if !load_cost_ms.is_finite() {
@@ -302,7 +302,8 @@
         self.start(context, turn, request, choice);
     }
 
-    /// Starts a request on an engine: books it there and with its class, logs it, and gives the order.
+    /// Starts a request on an engine: books it there and with its class, logs it, and gives the
+    /// order.
     fn start<L: DecisionLog>(
         &mut self,
         context: &mut Context<'_, L>,
--- a/crates/decisions/src/pool/maintain.rs
+++ b/crates/decisions/src/pool/maintain.rs
@@ -298,7 +298,8 @@
 
     /// The newest waiting requests are given up while those before them take all the time.
     fn give_up_hopeless<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, class: ClassIx) {
-        /// Not measured, chosen because a tick comes every 20 ms: more would stop other decisions for longer.
+        /// Not measured, chosen because a tick comes every 20 ms: more would stop other decisions
+        /// for longer.
         const MAX_AT_ONCE: usize = 8;
         for _ in 0..MAX_AT_ONCE {
             if self.classes[class.at()].queue.len() <= 1 {
--- a/crates/decisions/src/pool/recover.rs
+++ b/crates/decisions/src/pool/recover.rs
@@ -10,8 +10,8 @@
 use crate::modules::request_life::LifeState;
 use bridgevane_types::{AttemptNumber, RefusalCode, RequestId, Tokens};
 
-/// When to come back after retries ran out. Not measured, chosen because engines that failed a request several
-/// times need a while.
+/// When to come back after retries ran out. Not measured, chosen because engines that failed a
+/// request several times need a while.
 const EXHAUSTED_RETRY_MS: f64 = 1_000.0;
 
 impl Pool {
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,7 +1,7 @@
 //! The gateway's clock: milliseconds since the daemon started.
 //!
-//! It is steady and runs on while the process is paused, so that a proof of freshness ages through a
-//! freeze. Rules take its moments as arguments; tests pass their own.
+//! It is steady and runs on while the process is paused, so that a proof of freshness ages through
+//! a freeze. Rules take its moments as arguments; tests pass their own.
 
 use bridgevane_types::TimeMs;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! What the control source says: routes, customers and endpoints, and how recent that is.
 //!
-//! [`source`] is the trait that an adapter implements; [`state`] is what came of it, which requests read
-//! without locks. Its only writer is [`crate::replication::follow`].
+//! [`source`] is the trait that an adapter implements; [`state`] is what came of it, which requests
+//! read without locks. Its only writer is [`crate::replication::follow`].
 
 pub(crate) mod endpoint_registry;
 pub(crate) mod patch;
--- a/crates/gateway/src/control/patch.rs
+++ b/crates/gateway/src/control/patch.rs
@@ -1,13 +1,14 @@
 //! Patches: a new value as what differs from the value before it.
 //!
-//! An operator's change touches a small part of a large document; only what stands between the equal head
-//! and the equal tail is sent. Relies on the receiver having the value that the patch was made for.
+//! An operator's change touches a small part of a large document; only what stands between the
+//! equal head and the equal tail is sent. Relies on the receiver having the value that the patch
+//! was made for.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use derive_more::{Display, Error};
 
-/// A patch is used when the whole value is longer by this factor. Not measured, chosen because a follower that
-/// lacks the old value asks for everything again, so that little is gained below it.
+/// A patch is used when the whole value is longer by this factor. Not measured, chosen because a
+/// follower that lacks the old value asks for everything again, so that little is gained below it.
 const MIN_SAVING_FACTOR: usize = 2;
 
 /// What differs between two values.
--- a/crates/gateway/src/control/source.rs
+++ b/crates/gateway/src/control/source.rs
@@ -82,7 +82,8 @@
     Unreadable,
 }
 
-/// A source of routes, customers and endpoints. Calls have no timeout of their own: the caller drops them.
+/// A source of routes, customers and endpoints. Calls have no timeout of their own: the caller
+/// drops them.
 pub trait ControlSource: Send + Sync + 'static {
     /// Reads everything. What is read is at least as new as the moment of the call.
     ///
@@ -90,8 +91,8 @@
     /// [`SourceError`] when nothing was read.
     fn full_state(&self) -> impl Future<Output = Result<FullState, SourceError>> + Send;
 
-    /// Waits at most `wait` for changes after `after`. An answer without changes proves that there was none
-    /// when the call was made.
+    /// Waits at most `wait` for changes after `after`. An answer without changes proves that there
+    /// was none when the call was made.
     ///
     /// # Errors
     /// [`SourceError`]; [`SourceError::HistoryLost`] asks for the full state.
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -1,5 +1,5 @@
-//! The state that comes from the control source: routing table, endpoints, records, and the newest proof
-//! that they are current.
+//! The state that comes from the control source: routing table, endpoints, records, and the newest
+//! proof that they are current.
 //!
 //! | part | written by | read by |
 //! |---|---|---|
@@ -8,8 +8,8 @@
 //! | replica | [`crate::replication::follow`] alone | daemons that follow this one, under a lock |
 //! | endpoint registry, last outage | [`crate::replication::follow`] alone | nobody else, under locks |
 //!
-//! Versions only rise: an older routing table, record or proof never replaces a newer one. All is lost with
-//! the process; a new one reads it again from the source or from another daemon.
+//! Versions only rise: an older routing table, record or proof never replaces a newer one. All is
+//! lost with the process; a new one reads it again from the source or from another daemon.
 
 use crate::clock::{AtomicTime, Clock};
 use crate::control::endpoint_registry::EndpointRegistry;
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -1,6 +1,7 @@
 //! A count of things that are held, such as open connections or bytes of bodies.
 //!
-//! Owns nothing but the number; whoever holds a guard keeps its amount in, so that nothing is counted for ever.
+//! Owns nothing but the number; whoever holds a guard keeps its amount in, so that nothing is
+//! counted for ever.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/gateway/src/decisions/admission/body_limits.rs
+++ b/crates/gateway/src/decisions/admission/body_limits.rs
@@ -2,10 +2,14 @@
 //!
 //! Inputs: the announced length (bytes; 0 for a body in chunks), the configuration's limit for one
 //! body, the bytes of bodies that the daemon holds, and its limit for all of them together.
-//! Reason: bodies are read whole before they are sent, so that one that breaks off never reaches
-//! an endpoint; what they take of the VM's memory needs a bound.
+//!
+//! Reason: bodies are read whole before they are sent, so that one that breaks off never reaches an
+//! endpoint; what they take of the VM's memory needs a bound.
+//!
 //! Constants: none; both limits are settings (the operator's document, a quarter of `--memory-mb`).
-//! Tests: `admission.rs::bodies_are_bounded…`, `exchange.rs::bad_requests_get_a_typed_answer_at_once`.
+//!
+//! Tests: `admission.rs::bodies_are_bounded…`,
+//! `exchange.rs::bad_requests_get_a_typed_answer_at_once`.
 
 use super::refusal::RefusalReason;
 use bridgevane_types::Bytes;
--- a/crates/gateway/src/decisions/admission/freshness.rs
+++ b/crates/gateway/src/decisions/admission/freshness.rs
@@ -1,17 +1,21 @@
 //! Freshness: a request is passed on only while the configuration is proved to be recent.
 //!
-//! Inputs: the age of the newest proof (ms) and how long a proof lasts (ms, `--key-removal-ms`
-//! less 300). A proof is an answer of the control source. It counts from the moment of the
-//! *question*, so that the time the answer took counts against it; passed on between daemons it
-//! keeps its age. Rule: fresh while the age is below the lifetime; a daemon without a proof isn't.
-//! Reason: a key that was removed must stop working within a bound on every VM, also on one that
-//! is cut off from the source. 401 and 404 are final for a client, so they need a fresh
-//! configuration, too; without one the answer is 503.
+//! Inputs: the age of the newest proof (ms) and how long a proof lasts (ms, `--key-removal-ms` less
+//! 300). A proof is an answer of the control source. It counts from the moment of the *question*,
+//! so that the time the answer took counts against it; passed on between daemons it keeps its age.
+//!
+//! Rule: fresh while the age is below the lifetime; a daemon without a proof isn't.
+//!
+//! Reason: a key that was removed must stop working within a bound on every VM, also on one that is
+//! cut off from the source. 401 and 404 are final for a client, so they need a fresh configuration,
+//! too; without one the answer is 503.
 //!
 //! A daemon that has only just started has no proof yet, and its first one is due in a moment: a
 //! request waits for it a little, since its client may come back only once.
-//! Measured: commit 45ec449 (requests refused in the two seconds after all daemons were killed:
-//! 430 and 446 of about 1,000 before, 105 after).
+//!
+//! Measured: commit 45ec449 (requests refused in the two seconds after all daemons were killed: 430
+//! and 446 of about 1,000 before, 105 after).
+//!
 //! Tests: `admission.rs::a_proof_ages…`, `freshness.rs`.
 
 use bridgevane_types::DurationMs;
--- a/crates/gateway/src/decisions/admission/load_shedding.rs
+++ b/crates/gateway/src/decisions/admission/load_shedding.rs
@@ -4,14 +4,19 @@
 //! works it out, with the prompts that other daemons report), the route's target for the first
 //! token (ms), whether the request has the lowest priority of its service, whether it has a prompt,
 //! and how often it may have run.
+//!
 //! Rule: refuse when the delay exceeds `MAX_QUEUE_SHARE` of the target. Only the lowest priority is
-//! shed, since engines let the others pass it anyway; a request that may have run isn't, since
-//! the refusal says that it has not. The request's own prompt doesn't count, so that long prompts
-//! are shed no more often than short ones. Plain requests are never shed: their endpoints say
+//! shed, since engines let the others pass it anyway; a request that may have run isn't, since the
+//! refusal says that it has not. The request's own prompt doesn't count, so that long prompts are
+//! shed no more often than short ones. Plain requests are never shed: their endpoints say
 //! themselves when they are full.
+//!
 //! Verdict: 503 `overloaded` with the excess as the time to come back.
+//!
 //! Measured: commit 9e57947, docs/BENCHMARKS.md ("lines over 0.3 of the target refused").
-//! Tests: `admission.rs::only_the_lowest_priority_is_shed…`, `decisions.rs::work_that_others_told…`.
+//!
+//! Tests: `admission.rs::only_the_lowest_priority_is_shed…`,
+//! `decisions.rs::work_that_others_told…`.
 
 use bridgevane_types::DurationMs;
 
--- a/crates/gateway/src/decisions/admission/priority.rs
+++ b/crates/gateway/src/decisions/admission/priority.rs
@@ -1,14 +1,19 @@
 //! Priority: which request goes first, at the engines and when requests are shed.
 //!
 //! Inputs: tiers of the configuration's routes and customers (0 is the most important).
-//! Rule: requests are ranked by the pair of the customer's tier (the route's, where the customer has
-//! none) and the route's tier, over all pairs that the configuration can give. The rank is the priority;
-//! where there are more ranks than priorities, neighbours share one. The lowest priority of a service
-//! is the lowest among all routes that lead to it.
+//!
+//! Rule: requests are ranked by the pair of the customer's tier (the route's, where the customer
+//! has none) and the route's tier, over all pairs that the configuration can give. The rank is the
+//! priority; where there are more ranks than priorities, neighbours share one. The lowest priority
+//! of a service is the lowest among all routes that lead to it.
+//!
 //! Reason: engines admit, and preempt, by priority. With the customer's tier alone, a request was
 //! preempted while less important ones of the same customer ran on.
+//!
 //! Measured: commit 3c56783 (solcata scale-2, seed 342428690081, broke before and not after).
-//! Tests: `decisions.rs::a_customer_s_tier_goes_first…`, `more_ranks_than_priorities_keep_their_order`.
+//!
+//! Tests: `decisions.rs::a_customer_s_tier_goes_first…`,
+//! `more_ranks_than_priorities_keep_their_order`.
 
 use crate::route::{Customer, Route};
 use bridgevane_types::{ServiceName, Tier};
--- a/crates/gateway/src/decisions/admission/refusal.rs
+++ b/crates/gateway/src/decisions/admission/refusal.rs
@@ -3,6 +3,7 @@
 //! Statuses carry a promise: 408, 421, 429 and 503 say that the request has not run and will not,
 //! so a client may send it again, also one that may run only once. Hence once a request may have
 //! run, only 502 and 504 are left ([`RefusalReason::unless_run`], [`Refusal::after_failure`]).
+//!
 //! Tests: `exchange.rs::outcomes_of_plain_requests`, `bad_requests_get_a_typed_answer_at_once`.
 
 use crate::decisions::resend::AttemptError;
@@ -10,17 +11,20 @@
 use derive_more::Display;
 use http::StatusCode;
 
-/// When to come back to a daemon that waits for a proof. Not measured, chosen because it is below the
-/// 500 ms in which the source is asked again; half of it would bring most clients back too soon.
+/// When to come back to a daemon that waits for a proof. Not measured, chosen because it is below
+/// the 500 ms in which the source is asked again; half of it would bring most clients back too
+/// soon.
 const NOT_READY_RETRY_AFTER: DurationMs = DurationMs(300);
 /// When to come back if a service has no endpoint. Not measured, chosen because changes of the
 /// source gather for 200 ms, so that none can show sooner.
 const NO_ENDPOINT_RETRY_AFTER: DurationMs = DurationMs(200);
-/// When to come back if endpoints or memory are full. Not measured; requests take some 20 ms at plain
-/// endpoints, so a place is free by then. Twice as long costs clients with short deadlines a try.
+/// When to come back if endpoints or memory are full. Not measured; requests take some 20 ms at
+/// plain endpoints, so a place is free by then. Twice as long costs clients with short deadlines a
+/// try.
 const OVERLOADED_RETRY_AFTER: DurationMs = DurationMs(100);
 
-/// Why the daemon answers itself. The text is the code in the answer's body, in logs and in metrics.
+/// Why the daemon answers itself. The text is the code in the answer's body, in logs and in
+/// metrics.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum RefusalReason {
     /// The request lacks its identifier, or has several.
@@ -93,7 +97,8 @@
         }
     }
 
-    /// This reason, which says "not run", or [`Self::OutcomeUnknown`] once the request may have run.
+    /// This reason, which says "not run", or [`Self::OutcomeUnknown`] once the request may have
+    /// run.
     pub fn unless_run(self, runs: u32) -> Self {
         if runs > 0 { Self::OutcomeUnknown } else { self }
     }
--- a/crates/gateway/src/decisions/admission/traffic_split.rs
+++ b/crates/gateway/src/decisions/admission/traffic_split.rs
@@ -1,9 +1,16 @@
 //! Traffic split: which of a route's services gets a request.
 //!
-//! Inputs: the weights of the route's services in their order, and a point drawn evenly from
-//! 0 to the sum of the weights. Rule: the service whose share of that range holds the point; the
-//! first one when all weights are 0. Reason: the operator's document gives the shares.
-//! Constants: none. Tests: `admission.rs::a_route_s_traffic_is_split_by_weight`.
+//! Inputs: the weights of the route's services in their order, and a point drawn evenly from 0 to
+//! the sum of the weights.
+//!
+//! Rule: the service whose share of that range holds the point; the first one when all weights are
+//! 0.
+//!
+//! Reason: the operator's document gives the shares.
+//!
+//! Constants: none.
+//!
+//! Tests: `admission.rs::a_route_s_traffic_is_split_by_weight`.
 
 /// The sum of all weights: the end of the range to draw from.
 pub fn total(weights: impl Iterator<Item = u32>) -> u32 {
--- a/crates/gateway/src/decisions/endpoint/ejection.rs
+++ b/crates/gateway/src/decisions/endpoint/ejection.rs
@@ -1,17 +1,19 @@
 //! Ejection: an endpoint that can't be reached gets no work for a while, one that fails gets less.
 //!
 //! Inputs: outcomes of this daemon's requests at one endpoint, and the moment of each.
+//!
 //! Rules:
-//! - lost (no connection, another endpoint at the address, or no byte until the deadline): ejected,
+//! - Lost (no connection, another endpoint at the address, or no byte until the deadline): ejected,
 //!   at first for `FIRST_EJECTION_MS`, twice as long each time in a row; a good answer ends it.
-//! - the share of failures is a moving mean that halves every `FAILURE_HALF_LIFE_MS`, since an
+//! - The share of failures is a moving mean that halves every `FAILURE_HALF_LIFE_MS`, since an
 //!   endpoint that gets no work has no success that could speak for it. Above `MAX_FAILURE_SHARE`
 //!   the endpoint is not sound: shared prefixes move elsewhere. Below it the share is a cost in
 //!   [`super::placement`], so that where all endpoints fail alike none is left out.
 //!
 //! Measured: commits 0c69d1b (failures that were never forgotten starved three engines of six) and
-//! 09f761b (half-life 2, 3, 6 s and a bound of 0.35, 0.25: with 6 s and 0.25 neither of two seeds broke
-//! in 8 runs, with 3 s one of 6 did).
+//! 09f761b (half-life 2, 3, 6 s and a bound of 0.35, 0.25: with 6 s and 0.25 neither of two seeds
+//! broke in 8 runs, with 3 s one of 6 did).
+//!
 //! Tests: `decisions.rs::an_endpoint_that_was_lost…`, `an_endpoint_that_failed_gets_work_again…`,
 //! `streams_leave_an_engine_that_loses_three_answers_in_ten`.
 
@@ -23,13 +25,14 @@
 /// The longest ejection, in milliseconds. Not measured; it bounds how long an endpoint that is back
 /// stays unused.
 const MAX_EJECTION_MS: u64 = 4_000;
-/// Doublings that are counted. Chosen because more would overflow; the longest ejection comes after three.
+/// Doublings that are counted. Chosen because more would overflow; the longest ejection comes after
+/// three.
 const MAX_DOUBLINGS: u32 = 8;
-/// The weight of a new outcome in the share of failures. Not measured by itself (commit c8e2817): two
-/// failures in a row pass the bound, one doesn't.
+/// The weight of a new outcome in the share of failures. Not measured by itself (commit c8e2817):
+/// two failures in a row pass the bound, one doesn't.
 const NEW_OUTCOME_WEIGHT: f64 = 0.2;
-/// The share of failures above which an endpoint is not sound. Measured in commit 09f761b: with 0.35
-/// an engine that loses three answers in ten stayed below.
+/// The share of failures above which an endpoint is not sound. Measured in commit 09f761b: with
+/// 0.35 an engine that loses three answers in ten stayed below.
 const MAX_FAILURE_SHARE: f64 = 0.25;
 /// The time in which the share of failures halves, in milliseconds. Measured in commit 09f761b.
 const FAILURE_HALF_LIFE_MS: f64 = 6_000.0;
--- a/crates/gateway/src/decisions/endpoint/load_report.rs
+++ b/crates/gateway/src/decisions/endpoint/load_report.rs
@@ -1,8 +1,12 @@
 //! Load reports: what endpoints and other daemons report of load, and how long it counts.
 //!
-//! Inputs: when a report came (ms of this daemon's clock) and what it said. Rule: a report counts
-//! until it expires, then as nothing. Reason: reports come only with answers and messages; without
-//! new ones an old figure would steer requests for ever.
+//! Inputs: when a report came (ms of this daemon's clock) and what it said.
+//!
+//! Rule: a report counts until it expires, then as nothing.
+//!
+//! Reason: reports come only with answers and messages; without new ones an old figure would steer
+//! requests for ever.
+//!
 //! Tests: `decisions.rs::load_of_others_is_what_an_endpoint_tells…`, `work.rs`.
 
 use bridgevane_types::{DurationMs, TimeMs};
@@ -11,7 +15,8 @@
 /// an endpoint that has become idle looking busy; half would forget it between two answers.
 const ENDPOINT_REPORT_TTL: DurationMs = DurationMs(1_500);
 /// How long prompts that other daemons report count. Not measured (commit cf81c29). It is twice the
-/// 600 ms for which a quiet question between daemons is held, so that one lost answer loses nothing.
+/// 600 ms for which a quiet question between daemons is held, so that one lost answer loses
+/// nothing.
 const PEER_REPORT_TTL: DurationMs = DurationMs(1_200);
 
 /// Whether an endpoint's own report still counts.
--- a/crates/gateway/src/decisions/endpoint/placement.rs
+++ b/crates/gateway/src/decisions/endpoint/placement.rs
@@ -3,8 +3,8 @@
 //! Rule: every untried endpoint of the service gets an estimate in milliseconds, and the lowest one
 //! wins. For plain requests it is the share of the endpoint's slots that is taken; for prompts the
 //! expected queue, the requests that run there, the prompt tokens that it has to read, and whether
-//! it is an engine of the right group ([`super::stream_reservation`]). Distance and doubts about the
-//! endpoint ([`super::ejection`], [`super::silence`]) are added. A prompt with a long shared
+//! it is an engine of the right group ([`super::stream_reservation`]). Distance and doubts about
+//! the endpoint ([`super::ejection`], [`super::silence`]) are added. A prompt with a long shared
 //! prefix goes to its preferred endpoints only, while one of them is trusted
 //! ([`super::prompt_affinity`]).
 //!
@@ -13,7 +13,9 @@
 //! that was tried and lost (docs/design/14); they lengthen the queue that shedding goes by.
 //!
 //! All weights are milliseconds of a request's time to first token, or what is worth as much.
+//!
 //! Measured as a whole: docs/BENCHMARKS.md, "On the users' platform"; single ones where said.
+//!
 //! Tests: `decisions.rs`, all that place a prompt.
 
 use super::ejection::{HealthSnapshot, Trust};
@@ -24,27 +26,28 @@
 use crate::prompt::Prompt;
 use bridgevane_decisions::{EndpointIx, Holders};
 
-/// What each request that runs on an engine adds. Not measured by itself; steps get slower with more
-/// requests, and it breaks ties between engines without a queue.
+/// What each request that runs on an engine adds. Not measured by itself; steps get slower with
+/// more requests, and it breaks ties between engines without a queue.
 const RUNNING_REQUEST_MS: f64 = 1.0;
-/// The share of an engine's slots from which it is crowded. Once all are taken, requests of a higher
-/// priority preempt others in the middle of their streams. Measured in commit 0c69d1b: 12 requests
-/// preempted in a seeded day before, none in three runs after.
+/// The share of an engine's slots from which it is crowded. Once all are taken, requests of a
+/// higher priority preempt others in the middle of their streams. Measured in commit 0c69d1b: 12
+/// requests preempted in a seeded day before, none in three runs after.
 const CROWDED_SHARE: f64 = 0.6;
 /// What the last free slot of an engine costs; between `CROWDED_SHARE` and full it rises evenly.
 /// Measured with `CROWDED_SHARE` only (commit 0c69d1b).
 const LAST_SLOT_MS: f64 = 600.0;
-/// What a plain request costs when all slots are taken. Not measured by itself; chosen because plain
-/// requests take about as long at the users' sites.
+/// What a plain request costs when all slots are taken. Not measured by itself; chosen because
+/// plain requests take about as long at the users' sites.
 const PLAIN_FULL_MS: f64 = 20.0;
-/// What another data centre costs. Not measured by itself: a round trip is 1 to 3 ms, the rest stands for
-/// the price of the bytes. Raised or lowered, sessions stay or move (commit e941a2e).
+/// What another data centre costs. Not measured by itself: a round trip is 1 to 3 ms, the rest
+/// stands for the price of the bytes. Raised or lowered, sessions stay or move (commit e941a2e).
 const REMOTE_MS: f64 = 12.0;
-/// What an endpoint costs that always fails; one that fails at times costs its share. Not measured by
-/// itself (commit c8e2817): at 0.1 it is 200 ms, more than the reading of most prompts.
+/// What an endpoint costs that always fails; one that fails at times costs its share. Not measured
+/// by itself (commit c8e2817): at 0.1 it is 200 ms, more than the reading of most prompts.
 const ALWAYS_FAILING_MS: f64 = 2_000.0;
-/// From this cost of doubts on an endpoint isn't trusted, and its cached prefixes don't hold a prompt
-/// there. It is the cost at the share of failures that [`super::ejection`] calls failing, chosen so.
+/// From this cost of doubts on an endpoint isn't trusted, and its cached prefixes don't hold a
+/// prompt there. It is the cost at the share of failures that [`super::ejection`] calls failing,
+/// chosen so.
 const UNTRUSTED_MS: f64 = 500.0;
 /// What a silent endpoint costs. Not measured, chosen because it must exceed any queue that is
 /// admitted, and stay below an ejected one.
@@ -52,18 +55,19 @@
 /// What an ejected endpoint costs. Not measured, chosen because it must exceed everything else: it
 /// gets work only when all are ejected.
 const EJECTED_MS: f64 = 20_000.0;
-/// Shared tokens that are cached elsewhere count so many times when they are read again: the reading
-/// holds up everything else there. Measured against 5: within noise (commit 8f01409, trial); 1 was not tried.
+/// Shared tokens that are cached elsewhere count so many times when they are read again: the
+/// reading holds up everything else there. Measured against 5: within noise (commit 8f01409,
+/// trial); 1 was not tried.
 const REREAD_WEIGHT: f64 = 3.0;
-/// What a long prompt costs at an engine that is reserved for streams. Not measured by itself (commit
-/// e941a2e): the streams there pause while it is read, which takes some 100 to 200 ms.
+/// What a long prompt costs at an engine that is reserved for streams. Not measured by itself
+/// (commit e941a2e): the streams there pause while it is read, which takes some 100 to 200 ms.
 const LONG_PROMPT_AT_RESERVED_MS: f64 = 300.0;
-/// What a stream costs at an engine that reads long prompts. Not measured by itself (commit e941a2e); less
-/// than the other way round, since only the one stream pauses.
+/// What a stream costs at an engine that reads long prompts. Not measured by itself (commit
+/// e941a2e); less than the other way round, since only the one stream pauses.
 const STREAM_AT_UNRESERVED_MS: f64 = 100.0;
-/// How much of the prompts that other daemons report counts in the queue. Measured in commit cf81c29
-/// and docs/design/14: at 1 too many are shed, since daemons count as work what they don't know
-/// to be cached.
+/// How much of the prompts that other daemons report counts in the queue. Measured in commit
+/// cf81c29 and docs/design/14: at 1 too many are shed, since daemons count as work what they don't
+/// know to be cached.
 const REPORTED_PREFILL_WEIGHT: f64 = 0.6;
 
 /// What is known of one endpoint when a request is placed.
--- a/crates/gateway/src/decisions/endpoint/prompt_affinity.rs
+++ b/crates/gateway/src/decisions/endpoint/prompt_affinity.rs
@@ -1,15 +1,19 @@
 //! Prompt affinity: prompts that share a prefix go to the same engines, which keep it cached.
 //!
 //! Inputs: the id of the shared prefix, and the sound endpoints of the request's group (reserved
-//! for streams, or not). Rule: rendezvous hashing over all data centres; the two endpoints with the
-//! highest weight for the prefix are its preferred ones, so that all daemons agree without a word.
-//! A prefix of `MIN_EXCLUSIVE_TOKENS` or more goes to no third endpoint while one of them is
-//! trusted: a copy more of what many share costs everyone on that engine.
-//! What a daemon has not seen an engine read may be cached there nonetheless, from other daemons'
-//! requests: a share of the prefix counts as cached at the preferred endpoints.
-//! Measured: commit e941a2e (one engine for a session on all daemons), commit a131a28 (two, and
-//! no third: ravaton 0.683 to 0.778, solcata 0.786 to 0.863; shared parts read again on a quiet
-//! day 1,115 to 238 thousand tokens, docs/design/13).
+//! for streams, or not).
+//!
+//! Rule: rendezvous hashing over all data centres; the two endpoints with the highest weight for
+//! the prefix are its preferred ones, so that all daemons agree without a word. A prefix of
+//! `MIN_EXCLUSIVE_TOKENS` or more goes to no third endpoint while one of them is trusted: a copy
+//! more of what many share costs everyone on that engine. What a daemon has not seen an engine read
+//! may be cached there nonetheless, from other daemons' requests: a share of the prefix counts as
+//! cached at the preferred endpoints.
+//!
+//! Measured: commit e941a2e (one engine for a session on all daemons), commit a131a28 (two, and no
+//! third: ravaton 0.683 to 0.778, solcata 0.786 to 0.863; shared parts read again on a quiet day
+//! 1,115 to 238 thousand tokens, docs/design/13).
+//!
 //! Tests: `decisions.rs::daemons_of_all_data_centres_place_a_session_at_the_same_engine`,
 //! `a_session_has_two_engines_and_no_third_while_they_live`.
 
@@ -18,7 +22,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Shared tokens from which a prompt goes to its preferred endpoints only. Not measured by itself:
-/// chosen because it lies between the shared tokens of chats (some 200 to 600) and of reports (6,300).
+/// chosen because it lies between the shared tokens of chats (some 200 to 600) and of reports
+/// (6,300).
 const MIN_EXCLUSIVE_TOKENS: u64 = 1_000;
 /// The share of the shared prefix that counts as cached at the first and the second preferred
 /// endpoint. Not measured by themselves (commit e941a2e). Lower ones spread sessions sooner; with
--- a/crates/gateway/src/decisions/endpoint/queue_delay.rs
+++ b/crates/gateway/src/decisions/endpoint/queue_delay.rs
@@ -2,10 +2,14 @@
 //!
 //! Inputs: this daemon's own requests there, each with the moment it was sent, the tokens that the
 //! endpoint had to read for it, and the moment of its first token.
+//!
 //! Rule: a mean of the waits seen lately, which fades without new ones; at least as long as a
 //! request that still waits has waited. The reading of a request's own prompt doesn't count.
+//!
 //! Reason: engines report no queue, and other daemons' requests show in the waits of one's own.
+//!
 //! Measured: commit a131a28, together with prompt affinity and shedding (ravaton 0.683 to 0.778).
+//!
 //! Tests: `decisions.rs::waiting_is_seen_by_those_that_were_answered_and_those_that_still_wait`.
 
 use bridgevane_types::TimeMs;
@@ -15,8 +19,9 @@
 const PREFILL_TOKENS_PER_MS: f64 = 50.0;
 /// The weight of a new wait in the mean. Not measured; half would follow a burst more slowly.
 const NEW_SAMPLE_WEIGHT: f64 = 0.5;
-/// The time in which the mean halves without new waits, in milliseconds. Not measured; chosen because
-/// it is about a target for the first token: a queue seen longer ago says little of the one now.
+/// The time in which the mean halves without new waits, in milliseconds. Not measured; chosen
+/// because it is about a target for the first token: a queue seen longer ago says little of the one
+/// now.
 const MEAN_HALF_LIFE_MS: f64 = 1_000.0;
 
 /// How long an engine reads so many prompt tokens, in milliseconds.
--- a/crates/gateway/src/decisions/replication/followers.rs
+++ b/crates/gateway/src/decisions/replication/followers.rs
@@ -1,10 +1,13 @@
 //! Followers: which daemons follow this one, and where the others are sent.
 //!
 //! Inputs: a daemon that asks (its VM, data centre and address), and those that asked lately.
-//! Rule: a few daemons of each data centre are answered here; any other is redirected to the one of them
-//! that was sent the fewest. The tree that comes of it is planned by nobody, and the cost of being
-//! followed doesn't grow with the fleet.
+//!
+//! Rule: a few daemons of each data centre are answered here; any other is redirected to the one of
+//! them that was sent the fewest. The tree that comes of it is planned by nobody, and the cost of
+//! being followed doesn't grow with the fleet.
+//!
 //! Measured: commit 19dad9b, docs/design/14 (calls of the store on a grown day 8,283 to 1,835).
+//!
 //! Tests: `upstream.rs::followers_are_few…`, `a_tree_counts…`, `a_follower_that_asks_no_more…`.
 
 use crate::pending_prefill::PendingPrefill;
@@ -12,17 +15,17 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Followers of this daemon's own data centre. Not measured, chosen because eight at each of three levels
-/// reach over 500 daemons; a seed with eight sends some 10 KB/s (docs/CAPACITY.md).
+/// Followers of this daemon's own data centre. Not measured, chosen because eight at each of three
+/// levels reach over 500 daemons; a seed with eight sends some 10 KB/s (docs/CAPACITY.md).
 const MAX_LOCAL: usize = 8;
-/// Followers of each other data centre. Not measured, chosen because bytes between data centres cost more,
-/// and the second is there when the first fails.
+/// Followers of each other data centre. Not measured, chosen because bytes between data centres
+/// cost more, and the second is there when the first fails.
 const MAX_REMOTE: usize = 2;
-/// A follower that asks nothing for so long is gone. Not measured, chosen because it is over three times
-/// the 600 ms for which a question is held.
+/// A follower that asks nothing for so long is gone. Not measured, chosen because it is over three
+/// times the 600 ms for which a question is held.
 const FOLLOWER_TTL: DurationMs = DurationMs(2_000);
-/// The largest tree that counts: more daemons than any fleet has, since two that follow each other for a
-/// moment would count each other for ever.
+/// The largest tree that counts: more daemons than any fleet has, since two that follow each other
+/// for a moment would count each other for ever.
 const MAX_TREE_SIZE: u32 = 10_000;
 
 /// A daemon that asks.
@@ -131,7 +134,8 @@
         sizes.fold(1, u32::saturating_add)
     }
 
-    /// The prompts that daemons which follow this one, directly or not, have sent and that were not read yet.
+    /// The prompts that daemons which follow this one, directly or not, have sent and that were not
+    /// read yet.
     pub fn pending_prefill(&self, now: TimeMs) -> PendingPrefill {
         let mut pending = PendingPrefill::default();
         for follower in self.current(now) {
--- a/crates/gateway/src/decisions/replication/record_expiry.rs
+++ b/crates/gateway/src/decisions/replication/record_expiry.rs
@@ -1,23 +1,28 @@
 //! Record expiry: is an endpoint gone, or was its record only lost while the source was away?
 //!
 //! Endpoints renew their records at the control source. While it is away they can't, and records of
-//! live endpoints may expire. Inputs: the age of the newest proof (ms) when a record is gone, and how long an
-//! endpoint may be used without one (ms, `--drain-ms` less 300).
-//! Rule: where nothing was heard of the source for `OUTAGE_AFTER`, or was not until `RECORDS_BACK_WITHIN`
-//! ago, an endpoint whose record is gone is used a little longer; otherwise it is gone at once. One that had
-//! said that it drains is always gone at once.
-//! Measured: commit 522feb5 (an outage of six seconds: 12 of 12 endpoints kept and renewed; neither gain nor
-//! harm on that day).
+//! live endpoints may expire.
+//!
+//! Inputs: the age of the newest proof (ms) when a record is gone, and how long an endpoint may be
+//! used without one (ms, `--drain-ms` less 300).
+//!
+//! Rule: where nothing was heard of the source for `OUTAGE_AFTER`, or was not until
+//! `RECORDS_BACK_WITHIN` ago, an endpoint whose record is gone is used a little longer; otherwise
+//! it is gone at once. One that had said that it drains is always gone at once.
+//!
+//! Measured: commit 522feb5 (an outage of six seconds: 12 of 12 endpoints kept and renewed; neither
+//! gain nor harm on that day).
+//!
 //! Tests: `admission.rs::records_that_go_after_an_outage…`, `freshness.rs::a_record_that_lapsed…`,
 //! `a_record_that_does_not_come_back…`.
 
 use bridgevane_types::{DurationMs, TimeMs};
 
-/// A source of which nothing was heard for so long was away. Chosen because records expire in no shorter
-/// time: an endpoint's record goes after three heartbeats of about 1.2 s without one.
+/// A source of which nothing was heard for so long was away. Chosen because records expire in no
+/// shorter time: an endpoint's record goes after three heartbeats of about 1.2 s without one.
 const OUTAGE_AFTER: DurationMs = DurationMs(2_500);
-/// Records of live endpoints are back so soon after the source is. Chosen because the platform says about
-/// two seconds; the rest is for a daemon to hear of it.
+/// Records of live endpoints are back so soon after the source is. Chosen because the platform says
+/// about two seconds; the rest is for a daemon to hear of it.
 const RECORDS_BACK_WITHIN: DurationMs = DurationMs(2_500);
 
 /// What becomes of an endpoint whose record is gone.
@@ -36,8 +41,8 @@
 }
 
 impl SourceOutage {
-    /// What becomes of endpoints whose records are gone now; `proof_age` is that of the newest proof before
-    /// the answer that says so, `grace` how long they may be used.
+    /// What becomes of endpoints whose records are gone now; `proof_age` is that of the newest
+    /// proof before the answer that says so, `grace` how long they may be used.
     pub fn removal(
         &mut self,
         now: TimeMs,
--- a/crates/gateway/src/decisions/replication/upstream.rs
+++ b/crates/gateway/src/decisions/replication/upstream.rs
@@ -1,38 +1,46 @@
 //! Upstream: whom this daemon follows, the control source or another daemon.
 //!
-//! Inputs: the seeds of the settings, whether this daemon is one of them, and what became of earlier
-//! questions: answers with their proof's age (ms), redirects, failures.
-//! Rules: seeds follow the source; the others follow a seed of their data centre, or the daemon that
-//! it redirects them to. Whoever loses its upstream, or gets proofs older than [`MAX_PEER_PROOF_AGE`],
-//! follows the source for a while; whom the source turns away follows the others meanwhile, and asks the
-//! source ever less often. Daemons that start together wait for each other.
+//! Inputs: the seeds of the settings, whether this daemon is one of them, and what became of
+//! earlier questions: answers with their proof's age (ms), redirects, failures.
+//!
+//! Rules: seeds follow the source; the others follow a seed of their data centre, or the daemon
+//! that it redirects them to. Whoever loses its upstream, or gets proofs older than
+//! [`MAX_PEER_PROOF_AGE`], follows the source for a while; whom the source turns away follows the
+//! others meanwhile, and asks the source ever less often. Daemons that start together wait for each
+//! other.
+//!
 //! Reason: the source bears a few callers, not one for each daemon, and a daemon that it turns away
-//! goes on with what its neighbours know. Ages of proofs are kept on every way, so that two daemons which
-//! follow each other for a moment only grow stale, and leave.
-//! Measured: commit 19dad9b, docs/design/14. Tests: `upstream.rs`.
+//! goes on with what its neighbours know. Ages of proofs are kept on every way, so that two daemons
+//! which follow each other for a moment only grow stale, and leave.
+//!
+//! Measured: commit 19dad9b, docs/design/14.
+//!
+//! Tests: `upstream.rs`.
 
 use bridgevane_types::{DataCentreId, DurationMs, TimeMs};
 use derive_more::Display;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// From this age on another daemon's proof is too old, and the source is asked. Not measured, chosen
-/// because a seed's proof is up to a second old, and each daemon on the way adds up to 0.6 s.
+/// From this age on another daemon's proof is too old, and the source is asked. Not measured,
+/// chosen because a seed's proof is up to a second old, and each daemon on the way adds up to 0.6
+/// s.
 pub const MAX_PEER_PROOF_AGE: DurationMs = DurationMs(1_600);
-/// How long a daemon that lost its upstream follows the source. Not measured, chosen because a process that
-/// restarts is back within it; longer ones cost calls of the source.
+/// How long a daemon that lost its upstream follows the source. Not measured, chosen because a
+/// process that restarts is back within it; longer ones cost calls of the source.
 const SOURCE_STAY: DurationMs = DurationMs(3_000);
-/// How long a seed that did not answer is passed over. Not measured, chosen because it is a little less than
-/// `SOURCE_STAY`: after that the seed may be tried again.
+/// How long a seed that did not answer is passed over. Not measured, chosen because it is a little
+/// less than `SOURCE_STAY`: after that the seed may be tried again.
 const SEED_BACKOFF: DurationMs = DurationMs(2_500);
-/// The first pause between calls of a source that doesn't answer; it doubles. Not measured; half as long
-/// would double the calls that a whole fleet makes in an outage.
+/// The first pause between calls of a source that doesn't answer; it doubles. Not measured; half as
+/// long would double the calls that a whole fleet makes in an outage.
 const FIRST_SOURCE_PAUSE: DurationMs = DurationMs(700);
-/// The longest pause. Not measured, chosen because proofs last 4.7 s by default: the source is asked at
-/// least once before they end.
+/// The longest pause. Not measured, chosen because proofs last 4.7 s by default: the source is
+/// asked at least once before they end.
 const MAX_SOURCE_PAUSE: DurationMs = DurationMs(2_800);
-/// How long after its start a daemon waits for others that may be starting, too. Not measured, chosen
-/// because VMs of a day start within 0.3 s of each other, and a seed reads everything in about as long.
+/// How long after its start a daemon waits for others that may be starting, too. Not measured,
+/// chosen because VMs of a day start within 0.3 s of each other, and a seed reads everything in
+/// about as long.
 const START_TOGETHER: DurationMs = DurationMs(800);
 
 /// Whom to ask next.
@@ -151,8 +159,8 @@
         }
     }
 
-    /// A seed that answers, if one does; among these one of this data centre, else one whose data centre
-    /// isn't known.
+    /// A seed that answers, if one does; among these one of this data centre, else one whose data
+    /// centre isn't known.
     fn best_seed(&self, now: TimeMs) -> Option<&Seed> {
         let rank = |seed: &&Seed| {
             let distance = match &seed.data_centre {
--- a/crates/gateway/src/decisions/resend/hedging.rs
+++ b/crates/gateway/src/decisions/resend/hedging.rs
@@ -1,12 +1,16 @@
 //! Hedging: when a second endpoint is asked while the first one is silent.
 //!
-//! Inputs: the route's target (ms), whether it answers with a stream, and whether the endpoint gave bytes
-//! to any request since this one was sent. Rule: after a share of the target without an answer, unless
-//! the request is for a stream and the engine streams to others: then it is busy, not gone, and
-//! reading the prompt a second time would cost more than it gains. Whether the request may be sent a
-//! second time at all is decided by [`super::check`]; the first attempt is given up then.
-//! Measured: commit bfa3ac1 (a first try hedged away from busy engines: ravaton 0.659 to 0.624, solcata
-//! 0.797 to 0.720; only from silent ones: 0.698 and 0.744).
+//! Inputs: the route's target (ms), whether it answers with a stream, and whether the endpoint gave
+//! bytes to any request since this one was sent.
+//!
+//! Rule: after a share of the target without an answer, unless the request is for a stream and the
+//! engine streams to others: then it is busy, not gone, and reading the prompt a second time would
+//! cost more than it gains. Whether the request may be sent a second time at all is decided by
+//! [`super::check`]; the first attempt is given up then.
+//!
+//! Measured: commit bfa3ac1 (a first try hedged away from busy engines: ravaton 0.659 to 0.624,
+//! solcata 0.797 to 0.720; only from silent ones: 0.698 and 0.744).
+//!
 //! Tests: `exchange.rs::outcomes_of_plain_requests` ("is silent"), `resend.rs`.
 
 use bridgevane_types::DurationMs;
@@ -15,8 +19,8 @@
 /// The part of the target after which a plain request is hedged. Not measured by itself (commit
 /// bfa3ac1); the rest of the target must do for the second endpoint.
 const PLAIN_SHARE: f64 = 0.6;
-/// The same for streams, whose prompt the second endpoint reads again. Not measured by itself (commit
-/// bfa3ac1): before the target is over, waiting may still be in time.
+/// The same for streams, whose prompt the second endpoint reads again. Not measured by itself
+/// (commit bfa3ac1): before the target is over, waiting may still be in time.
 const STREAM_SHARE: f64 = 1.0;
 
 /// How long an endpoint may be silent before a second one is asked.
@@ -25,8 +29,8 @@
     target.as_std().mul_f64(share)
 }
 
-/// Whether an endpoint that let the delay pass counts as silent; `was_heard` says whether it gave bytes to
-/// any request since this one was sent.
+/// Whether an endpoint that let the delay pass counts as silent; `was_heard` says whether it gave
+/// bytes to any request since this one was sent.
 pub fn is_silent(is_stream: bool, was_heard: bool) -> bool {
     !(is_stream && was_heard)
 }
--- a/crates/gateway/src/decisions/resend/retry_budget.rs
+++ b/crates/gateway/src/decisions/resend/retry_budget.rs
@@ -1,25 +1,31 @@
 //! Retry budget: how many retries all daemons together may make for one service.
 //!
-//! Inputs: the settings of the whole fleet (retries for each request, retries beyond that, a sliding
-//! window), the number of daemons, this daemon's requests and retries in the window, and when it started.
+//! Inputs: the settings of the whole fleet (retries for each request, retries beyond that, a
+//! sliding window), the number of daemons, this daemon's requests and retries in the window, and
+//! when it started.
+//!
 //! Rule: a daemon may make the ratio of its own requests, and its part of the slack. The slack is
-//! divided by a quarter more parts than there are daemons, since some may have joined unseen, and by
-//! `MIN_PARTS` at least. A daemon that hasn't learned how many there are has no part, nor has one in
-//! its first window: the process before it may have used the part up.
-//! Reason: the bound holds over all daemons in every window, while they come, go and are cut off; nobody
-//! can ask for a retry at the moment it is needed.
-//! Measured: commit 359f77a (80 daemons and a twelfth of the slack each: 1,068 retries where 677 are
-//! allowed; none too many after).
+//! divided by a quarter more parts than there are daemons, since some may have joined unseen, and
+//! by `MIN_PARTS` at least. A daemon that hasn't learned how many there are has no part, nor has
+//! one in its first window: the process before it may have used the part up.
+//!
+//! Reason: the bound holds over all daemons in every window, while they come, go and are cut off;
+//! nobody can ask for a retry at the moment it is needed.
+//!
+//! Measured: commit 359f77a (80 daemons and a twelfth of the slack each: 1,068 retries where 677
+//! are allowed; none too many after).
+//!
 //! Tests: `decisions.rs::repeats_stay_within_the_ratio…`, `eighty_daemons…share_one_slack`.
 
 use bridgevane_types::{DurationMs, Share, TimeMs};
 use std::collections::VecDeque;
 
-/// Parts that the slack is divided into at least. Not measured, chosen because it is twice as many as the
-/// users' small sites have VMs: a daemon that follows nobody doesn't learn how many there are.
+/// Parts that the slack is divided into at least. Not measured, chosen because it is twice as many
+/// as the users' small sites have VMs: a daemon that follows nobody doesn't learn how many there
+/// are.
 pub(crate) const MIN_PARTS: u32 = 12;
-/// Parts for each daemon that is known. Not measured, chosen because up to a fifth of the daemons may
-/// not be counted yet; more waste slack.
+/// Parts for each daemon that is known. Not measured, chosen because up to a fifth of the daemons
+/// may not be counted yet; more waste slack.
 const PARTS_PER_DAEMON: f64 = 1.25;
 
 /// The budget of the whole fleet for one service.
@@ -39,8 +45,8 @@
     parts.max(MIN_PARTS)
 }
 
-/// One daemon's part of the slack, in retries a window. `parts` is none while the number of daemons is
-/// unknown; before `slack_from` there is none.
+/// One daemon's part of the slack, in retries a window. `parts` is none while the number of daemons
+/// is unknown; before `slack_from` there is none.
 pub(crate) fn slack_share(
     budget: &FleetBudget,
     parts: Option<u32>,
--- a/crates/gateway/src/endpoints/connection.rs
+++ b/crates/gateway/src/endpoints/connection.rs
@@ -14,8 +14,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// The most that is buffered of an answer. Not measured, chosen because VMs have some 100 MB, and many
-/// streams are open at once; heads of answers are far smaller.
+/// The most that is buffered of an answer. Not measured, chosen because VMs have some 100 MB, and
+/// many streams are open at once; heads of answers are far smaller.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
 /// A connection. Dropped, it closes at once, so that the endpoint drops its request.
--- a/crates/gateway/src/endpoints/idle_connections.rs
+++ b/crates/gateway/src/endpoints/idle_connections.rs
@@ -49,7 +49,8 @@
         None
     }
 
-    /// Keeps a connection for `timeout`; beyond `max_idle` the one that was unused the longest goes.
+    /// Keeps a connection for `timeout`; beyond `max_idle` the one that was unused the longest
+    /// goes.
     pub(crate) fn put(&self, connection: Connection, timeout: Duration, max_idle: usize) {
         let mut state = self.state();
         if state.is_closed {
--- a/crates/gateway/src/endpoints/mod.rs
+++ b/crates/gateway/src/endpoints/mod.rs
@@ -1,8 +1,8 @@
 //! The endpoints that serve requests, and what this daemon knows of each of them.
 //!
 //! Owns load, health, idle connections and prefix-cache hints, each behind atomics or a lock of its
-//! own; the rules over them are in [`crate::decisions::endpoint`]. All of it is lost with the process
-//! and learned again from answers.
+//! own; the rules over them are in [`crate::decisions::endpoint`]. All of it is lost with the
+//! process and learned again from answers.
 
 pub(crate) mod connection;
 pub(crate) mod directory;
--- a/crates/gateway/src/endpoints/prompt_locations.rs
+++ b/crates/gateway/src/endpoints/prompt_locations.rs
@@ -1,7 +1,7 @@
 //! Prompt locations: which engines this daemon saw read which parts of prompts.
 //!
-//! Owns a bounded index behind a lock. An entry is a hint that the part is in the engine's prefix cache;
-//! it expires, since the engine evicts what is unused.
+//! Owns a bounded index behind a lock. An entry is a hint that the part is in the engine's prefix
+//! cache; it expires, since the engine evicts what is unused.
 
 use crate::prompt::Prompt;
 use bridgevane_decisions::{EndpointIx, Holders, PrefixCache};
@@ -12,7 +12,8 @@
 /// 1.4 MB (172 bytes a block, docs/BENCHMARKS.md "Memory").
 const MAX_PARTS: usize = 8_192;
 /// How long a part counts as cached after an engine read it, in milliseconds. Not measured (commit
-/// c8e2817). Twice as long would count parts that are evicted, half would forget sessions that pause.
+/// c8e2817). Twice as long would count parts that are evicted, half would forget sessions that
+/// pause.
 const PART_TTL_MS: u64 = 15_000;
 
 /// Where parts of prompts were read.
--- a/crates/gateway/src/endpoints/selection.rs
+++ b/crates/gateway/src/endpoints/selection.rs
@@ -1,4 +1,5 @@
-//! Selection: gathers what [`crate::decisions::endpoint::placement`] decides on, and carries it out.
+//! Selection: gathers what [`crate::decisions::endpoint::placement`] decides on, and carries it
+//! out.
 //!
 //! Owns nothing. Takes two short locks an endpoint, for health and for the queue.
 
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How long a connection that is accepted after idle ones were closed may take to send a request. Not
-/// measured by itself (commit bfa3ac1: late connections were cut); chosen because a client that has
-/// connected sends at once.
+/// How long a connection that is accepted after idle ones were closed may take to send a request.
+/// Not measured by itself (commit bfa3ac1: late connections were cut); chosen because a client that
+/// has connected sends at once.
 const LATE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Whether new connections are accepted.
--- a/crates/gateway/src/lifecycle/stop.rs
+++ b/crates/gateway/src/lifecycle/stop.rs
@@ -17,8 +17,8 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How often open connections are counted at the end. Not measured, chosen because it is short against
-/// the seconds that a stop takes.
+/// How often open connections are counted at the end. Not measured, chosen because it is short
+/// against the seconds that a stop takes.
 const COUNT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Brings every answer to its end; returns when the process may end.
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,6 +1,7 @@
 //! The gateway's metrics: answers, refusals, attempts, calls of the source and of other daemons.
 //!
-//! Names and labels are an interface to operators' dashboards (docs/OPERATIONS.md) and don't change.
+//! Names and labels are an interface to operators' dashboards (docs/OPERATIONS.md) and don't
+//! change.
 
 use crate::control::source::SourceError;
 use crate::decisions::admission::refusal::RefusalReason;
@@ -11,7 +12,8 @@
 use opentelemetry::metrics::{Counter, Histogram, Meter};
 use std::time::Duration;
 
-/// Bounds of the buckets of the first byte, in seconds. Chosen because the users' targets are 0.1 to 1.5 s.
+/// Bounds of the buckets of the first byte, in seconds. Chosen because the users' targets are 0.1
+/// to 1.5 s.
 const FIRST_BYTE_BUCKETS_S: [f64; 11] =
     [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 1.5, 3.0, 10.0];
 
--- a/crates/gateway/src/pending_prefill.rs
+++ b/crates/gateway/src/pending_prefill.rs
@@ -1,15 +1,15 @@
 //! Pending prefill: prompt tokens that were sent to endpoints and not read yet, by endpoint.
 //!
-//! Where there are many daemons each sends an engine a request in some seconds, and knows little of its
-//! queue. Together they know all that was sent there: sums go up the tree in which daemons follow each
-//! other, the total goes down (docs/design/14).
+//! Where there are many daemons each sends an engine a request in some seconds, and knows little of
+//! its queue. Together they know all that was sent there: sums go up the tree in which daemons
+//! follow each other, the total goes down (docs/design/14).
 
 use bridgevane_types::EndpointId;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Less than this at an endpoint is not reported. Not measured (commit cf81c29), chosen because it is 30 ms
-/// of reading, which decides nothing; half would make most messages longer.
+/// Less than this at an endpoint is not reported. Not measured (commit cf81c29), chosen because it
+/// is 30 ms of reading, which decides nothing; half would make most messages longer.
 pub(crate) const MIN_REPORTED_TOKENS: u64 = 1_500;
 
 /// An endpoint's name in messages between daemons, whose indexes for it differ: the upper half of a
--- a/crates/gateway/src/replication/client.rs
+++ b/crates/gateway/src/replication/client.rs
@@ -1,7 +1,7 @@
 //! Asking another daemon for what it has of the control source.
 //!
-//! Owns one connection, to the daemon that is asked at present. Retries and the choice of the daemon are
-//! [`super::follow`]'s.
+//! Owns one connection, to the daemon that is asked at present. Retries and the choice of the
+//! daemon are [`super::follow`]'s.
 
 use crate::control::replica::Update;
 use crate::control::source::Revision;
@@ -21,14 +21,14 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// How long a connection to a daemon may take to come up. Not measured, chosen because a lost opening packet
-/// is sent again only after a second, when another daemon has long answered.
+/// How long a connection to a daemon may take to come up. Not measured, chosen because a lost
+/// opening packet is sent again only after a second, when another daemon has long answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long an answer may take. Chosen because a question is held for up to 0.6 s (`server.rs`), and the rest
-/// must do for the way and a slow VM; not measured.
+/// How long an answer may take. Chosen because a question is held for up to 0.6 s (`server.rs`),
+/// and the rest must do for the way and a slow VM; not measured.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The same for a whole state. Measured in commit 8f01409: 0.9 MB over a link of 10 Mbit/s that others share
-/// took over a second at 301 daemons.
+/// The same for a whole state. Measured in commit 8f01409: 0.9 MB over a link of 10 Mbit/s that
+/// others share took over a second at 301 daemons.
 const WHOLE_STATE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// What another daemon answered.
@@ -68,8 +68,8 @@
 }
 
 impl PeerClient {
-    /// Asks a daemon for what came after `after`; 0 asks for the whole state. A failed question closes the
-    /// connection.
+    /// Asks a daemon for what came after `after`; 0 asks for the whole state. A failed question
+    /// closes the connection.
     ///
     /// # Errors
     /// [`PeerError`] when there is no answer that can be used.
@@ -166,8 +166,8 @@
     }
 }
 
-/// Reads an answer. The question had arrived when its holding began, and was sent no later: what was proved
-/// so long before the end of the holding was proved no earlier than this works out.
+/// Reads an answer. The question had arrived when its holding began, and was sent no later: what
+/// was proved so long before the end of the holding was proved no earlier than this works out.
 fn decode(
     asked_at: TimeMs,
     mut answer: RecordsAnswer,
--- a/crates/gateway/src/replication/fleet.rs
+++ b/crates/gateway/src/replication/fleet.rs
@@ -1,8 +1,8 @@
 //! The fleet: what this daemon knows of the other daemons.
 //!
-//! Owns its followers, the number of daemons, and the reports of prompts that others have sent, each
-//! behind a lock that no request takes. All of it is lost with the process and heard again within
-//! seconds.
+//! Owns its followers, the number of daemons, and the reports of prompts that others have sent,
+//! each behind a lock that no request takes. All of it is lost with the process and heard again
+//! within seconds.
 
 use crate::clock::Clock;
 use crate::decisions::replication::fleet_size::FleetSize;
@@ -49,7 +49,8 @@
         self.reports.lock().expect("no panic under this lock")
     }
 
-    /// The other seeds, if this daemon is one; a daemon that is none has nothing to exchange with them.
+    /// The other seeds, if this daemon is one; a daemon that is none has nothing to exchange with
+    /// them.
     pub(crate) fn other_seeds(&self) -> Vec<SocketAddr> {
         let Some(own) = self.own_address else {
             return Vec::new();
@@ -93,7 +94,8 @@
         self.on_size_report(self.tree_size().saturating_mul(seeds))
     }
 
-    /// Prompts that daemons of this one's tree have sent and that were not read yet, its own included.
+    /// Prompts that daemons of this one's tree have sent and that were not read yet, its own
+    /// included.
     pub(crate) fn tree_pending(&self, directory: &Directory) -> PendingPrefill {
         let mut pending = own_pending(directory);
         let followers = self.followers().pending_prefill(self.clock.now());
--- a/crates/gateway/src/replication/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -1,8 +1,9 @@
-//! Following the control source, itself or by another daemon: everything is read once, then changes.
+//! Following the control source, itself or by another daemon: everything is read once, then
+//! changes.
 //!
 //! The one task that writes [`crate::control::state`]. Whom it asks is decided in
-//! [`crate::decisions::replication::upstream`]; here the question is asked, its answer taken in, and what it
-//! proves noted.
+//! [`crate::decisions::replication::upstream`]; here the question is asked, its answer taken in,
+//! and what it proves noted.
 
 use crate::control::replica::Update;
 use crate::control::source::{Changes, ControlSource, FullState, Revision, SourceError};
@@ -18,24 +19,25 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// The pause after a first failed question; it doubles. Not measured, chosen because the upstream selector
-/// has its own, longer pauses for the source: this one only keeps the loop from spinning.
+/// The pause after a first failed question; it doubles. Not measured, chosen because the upstream
+/// selector has its own, longer pauses for the source: this one only keeps the loop from spinning.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between failed questions. Not measured, chosen because a lost upstream must be replaced
-/// well within the 4.7 s that a proof lasts by default.
+/// The longest pause between failed questions. Not measured, chosen because a lost upstream must be
+/// replaced well within the 4.7 s that a proof lasts by default.
 const MAX_PAUSE: Duration = Duration::from_millis(400);
-/// How long reading everything may take at first; each reading that is given up doubles the limit. Measured
-/// in commit 8f01409: with a fixed limit a large state on a slow VM was begun again for ever.
+/// How long reading everything may take at first; each reading that is given up doubles the limit.
+/// Measured in commit 8f01409: with a fixed limit a large state on a slow VM was begun again for
+/// ever.
 const FIRST_RELOAD_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// The longest that reading everything may take. Not measured, chosen because it is three doublings; a source
-/// that takes longer is as good as away.
+/// The longest that reading everything may take. Not measured, chosen because it is three
+/// doublings; a source that takes longer is as good as away.
 const MAX_RELOAD_TIMEOUT: Duration = Duration::from_millis(16_000);
-/// What a wait for changes may take beyond its own time. Not measured, chosen because a slow source takes
-/// some hundred milliseconds more; a silent one must be left soon.
+/// What a wait for changes may take beyond its own time. Not measured, chosen because a slow source
+/// takes some hundred milliseconds more; a silent one must be left soon.
 const WAIT_SLACK: Duration = Duration::from_millis(1_000);
-/// How long changes gather before the next question: they come many at once, and one answer brings what
-/// several would. Measured in commit 568af14: 12,585 calls of the source in a quiet grown day without it,
-/// 4,400 with it and longer waits.
+/// How long changes gather before the next question: they come many at once, and one answer brings
+/// what several would. Measured in commit 568af14: 12,585 calls of the source in a quiet grown day
+/// without it, 4,400 with it and longer waits.
 const GATHER_CHANGES: Duration = Duration::from_millis(200);
 
 /// Whether a question brought anything.
--- a/crates/gateway/src/replication/mod.rs
+++ b/crates/gateway/src/replication/mod.rs
@@ -1,12 +1,13 @@
-//! Daemons pass on to each other what the control source says, and how recent it is, so that the source
-//! bears a few callers and not one for each daemon, and so that a daemon that the source turns away
-//! goes on with what its neighbours know.
+//! Daemons pass on to each other what the control source says, and how recent it is, so that the
+//! source bears a few callers and not one for each daemon, and so that a daemon that the source
+//! turns away goes on with what its neighbours know.
 //!
 //! A daemon follows one upstream at a time: the source itself, or another daemon
-//! ([`crate::decisions::replication::upstream`]). What it has taken in is its replica ([`crate::control::replica`]), from which it
-//! answers daemons that follow it ([`server`], [`client`]). Messages also carry how many daemons there
-//! are and the prompts that they have sent ([`fleet`]). Nothing is agreed on and nothing is kept: a
-//! replica is a cache of the source, and the source's revision is its only clock.
+//! ([`crate::decisions::replication::upstream`]). What it has taken in is its replica
+//! ([`crate::control::replica`]), from which it answers daemons that follow it ([`server`],
+//! [`client`]). Messages also carry how many daemons there are and the prompts that they have sent
+//! ([`fleet`]). Nothing is agreed on and nothing is kept: a replica is a cache of the source, and
+//! the source's revision is its only clock.
 
 pub(crate) mod client;
 pub(crate) mod fleet;
--- a/crates/gateway/src/replication/seed_exchange.rs
+++ b/crates/gateway/src/replication/seed_exchange.rs
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The pause between two questions. Not measured by itself (commit cf81c29), chosen because followers' questions
-/// are held as long while there is work to report.
+/// The pause between two questions. Not measured by itself (commit cf81c29), chosen because
+/// followers' questions are held as long while there is work to report.
 const INTERVAL: Duration = Duration::from_millis(200);
-/// The pause after a question without an answer. Not measured, chosen because a seed that is away is away for
-/// seconds, and its report expires meanwhile.
+/// The pause after a question without an answer. Not measured, chosen because a seed that is away
+/// is away for seconds, and its report expires meanwhile.
 const FAILURE_PAUSE: Duration = Duration::from_millis(2_000);
 
 /// Starts to ask the other seeds, if this daemon is a seed; goes on until the daemon ends.
--- a/crates/gateway/src/replication/server.rs
+++ b/crates/gateway/src/replication/server.rs
@@ -1,7 +1,8 @@
 //! The peer address: answers daemons that follow this one.
 //!
-//! Owns the connections of followers. Answers are made of [`crate::control::state`] and [`super::fleet`]; who is
-//! answered here is decided in [`crate::decisions::replication::followers`].
+//! Owns the connections of followers. Answers are made of [`crate::control::state`] and
+//! [`super::fleet`]; who is answered here is decided in
+//! [`crate::decisions::replication::followers`].
 
 use crate::control::source::Revision;
 use crate::counter::Counter;
@@ -20,19 +21,20 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// How long a question is held when there is nothing new. Not measured by itself (commit 19dad9b), chosen because
-/// a proof may be 1.6 s old, and each daemon on the way may hold it so long. Half doubles the messages.
+/// How long a question is held when there is nothing new. Not measured by itself (commit 19dad9b),
+/// chosen because a proof may be 1.6 s old, and each daemon on the way may hold it so long. Half
+/// doubles the messages.
 const HOLD: Duration = Duration::from_millis(600);
-/// The same while prompts are to be reported. Not measured by itself (commit cf81c29); it is how stale the
-/// reported queue of an engine may be at each step of the tree.
+/// The same while prompts are to be reported. Not measured by itself (commit cf81c29); it is how
+/// stale the reported queue of an engine may be at each step of the tree.
 const BUSY_HOLD: Duration = Duration::from_millis(200);
-/// How long a daemon may take from one question to the next. Not measured, chosen because a follower expires
-/// after 2 s; the rest spares a slow one a new connection.
+/// How long a daemon may take from one question to the next. Not measured, chosen because a
+/// follower expires after 2 s; the rest spares a slow one a new connection.
 const NEXT_QUESTION_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// Moments are whole milliseconds, so that an age may be one more than their difference.
 const CLOCK_GRAIN_MS: u64 = 1;
-/// Connections from other daemons at most. Measured in commit 45ec449: a seed had 115 at 301 daemons when all
-/// started at once, of 128 that were allowed then.
+/// Connections from other daemons at most. Measured in commit 45ec449: a seed had 115 at 301
+/// daemons when all started at once, of 128 that were allowed then.
 const MAX_CONNECTIONS: u64 = 512;
 
 /// Answers until the daemon ends.
@@ -100,8 +102,8 @@
     }
 }
 
-/// Where the daemon asks instead. Decided before any record is sent: a whole state is much for the link of a
-/// small VM.
+/// Where the daemon asks instead. Decided before any record is sent: a whole state is much for the
+/// link of a small VM.
 fn redirect(gateway: &Gateway, question: &RecordsWanted) -> Option<SocketAddr> {
     let follower = Follower {
         vm: VmId::from(question.vm.as_str()),
@@ -143,8 +145,8 @@
     question: &RecordsWanted,
     asked: Instant,
 ) -> (RecordsAnswer, Option<TimeMs>) {
-    // A proof is noted after the state that it proves: while the replica can't change, it holds at least
-    // what the newest proof is about.
+    // A proof is noted after the state that it proves: while the replica can't change, it holds at
+    // least what the newest proof is about.
     let replica = gateway.control.replica();
     let proved_at = gateway.control.proved_at();
     let update = replica.update_since(Revision(question.at));
--- a/crates/gateway/src/requests/front.rs
+++ b/crates/gateway/src/requests/front.rs
@@ -1,6 +1,7 @@
 //! The client address: accepts connections and serves the requests on each.
 //!
-//! Owns clients' connections. Relies on the HTTP library for reading heads within the idle timeout and the size limit.
+//! Owns clients' connections. Relies on the HTTP library for reading heads within the idle timeout
+//! and the size limit.
 
 use crate::gateway::Gateway;
 use crate::requests::handler;
@@ -15,11 +16,11 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long a connection may be idle until a configuration says it. Not measured, chosen because the
-/// first configuration comes within a second of a start.
+/// How long a connection may be idle until a configuration says it. Not measured, chosen because
+/// the first configuration comes within a second of a start.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// The longest request head until a configuration says it. Not measured, chosen because servers of the
-/// field allow 8 to 16 KB.
+/// The longest request head until a configuration says it. Not measured, chosen because servers of
+/// the field allow 8 to 16 KB.
 const DEFAULT_MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The least that a connection's buffer must hold: the HTTP library's own minimum, from its docs.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -4,11 +4,11 @@
 //! 2. [`admission`] reads and checks it, into an [`inbound`] request ([`request_headers`] decodes);
 //! 3. [`exchange`] selects endpoints until one answers, [`attempt`] sends it to one of them,
 //!    [`response_head`] checks whose answer came, [`in_flight`] counts it meanwhile;
-//! 4. [`relay`] passes a stream on and resumes it elsewhere ([`server_events`] cuts it into events);
-//!    [`answer_body`] is what the client reads.
+//! 4. [`relay`] passes a stream on and resumes it elsewhere ([`server_events`] cuts it into
+//!    events); [`answer_body`] is what the client reads.
 //!
-//! What may be refused, retried or given up is decided in [`crate::decisions`]; these modules gather
-//! the inputs, act and log.
+//! What may be refused, retried or given up is decided in [`crate::decisions`]; these modules
+//! gather the inputs, act and log.
 
 pub(crate) mod admission;
 pub(crate) mod answer_body;
--- a/crates/gateway/src/requests/request_headers.rs
+++ b/crates/gateway/src/requests/request_headers.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// The headers that are passed on: without those of the connection, the key, and what only the system
-/// itself may set.
+/// The headers that are passed on: without those of the connection, the key, and what only the
+/// system itself may set.
 pub(crate) fn passed_on(names: &HeaderNames, mut headers: HeaderMap) -> HeaderMap {
     let id = headers.get(&names.request_id).cloned();
     remove_hop_by_hop(&mut headers);
--- a/crates/gateway/src/requests/server_events.rs
+++ b/crates/gateway/src/requests/server_events.rs
@@ -13,8 +13,9 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes and gives the whole events that are new. A partial event waits for its rest; one whose
-    /// identifier isn't above the last is dropped, since it was given before the stream was resumed.
+    /// Takes bytes and gives the whole events that are new. A partial event waits for its rest; one
+    /// whose identifier isn't above the last is dropped, since it was given before the stream was
+    /// resumed.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let mut whole = BytesMut::new();
@@ -60,8 +61,8 @@
     None
 }
 
-/// The number in an event's `id` line. Events with another identifier or none can't be resumed after,
-/// and are passed on like those without.
+/// The number in an event's `id` line. Events with another identifier or none can't be resumed
+/// after, and are passed on like those without.
 fn event_id(event: &[u8]) -> Option<u64> {
     // No text has no `id` line.
     let text = std::str::from_utf8(event).ok()?;
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -1,7 +1,7 @@
 //! Routes, services, customers and limits: what an operator's configuration says, as plain types.
 //!
-//! The adapter of the platform fills these types in; [`crate::control::routing_table`] indexes them. They
-//! rely on nothing and decide nothing.
+//! The adapter of the platform fills these types in; [`crate::control::routing_table`] indexes
+//! them. They rely on nothing and decide nothing.
 
 use bridgevane_types::{Bytes, CustomerId, DurationMs, ServiceName, Tier};
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the gateway: all of them are known before it starts, and none changes while it runs.
 //!
-//! The command fills them in from flags (docs/CONFIGURATION.md); `--print-settings` prints them under these
-//! names.
+//! The command fills them in from flags (docs/CONFIGURATION.md); `--print-settings` prints them
+//! under these names.
 
 use bridgevane_types::{Bytes, DataCentreId, DurationMs, Share, VmId};
 use std::net::SocketAddr;
--- a/crates/gateway/src/unreadable_headers.rs
+++ b/crates/gateway/src/unreadable_headers.rs
@@ -1,7 +1,7 @@
 //! Headers that can't be decoded: they count as absent, and are logged, at most one a second.
 //!
-//! A header that isn't there is normal; one that can't be read means that a client, an endpoint or an
-//! adapter is wrong. The log is bounded, since anybody can send such headers.
+//! A header that isn't there is normal; one that can't be read means that a client, an endpoint or
+//! an adapter is wrong. The log is bounded, since anybody can send such headers.
 
 use crate::clock::{AtomicTime, Clock};
 use bridgevane_events::{Event, event};
@@ -10,8 +10,8 @@
 use http::{HeaderMap, HeaderName};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The least time between two lines. Not measured, chosen because one line a second shows the fault and
-/// leaves the log to others.
+/// The least time between two lines. Not measured, chosen because one line a second shows the fault
+/// and leaves the log to others.
 const LOG_INTERVAL: DurationMs = DurationMs(1_000);
 
 /// Who sent a header.
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -6,8 +6,8 @@
 use prost::Message;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec, LengthDelimitedCodecError};
 
-/// The largest frame: a whole configuration of up to a megabyte and its framing. Chosen because the configuration
-/// as a whole has at most 1 MB, twice that in a frame of sections.
+/// The largest frame: a whole configuration of up to a megabyte and its framing. Chosen because the
+/// configuration as a whole has at most 1 MB, twice that in a frame of sections.
 pub const MAX_FRAME_BYTES: usize = 2 << 20;
 
 /// Why a frame can't be read or written.
--- a/crates/protocol/src/greeting.rs
+++ b/crates/protocol/src/greeting.rs
@@ -11,7 +11,8 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::Framed;
 
-/// The version that this code speaks. It rises from the first on with each change that older daemons can't read.
+/// The version that this code speaks. It rises from the first on with each change that older
+/// daemons can't read.
 pub const PROTOCOL_VERSION: u32 = 1;
 /// The oldest version that it still understands. Chosen because there has been one version only.
 pub const MIN_PROTOCOL_VERSION: u32 = 1;
--- a/crates/standins/src/promises.rs
+++ b/crates/standins/src/promises.rs
@@ -1,4 +1,5 @@
-//! What `serve` promises, as predicates over the log of decisions: for tests, benchmarks and the demo's verdict.
+//! What `serve` promises, as predicates over the log of decisions: for tests, benchmarks and the
+//! demo's verdict.
 //!
 //! It stands apart from the deciding code, and the product doesn't contain it.
 
--- a/src/commands/ask.rs
+++ b/src/commands/ask.rs
@@ -56,6 +56,7 @@
     let client = OperatorClient::new(arguments.at, arguments.token.clone())?;
     if arguments.print_config {
         let answer = client.config().await?;
+        // The daemon always sends it; a later version that doesn't shows nothing.
         say!("{}", answer.body["document"].as_str().unwrap_or_default());
         eprintln!("version {}", answer.body["version"]);
         return Ok(code_of(answer.status));
@@ -94,6 +95,7 @@
         return Ok(ConfigVersion(base));
     }
     let answer = client.config().await?;
+    // Version 0 is refused as a conflict, so that nothing is overwritten.
     Ok(ConfigVersion(answer.body["version"].as_u64().unwrap_or(0)))
 }
 
--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -1,7 +1,8 @@
 //! `bridgevane gateway`: forwards requests on the users' platform.
 //!
-//! Reads the settings, starts the parts of `bridgevane-gateway` on one thread, and brings them to an end on the
-//! stop signal. Exit code 0 after a planned stop, 2 for settings or addresses that can't be used.
+//! Reads the settings, starts the parts of `bridgevane-gateway` on one thread, and brings them to
+//! an end on the stop signal. Exit code 0 after a planned stop, 2 for settings or addresses that
+//! can't be used.
 
 use crate::commands::{exit, say};
 use crate::configs::gateway::GatewayConfig;
@@ -19,8 +20,8 @@
 use bridgevane_platform::{Store, header_names};
 use std::time::Duration;
 
-/// How long a connection to the store may take to come up. Not measured, chosen because a store that takes longer is
-/// as good as away, and other daemons are asked meanwhile.
+/// How long a connection to the store may take to come up. Not measured, chosen because a store
+/// that takes longer is as good as away, and other daemons are asked meanwhile.
 const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Forward requests as they came, by the platform's routes, keys and workers. Each flag has an
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -21,6 +21,7 @@
 macro_rules! say {
     ($($arguments:tt)*) => {{
         use std::io::Write as _;
+        // Nobody reads standard output any more: there is nowhere to say so.
         let _ = writeln!(std::io::stdout(), $($arguments)*);
     }};
 }
--- a/src/commands/report_page.rs
+++ b/src/commands/report_page.rs
@@ -54,6 +54,7 @@
 }
 
 fn number(row: &Row, field: &str) -> f64 {
+    // A field that a row doesn't have is drawn as nothing.
     row.get(field).and_then(Value::as_f64).unwrap_or(0.0)
 }
 
@@ -70,6 +71,7 @@
         Value::String(text) => escape(text),
         Value::Null => "–".into(),
         Value::Number(number) if number.is_f64() => {
+            // Every JSON number that a daemon sends is a f64.
             format!("{:.3}", number.as_f64().unwrap_or(0.0))
         }
         other => other.to_string(),
@@ -117,6 +119,7 @@
         .map(|row| {
             row.get("class")
                 .and_then(Value::as_str)
+                // A row without the field gets an empty cell.
                 .unwrap_or("")
                 .to_owned()
         })
@@ -132,6 +135,7 @@
         .y_label_area_size(44)
         .build_cartesian_2d((0..names.len()).into_segmented(), 0.0..top)?;
     let label = |at: &SegmentValue<usize>| match at {
+        // Ticks beyond the last class have no name.
         SegmentValue::CenterOf(at) => names.get(*at).cloned().unwrap_or_default(),
         _ => String::new(),
     };
--- a/src/commands/soak.rs
+++ b/src/commands/soak.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Processes of one run at most. Chosen because the soak must stay within a few dozen processes and half of a
-/// machine's memory.
+/// Processes of one run at most. Chosen because the soak must stay within a few dozen processes and
+/// half of a machine's memory.
 const MAX_PROCESSES: usize = 24;
 
 /// Run gateways as processes before the emulated platform, with faults from outside them, and
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -110,9 +110,11 @@
     };
     let text = std::fs::read_to_string(file)
         .map_err(|error| eprintln!("{}: {error}", file.display()))
+        // The error is printed; the command ends with exit code 2.
         .ok()?;
     let document = Document::parse(&text)
         .map_err(|problems| eprintln!("{problems}"))
+        // The error is printed; the command ends with exit code 2.
         .ok()?;
     let envelope = Envelope {
         version: ConfigVersion(1),
@@ -122,6 +124,7 @@
     let stored = envelope
         .to_text()
         .map_err(|error| eprintln!("{error}"))
+        // The error is printed; the command ends with exit code 2.
         .ok()?;
     platform.put(CONFIG_KEY, &stored);
     Some(platform)
--- a/src/configs/peers.rs
+++ b/src/configs/peers.rs
@@ -16,7 +16,8 @@
     pub greeting_ms: DurationMs,
 }
 
-/// Not measured, chosen because heartbeats keep connections between neighbours busy; others may close.
+/// Not measured, chosen because heartbeats keep connections between neighbours busy; others may
+/// close.
 const IDLE_TIMEOUT: DurationMs = DurationMs(60_000);
 /// Not measured, chosen because a greeting takes two round trips.
 const GREETING_TIMEOUT: DurationMs = DurationMs(2_000);
--- a/src/configs/serving.rs
+++ b/src/configs/serving.rs
@@ -43,11 +43,13 @@
 const SLOW_READER_TIMEOUT: DurationMs = DurationMs(10_000);
 /// Measured: 135 B/s an engine on the wire (docs/CAPACITY.md).
 const POLL_EVERY: DurationMs = DurationMs(5_000);
-/// Not measured, chosen because reports then are all that is known of others' requests (docs/design/01).
+/// Not measured, chosen because reports then are all that is known of others' requests
+/// (docs/design/01).
 const POLL_WITHOUT_HOME: DurationMs = DurationMs(500);
 /// Measured: 0.07 % of a core at the size to design for (docs/CAPACITY.md).
 const TICK_EVERY: DurationMs = DurationMs(20);
-/// Measured: every 32 tokens or second, frames between daemons 267 B a request of 20 tokens (docs/BENCHMARKS.md).
+/// Measured: every 32 tokens or second, frames between daemons 267 B a request of 20 tokens
+/// (docs/BENCHMARKS.md).
 const PROGRESS_EVERY: DurationMs = DurationMs(1_000);
 /// Not measured, chosen because it is three times the 46 ms between tokens to design for.
 const SLOW_GAP: DurationMs = DurationMs(150);
--- a/src/modules/process/http_serve.rs
+++ b/src/modules/process/http_serve.rs
@@ -9,10 +9,11 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Time for a caller to send the head of a request: slow senders are let go. Not measured, chosen because a head is
-/// a packet or two; half would cut callers on slow links.
+/// Time for a caller to send the head of a request: slow senders are let go. Not measured, chosen
+/// because a head is a packet or two; half would cut callers on slow links.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The largest head of a request. Not measured, chosen because servers of the field allow 8 to 64 KB.
+/// The largest head of a request. Not measured, chosen because servers of the field allow 8 to 64
+/// KB.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// Listens at `address`.
--- a/src/modules/process/log_writer.rs
+++ b/src/modules/process/log_writer.rs
@@ -5,11 +5,11 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// Bytes that wait at most; lines beyond are dropped and counted. Not measured, chosen because it is over a
-/// thousand lines, and small against 88 MB, the smallest VM.
+/// Bytes that wait at most; lines beyond are dropped and counted. Not measured, chosen because it
+/// is over a thousand lines, and small against 88 MB, the smallest VM.
 const MAX_WAITING_BYTES: usize = 256 * 1024;
-/// How long lines gather before they are written. Chosen because each write wakes a thread: five a second cost
-/// nothing that shows (docs/OPERATIONS.md tells what a kill loses).
+/// How long lines gather before they are written. Chosen because each write wakes a thread: five a
+/// second cost nothing that shows (docs/OPERATIONS.md tells what a kill loses).
 const GATHER: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Default)]
--- a/src/modules/process/logging.rs
+++ b/src/modules/process/logging.rs
@@ -53,6 +53,7 @@
     let at = humantime::format_rfc3339_millis(SystemTime::now());
     let mut line = format!("{at} {:5} {}", record.level(), record.args());
     for (key, value) in fields_of(record) {
+        // Writing into memory doesn't fail.
         let _ = match value {
             Json::String(text) => write!(line, " {key}={text}"),
             other => write!(line, " {key}={other}"),
--- a/src/modules/process/signals.rs
+++ b/src/modules/process/signals.rs
@@ -34,8 +34,8 @@
     Ok(())
 }
 
-/// Waits for the stop signal; SIGHUP, by which a platform says that settings have changed, is logged and touches
-/// nothing that runs.
+/// Waits for the stop signal; SIGHUP, by which a platform says that settings have changed, is
+/// logged and touches nothing that runs.
 ///
 /// # Errors
 /// When a signal can't be listened for.
--- a/src/modules/serve/configuration/accept.rs
+++ b/src/modules/serve/configuration/accept.rs
@@ -1,4 +1,5 @@
-//! Accepting a version of the configuration, wherever it came from: into the replica, in force, and on to others.
+//! Accepting a version of the configuration, wherever it came from: into the replica, in force, and
+//! on to others.
 //!
 //! Versions only rise; one that isn't newer changes nothing.
 
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -17,17 +17,20 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a home may take to answer a claim. Not measured; half would answer `unknown` while a home is only slow.
+/// How long a home may take to answer a claim. Not measured; half would answer `unknown` while a
+/// home is only slow.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause before a claim is repeated to a home that didn't know that it is one. Not measured, chosen because views
-/// of who lives agree within a few heartbeats.
+/// Pause before a claim is repeated to a home that didn't know that it is one. Not measured, chosen
+/// because views of who lives agree within a few heartbeats.
 const NOT_HOME_PAUSE: Duration = Duration::from_millis(200);
-/// How often such a claim is repeated. Not measured, chosen because three pauses are within a caller's time.
+/// How often such a claim is repeated. Not measured, chosen because three pauses are within a
+/// caller's time.
 const NOT_HOME_TRIES: u32 = 3;
-/// How often, and how far apart, the end of a call is told to its key's home. Not measured, chosen because a home
-/// that is away for longer is dead, and its keys answer `unknown`.
+/// How often, and how far apart, the end of a call is told to its key's home. Not measured, chosen
+/// because a home that is away for longer is dead, and its keys answer `unknown`.
 const END_TRIES: u32 = 10;
-/// Pause between two of these. Not measured; shorter ones would only fill the queue of a daemon that is away.
+/// Pause between two of these. Not measured; shorter ones would only fill the queue of a daemon
+/// that is away.
 const END_PAUSE: Duration = Duration::from_millis(1_000);
 
 /// Asks the key's home whether the call may run.
@@ -72,6 +75,7 @@
     context.links.to(address).send(frame);
     let verdict = tokio::time::timeout(ANSWER_TIMEOUT, receiver).await;
     context.keys.waiting().remove(&claim);
+    // No answer in time, or the claim was given up: nobody knows.
     verdict.ok()?.ok()
 }
 
--- a/src/modules/serve/keys/key_homes.rs
+++ b/src/modules/serve/keys/key_homes.rs
@@ -1,7 +1,7 @@
 //! Keys whose home this daemon is, and claims that wait for other homes.
 //!
-//! Owns the registry and the waiting claims, each behind a lock; lost with the process. Claims are made and decided in
-//! [`super::claims`].
+//! Owns the registry and the waiting claims, each behind a lock; lost with the process. Claims are
+//! made and decided in [`super::claims`].
 
 use bridgevane_coordination::configs::KeyRegistryConfig;
 use bridgevane_coordination::{KeyMember, KeyRegistry, Verdict};
--- a/src/modules/serve/observation/burn.rs
+++ b/src/modules/serve/observation/burn.rs
@@ -11,7 +11,8 @@
 
 /// Milliseconds of one count. Milliseconds of a minute, since burn is kept by the minute.
 const MINUTE_MS: u64 = 60_000;
-/// Minutes that are kept: six hours, the longest window. Chosen because the longest window of burn is six hours.
+/// Minutes that are kept: six hours, the longest window. Chosen because the longest window of burn
+/// is six hours.
 const MINUTES: usize = 360;
 
 /// What became of a class's requests in some time.
@@ -90,7 +91,8 @@
     histogram: Histogram<u64>,
 }
 
-/// The longest first token that is told apart: ten minutes. Chosen because no caller waits longer than ten minutes.
+/// The longest first token that is told apart: ten minutes. Chosen because no caller waits longer
+/// than ten minutes.
 const MAX_FIRST_TOKEN_MS: u64 = 600_000;
 /// Significant digits of first-token times. Chosen because percentiles are shown with two digits.
 const DIGITS: u8 = 2;
--- a/src/modules/serve/observation/metrics.rs
+++ b/src/modules/serve/observation/metrics.rs
@@ -7,7 +7,8 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram};
 
-/// First-token buckets in seconds. Chosen because classes have targets of 0.1 to 15 s; 0.81 is the one to design for.
+/// First-token buckets in seconds. Chosen because classes have targets of 0.1 to 15 s; 0.81 is the
+/// one to design for.
 const LATENCY_BUCKETS_S: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.81, 1.0, 2.0, 5.0, 15.0, 60.0,
 ];
--- a/src/modules/serve/operators/fan_out.rs
+++ b/src/modules/serve/operators/fan_out.rs
@@ -20,8 +20,8 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-/// How long daemons may take to answer. Not measured, chosen because an operator waits for it; daemons answer
-/// within milliseconds.
+/// How long daemons may take to answer. Not measured, chosen because an operator waits for it;
+/// daemons answer within milliseconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Answers that wait to be read. Chosen because it is well over the daemons of a data centre.
 const MAX_ANSWERS: usize = 1_024;
@@ -77,6 +77,7 @@
             Ok(rows) => (rows, String::new()),
             Err(error) => (Vec::new(), error),
         };
+        // Rows are plain JSON values, which can always be written.
         let rows = serde_json::to_vec(&rows).unwrap_or_default();
         link.send(Body::QueryAnswer(QueryAnswer {
             query: query.query,
--- a/src/modules/serve/operators/query_language.rs
+++ b/src/modules/serve/operators/query_language.rs
@@ -212,6 +212,7 @@
     let mut input = statement;
     let cut: ModalResult<Vec<Word>> =
         repeat(0.., preceded(multispace0, word)).parse_next(&mut input);
+    // Nothing is left of the statement.
     let words = cut.unwrap_or_default();
     let rest = input.trim_start();
     if rest.is_empty() {
--- a/src/modules/serve/operators/rows.rs
+++ b/src/modules/serve/operators/rows.rs
@@ -154,6 +154,7 @@
         }
     }
     let class_row = |(name, class): (&ClassName, &ClassConfig)| {
+        // A class without requests has counted nothing.
         let counts = counts.get(name).copied().unwrap_or_default();
         row(context)
             .with("class", name.as_str())
@@ -161,6 +162,7 @@
             .with_counts(&counts)
             .with("attainment", counts.attainment().0)
             .with("burn", counts.burn_rate(class.objective))
+            // No pool has queued any.
             .with("queued", queued.get(name).copied().unwrap_or(0))
             .with("objective", class.objective.0)
     };
@@ -185,6 +187,7 @@
         let counts = context.burn.window(context.now(), window_ms);
         let first_tokens = context.burn.first_tokens(context.now(), window_ms);
         for (name, class) in &in_force.document.class {
+            // A class without requests has counted nothing.
             let counts = counts.get(name).copied().unwrap_or_default();
             let first_tokens = first_tokens.get(name).cloned().unwrap_or_default();
             rows.push(burn_row(name, class, window_ms, counts, &first_tokens));
@@ -215,6 +218,7 @@
         .with_counts(&counts)
         .with(
             HISTOGRAM_FIELD,
+            // A histogram can always be written.
             serde_json::to_value(first_tokens).unwrap_or_default(),
         )
 }
@@ -232,6 +236,7 @@
         let Some(class) = row.get("class").and_then(Value::as_str) else {
             continue;
         };
+        // A field that a daemon of another version doesn't send counts as nothing.
         let number = |name| row.get(name).and_then(Value::as_u64).unwrap_or(0);
         let key = (number("window_ms"), ClassName::new(class));
         let (counts, first_tokens) = merged.entry(key).or_default();
@@ -246,6 +251,7 @@
             wasted_tokens: number("wasted_tokens"),
         });
         if let Some(value) = row.get(HISTOGRAM_FIELD) {
+            // A histogram that can't be read adds nothing: the percentiles are of the others.
             first_tokens.add(&serde_json::from_value(value.clone()).unwrap_or_default());
         }
     }
@@ -284,6 +290,7 @@
         row(context)
             .with("customer", name.as_str())
             .with("default_kind", customer.default_kind.as_str())
+            // No pool has any of this customer.
             .with("in_flight", in_flight.get(name).copied().unwrap_or(0))
             .with(
                 "concurrency_limit",
--- a/src/modules/serve/peers/connections.rs
+++ b/src/modules/serve/peers/connections.rs
@@ -1,6 +1,8 @@
-//! Connections between daemons: dialled or accepted, greeted, framed, served until either side ends.
+//! Connections between daemons: dialled or accepted, greeted, framed, served until either side
+//! ends.
 //!
-//! Owns each socket while it lasts; the sending queues are [`super::links`]', what a frame means is [`super::frames`]'.
+//! Owns each socket while it lasts; the sending queues are [`super::links`]', what a frame means is
+//! [`super::frames`]'.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::peers::frames;
@@ -18,8 +20,8 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// The pause after a failed accept, such as for want of descriptors. Not measured, chosen because without one the daemon
-/// would spin until a descriptor is free.
+/// The pause after a failed accept, such as for want of descriptors. Not measured, chosen because
+/// without one the daemon would spin until a descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 fn own_hello(context: &Context) -> Hello {
@@ -78,6 +80,7 @@
         vm: VmId::new(&hello.vm),
         data_centre: DataCentreId::new(&hello.data_centre),
         incarnation: Incarnation(hello.incarnation),
+        // A daemon without an address can't be called back, and is refused.
         address: hello.peer_address.parse().ok()?,
     })
 }
--- a/src/modules/serve/peers/frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -13,7 +13,8 @@
 use prost::Message;
 use std::sync::Arc;
 
-/// Bytes that framing adds to a frame. From the codec: a length of four bytes goes before each frame.
+/// Bytes that framing adds to a frame. From the codec: a length of four bytes goes before each
+/// frame.
 const LENGTH_BYTES: u64 = 4;
 
 /// Counts a frame's bytes, those for control apart from those on the path of a request.
--- a/src/modules/serve/peers/links.rs
+++ b/src/modules/serve/peers/links.rs
@@ -1,7 +1,8 @@
-//! Connections between daemons as others use them: a sending queue each, and the daemon at the other end.
+//! Connections between daemons as others use them: a sending queue each, and the daemon at the
+//! other end.
 //!
-//! Owns the queues by address. Whoever sends to an address without a connection asks for one; [`super::connections`]
-//! dials it and serves it.
+//! Owns the queues by address. Whoever sends to an address without a connection asks for one;
+//! [`super::connections`] dials it and serves it.
 
 use bridgevane_protocol::{Frame, frame::Body};
 use bridgevane_types::{DataCentreId, Incarnation, RequestId, ServiceName, VmId};
@@ -11,8 +12,9 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc;
 
-/// Frames that wait for one connection at most; beyond them frames are dropped, and what they were for is sent again
-/// or decided here. Not measured, chosen because it is a second of frames at the peak of one daemon.
+/// Frames that wait for one connection at most; beyond them frames are dropped, and what they were
+/// for is sent again or decided here. Not measured, chosen because it is a second of frames at the
+/// peak of one daemon.
 const MAX_QUEUED_FRAMES: usize = 4_096;
 
 /// The daemon at the other end of a connection.
--- a/src/modules/serve/peers/members.rs
+++ b/src/modules/serve/peers/members.rs
@@ -1,7 +1,7 @@
 //! Who lives in this data centre, as all parts of the daemon read it.
 //!
-//! Owns the pure membership behind a lock, and a view of it that requests read without one. What drives it is
-//! [`super::membership`].
+//! Owns the pure membership behind a lock, and a view of it that requests read without one. What
+//! drives it is [`super::membership`].
 
 use arc_swap::ArcSwap;
 use bridgevane_adapters::VmEntry;
@@ -12,8 +12,8 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Daemons of a data centre that call the platform for all. Chosen because the second one goes on when the first dies; more
-/// cost calls.
+/// Daemons of a data centre that call the platform for all. Chosen because the second one goes on
+/// when the first dies; more cost calls.
 const WATCHERS: usize = 2;
 
 /// Who lives, as the path of a request reads it.
--- a/src/modules/serve/peers/membership.rs
+++ b/src/modules/serve/peers/membership.rs
@@ -18,18 +18,20 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// How often the pure part sees time pass. Not measured, chosen because it is a fifth of a heartbeat's interval.
+/// How often the pure part sees time pass. Not measured, chosen because it is a fifth of a
+/// heartbeat's interval.
 const TICK: Duration = Duration::from_millis(200);
-/// How often watchers read the platform's list, from the platform's rates: 14 calls a second for 7 data centres
-/// (docs/CAPACITY.md).
+/// How often watchers read the platform's list, from the platform's rates: 14 calls a second for 7
+/// data centres (docs/CAPACITY.md).
 const LIST_EVERY: Duration = Duration::from_millis(1_000);
-/// How often a seed that isn't a member yet is greeted. Not measured, chosen because daemons start within seconds.
+/// How often a seed that isn't a member yet is greeted. Not measured, chosen because daemons start
+/// within seconds.
 const SEED_EVERY: Duration = Duration::from_millis(1_000);
-/// How often everything is sent to a neighbour whose view differs, in milliseconds. Not measured, chosen because
-/// differences heal by ordinary heartbeats in seconds.
+/// How often everything is sent to a neighbour whose view differs, in milliseconds. Not measured,
+/// chosen because differences heal by ordinary heartbeats in seconds.
 const SEND_ALL_EVERY_MS: u64 = 10_000;
-/// How often daemons of other data centres are asked for their configuration's version, in milliseconds. Not measured,
-/// chosen because a change must be in force within 5 s of a cut's end.
+/// How often daemons of other data centres are asked for their configuration's version, in
+/// milliseconds. Not measured, chosen because a change must be in force within 5 s of a cut's end.
 const REMOTE_EVERY_MS: u64 = 5_000;
 
 /// This VM leaves or stays; the others hear of it at once.
@@ -123,7 +125,8 @@
 
 /// Sends heartbeats now, to neighbours and a few others: news travels without waiting.
 pub fn announce(context: &Arc<Context>) {
-    /// Not measured, chosen because neighbours pass news on; two more reach the far side of the ring sooner.
+    /// Not measured, chosen because neighbours pass news on; two more reach the far side of the
+    /// ring sooner.
     const OTHERS: usize = 2;
     let mut addresses: Vec<SocketAddr> = Vec::new();
     {
--- a/src/modules/serve/pools/handle.rs
+++ b/src/modules/serve/pools/handle.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that wait for a pool at most; beyond them a caller is refused. Chosen because it is over the 10,000
-/// requests in flight that were measured (docs/CAPACITY.md).
+/// Messages that wait for a pool at most; beyond them a caller is refused. Chosen because it is
+/// over the 10,000 requests in flight that were measured (docs/CAPACITY.md).
 pub(crate) const MAX_MESSAGES: usize = 16_384;
 
 /// What a pool is told.
@@ -99,6 +99,7 @@
     pub fn reconfigure(&self, in_force: Arc<InForce>) {
         let messages = self.messages.clone();
         tokio::spawn(async move {
+            // The pool has ended: it needs no configuration.
             let _ = messages.send(PoolMessage::Reconfigure(in_force)).await;
         });
     }
@@ -106,6 +107,7 @@
     /// What operators see.
     pub async fn view(&self) -> Option<PoolView> {
         let (sender, receiver) = oneshot::channel();
+        // A pool that has ended shows nothing.
         self.messages.send(PoolMessage::View(sender)).await.ok()?;
         receiver.await.ok()
     }
@@ -128,6 +130,7 @@
         if self.messages.send(message).await.is_err() {
             return Vec::new();
         }
+        // A pool that ends meanwhile has no decisions left.
         receiver.await.unwrap_or_default()
     }
 }
--- a/src/modules/serve/pools/homes.rs
+++ b/src/modules/serve/pools/homes.rs
@@ -29,11 +29,11 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// A home that doesn't take an offer in this time is passed over. Not measured, chosen because a home that is well
-/// takes an offer within milliseconds; twice as long costs a first token.
+/// A home that doesn't take an offer in this time is passed over. Not measured, chosen because a
+/// home that is well takes an offer within milliseconds; twice as long costs a first token.
 const TAKE_MS: u64 = 400;
-/// How often offers are looked through for such as weren't taken. Chosen because it is a quarter of the time that
-/// it looks for.
+/// How often offers are looked through for such as weren't taken. Chosen because it is a quarter of
+/// the time that it looks for.
 const SWEEP_EVERY: Duration = Duration::from_millis(100);
 
 /// The pool's name among the keys that have homes.
--- a/src/modules/serve/pools/remote_requests.rs
+++ b/src/modules/serve/pools/remote_requests.rs
@@ -1,4 +1,5 @@
-//! Requests of this daemon that other daemons decide on, and homes that are passed over for a while.
+//! Requests of this daemon that other daemons decide on, and homes that are passed over for a
+//! while.
 //!
 //! Owns both behind locks; what is done with them is [`super::homes`]'.
 
@@ -9,8 +10,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// How long a home that was passed over is left alone, in milliseconds. Not measured, chosen because a process that hangs
-/// for longer is confirmed dead by then.
+/// How long a home that was passed over is left alone, in milliseconds. Not measured, chosen
+/// because a process that hangs for longer is confirmed dead by then.
 const AVOID_MS: u64 = 2_000;
 
 /// A request of this daemon that another one decides on.
--- a/src/modules/serve/requests/chat_format.rs
+++ b/src/modules/serve/requests/chat_format.rs
@@ -75,6 +75,7 @@
     /// The prompt as one text.
     pub fn prompt_text(&self, shape: Shape) -> String {
         match shape {
+            // A completion without a prompt begins from nothing, as the API allows.
             Shape::Completion => self.prompt.as_ref().map(text_of).unwrap_or_default(),
             Shape::Chat => {
                 let line = |message: &Message| {
--- a/src/modules/serve/rollouts/carry_out.rs
+++ b/src/modules/serve/rollouts/carry_out.rs
@@ -33,8 +33,8 @@
 const ORDER_MS: DurationMs = DurationMs(2_000);
 /// Pause after a failure, so that the platform isn't asked without end.
 const FAILURE_PAUSE: Duration = Duration::from_millis(2_000);
-/// The window of the burn rate that holds a rollout back. Chosen because the shortest window shows a bad version
-/// soonest.
+/// The window of the burn rate that holds a rollout back. Chosen because the shortest window shows
+/// a bad version soonest.
 const BURN_WINDOW: DurationMs = rows::BURN_WINDOWS[0];
 
 /// Why a rollout can't go on now.
@@ -351,6 +351,7 @@
             .platform
             .ticket(self.model, version)
             .await
+            // Without a ticket nothing is ordered; the next step asks again.
             .ok()?;
         held.tickets.insert(version, ticket.clone());
         Some(ticket)
