--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -151,7 +151,7 @@
     pub order: Order,
 }
 
-/// What an engine is told to be.
+/// The state that an engine is ordered to take.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
--- a/crates/config/src/envelope.rs
+++ b/crates/config/src/envelope.rs
@@ -127,7 +127,7 @@
         OperationStatus::TooOldToTell
     }
 
-    /// The operations accepted after `base`: what a losing operator is told.
+    /// The operations accepted after `base`: what the answer to a losing operator lists.
     pub fn since(&self, base: ConfigVersion) -> &[AcceptedOperation] {
         let start = self.operation.partition_point(|o| o.version <= base);
         &self.operation[start..]
--- a/crates/coordination/src/modules/gossip.rs
+++ b/crates/coordination/src/modules/gossip.rs
@@ -82,7 +82,7 @@
             && update.incarnation == self.own.incarnation
             && update.refutation >= self.own.refutation
         {
-            effects.push(MembershipEffect::ToldToLeave);
+            effects.push(MembershipEffect::LeavingRequested);
             return;
         }
         let is_accused = matches!(update.state, MemberState::Suspect | MemberState::Dead);
--- a/crates/coordination/src/modules/key_registry.rs
+++ b/crates/coordination/src/modules/key_registry.rs
@@ -148,7 +148,7 @@
 
     /// Takes the verdict of the home before this one on a claim that it was asked about, or,
     /// where none is left, what is stored outside about it.
-    pub fn told_before(&mut self, claim: Claim, verdict: Verdict) -> Verdict {
+    pub fn apply_earlier_verdict(&mut self, claim: Claim, verdict: Verdict) -> Verdict {
         match verdict {
             Verdict::Run => self.let_run(claim),
             Verdict::AskBefore(_) | Verdict::NoMemory => Verdict::Unknown,
--- a/crates/coordination/src/modules/membership.rs
+++ b/crates/coordination/src/modules/membership.rs
@@ -35,7 +35,7 @@
     /// A later life of this VM is about.
     Superseded,
     /// Others know that this VM leaves, as by the platform's list.
-    ToldToLeave,
+    LeavingRequested,
 }
 
 /// The view of one node.
--- a/crates/coordination/src/modules/rollout.rs
+++ b/crates/coordination/src/modules/rollout.rs
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 struct Progress {
     plan: RolloutPlan,
-    /// Engines that were told to change so far.
+    /// Engines that were ordered to change so far.
     started: usize,
 }
 
@@ -175,7 +175,7 @@
     pub plan: RolloutPlan,
     /// Where it stands.
     pub stage: RolloutStage,
-    /// Engines that were told to change so far.
+    /// Engines that were ordered to change so far.
     pub started: usize,
     /// Generation of the desired state.
     pub generation: u64,
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -85,7 +85,7 @@
                 MembershipEffect::Superseded => {
                     self.superseded.insert(at);
                 }
-                MembershipEffect::ToldToLeave => self.nodes[at].leave(),
+                MembershipEffect::LeavingRequested => self.nodes[at].leave(),
             }
         }
     }
--- a/crates/coordination/tests/parts.rs
+++ b/crates/coordination/tests/parts.rs
@@ -271,7 +271,7 @@
     assert_eq!(verdict, Verdict::AskBefore(before.vm));
     let told = old.claim(LATER, again.clone(), &members);
     assert_eq!(
-        started.told_before(again, told),
+        started.apply_earlier_verdict(again, told),
         Verdict::Done(StoredAnswer::default())
     );
 }
@@ -294,7 +294,8 @@
             }
             Verdict::NoMemory => {
                 assert_eq!(asked, members[0]);
-                let told = registry.told_before(claim(&key, 1, &members[0]), Verdict::NoMemory);
+                let told =
+                    registry.apply_earlier_verdict(claim(&key, 1, &members[0]), Verdict::NoMemory);
                 assert_eq!(told, Verdict::Unknown);
                 return;
             }
--- a/crates/decisions/src/configs/admission.rs
+++ b/crates/decisions/src/configs/admission.rs
@@ -22,9 +22,9 @@
     pub default_max_wait_share: f64,
     /// Margin on top of an estimate before a request is refused by it.
     pub refuse_margin_share: f64,
-    /// The soonest time to come back that a refused caller is told.
+    /// The shortest `Retry-After` of a refusal.
     pub min_retry_after_ms: u64,
-    /// The latest time to come back that a refused caller is told.
+    /// The longest `Retry-After` of a refusal.
     pub max_retry_after_ms: u64,
 }
 
--- a/crates/decisions/src/decision_log.rs
+++ b/crates/decisions/src/decision_log.rs
@@ -45,7 +45,7 @@
         attempt: AttemptNumber,
         /// The engine.
         engine: EndpointIx,
-        /// Prompt tokens believed to be cached there.
+        /// Prompt tokens that are expected in its prefix cache.
         cached_tokens: Tokens,
         /// Whether it runs on its class's guaranteed part.
         is_protected: bool,
--- a/crates/decisions/src/effect.rs
+++ b/crates/decisions/src/effect.rs
@@ -33,7 +33,7 @@
         priority: Tier,
         /// Tokens that were delivered, as far as is known here.
         resume_from: Tokens,
-        /// Prompt tokens that are believed to be cached there.
+        /// Prompt tokens that are expected in its prefix cache.
         cached_tokens: Tokens,
     },
     /// Cancel an attempt at its engine; its later pieces are dropped.
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -1,4 +1,4 @@
-//! What a pool is told.
+//! The events that a pool decides on.
 
 use crate::context::Context;
 use crate::decision_log::DecisionLog;
--- a/crates/decisions/src/modules/engine_health.rs
+++ b/crates/decisions/src/modules/engine_health.rs
@@ -9,7 +9,7 @@
 use derive_more::Display;
 use statig::prelude::*;
 
-/// What an engine's health is told.
+/// An observation that may change an engine's health.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum HealthEvent {
     /// A check found it slow or silent; the flag tells whether it may be ejected, since only
--- a/crates/decisions/src/modules/engine_load.rs
+++ b/crates/decisions/src/modules/engine_load.rs
@@ -44,7 +44,7 @@
         self.in_flight
     }
 
-    /// All requests that are believed to be there.
+    /// All requests there, by own count and the engine's last load report.
     pub(crate) fn total(&self) -> u32 {
         self.in_flight + self.others
     }
--- a/crates/decisions/src/modules/prefix_cache.rs
+++ b/crates/decisions/src/modules/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! What is believed to be in the engines' prefix caches.
+//! What the engines' prefix caches hold, as far as their events say.
 //!
 //! The index goes from block to holders, so that a look-up costs the blocks of one prompt,
 //! not the fleet. Events may be late and have gaps: what is known is a hint that ages out.
--- a/crates/decisions/src/modules/victims.rs
+++ b/crates/decisions/src/modules/victims.rs
@@ -3,7 +3,7 @@
 use bridgevane_types::{RequestId, Tier};
 use std::collections::BTreeSet;
 
-/// Tiers that are told apart; higher numbers share the last. Chosen because it is four times the
+/// Tiers that have a list each; higher numbers share the last. Chosen because it is four times the
 /// eight tiers to design for.
 const TIERS: usize = 32;
 
--- a/crates/decisions/src/pool/mod.rs
+++ b/crates/decisions/src/pool/mod.rs
@@ -39,7 +39,7 @@
     health: EngineHealth,
     load: EngineLoad,
     is_drained: bool,
-    /// What the log was last told of its use.
+    /// Whether it was in use when the log last recorded it.
     was_in_use: bool,
     between_tokens_ms: Ewma,
     /// Attempts that have given no token yet.
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -61,10 +61,10 @@
     /// A daemon stands still.
     #[display("pause daemon {_0}")]
     Pause(usize),
-    /// A daemon is told to stop, and started again when it has.
+    /// A daemon gets a stop signal, and is started again when it has ended.
     #[display("stop daemon {_0}")]
     Stop(usize),
-    /// A daemon is told that its settings may have changed.
+    /// A daemon gets the signal to read its settings again.
     #[display("reload daemon {_0}")]
     Reload(usize),
     /// The store takes calls and says nothing.
--- a/src/commands/soak.rs
+++ b/src/commands/soak.rs
@@ -43,7 +43,7 @@
         eprintln!("--processes: give 1 to {MAX_PROCESSES}");
         return exit::USAGE;
     }
-    let ran = block_on(soak_until_told(arguments)).map_err(SoakError::from);
+    let ran = block_on(soak_until_stopped(arguments)).map_err(SoakError::from);
     match ran.and_then(|ran| ran) {
         Ok(Some(0)) => exit::OK,
         Ok(_) => exit::NEGATIVE,
@@ -55,7 +55,7 @@
 }
 
 /// Plays all seeds; none when a signal came before the end. Processes end with the run.
-async fn soak_until_told(arguments: &SoakArguments) -> Result<Option<u64>, SoakError> {
+async fn soak_until_stopped(arguments: &SoakArguments) -> Result<Option<u64>, SoakError> {
     let mut stop = signal(SignalKind::terminate())?;
     let mut hang_up = signal(SignalKind::hangup())?;
     tokio::select! {
--- a/src/configs/gateway.rs
+++ b/src/configs/gateway.rs
@@ -57,7 +57,7 @@
 /// few daemons ask, and the others' proofs are as old as theirs.
 const WATCH_WAIT: DurationMs = DurationMs(500);
 /// How long the balancer sends connections after the daemon isn't ready any more. Chosen because it
-/// asks once a second and believes the second miss; the rest is for slow answers.
+/// asks once a second and acts on the second miss; the rest is for slow answers.
 const BALANCER_DELAY: DurationMs = DurationMs(2_600);
 /// Of the time that a stop may take, what is kept for the process to end. Not measured, chosen
 /// because logs are written out every 200 ms.
--- a/src/modules/serve/configuration/change.rs
+++ b/src/modules/serve/configuration/change.rs
@@ -2,7 +2,7 @@
 //!
 //! The answer is exact: it took effect, it did not, or nobody can tell yet and the same
 //! operation may be sent again. Changes of different sections are carried out one after the
-//! other; of two changes of the same section one wins, the other is told what changed.
+//! other; of two changes of the same section one wins, the other's answer says what changed.
 
 use crate::modules::serve::configuration::accept;
 use crate::modules::serve::configuration::follow::CONFIG_KEY;
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -26,7 +26,7 @@
 /// How often such a claim is repeated. Not measured, chosen because three pauses are within a
 /// caller's time.
 const NOT_HOME_TRIES: u32 = 3;
-/// How often, and how far apart, the end of a call is told to its key's home. Not measured, chosen
+/// How often, and how far apart, the end of a call is reported to its key's home. Not measured, chosen
 /// because a home that is away for longer is dead, and its keys answer `unknown`.
 const END_TRIES: u32 = 10;
 /// Pause between two of these. Not measured; shorter ones would only fill the queue of a daemon
@@ -107,12 +107,15 @@
         .keys
         .registry()
         .claim(context.now(), claim.clone(), &live.key_members);
-    let told = match verdict {
+    let earlier = match verdict {
         Verdict::AskBefore(before) => ask_before(context, &before, &claim).await,
         Verdict::NoMemory => stored_memory(context).await,
         decided => return decided,
     };
-    context.keys.registry().told_before(claim, told)
+    context
+        .keys
+        .registry()
+        .apply_earlier_verdict(claim, earlier)
 }
 
 async fn ask_before(context: &Arc<Context>, before: &VmId, claim: &Claim) -> Verdict {
@@ -120,8 +123,8 @@
     let (Some(address), Some(call)) = (address, keyed_call_of(claim)) else {
         return Verdict::Unknown;
     };
-    let told = ask(context, address, &call, true).await;
-    told.map_or(Verdict::Unknown, |verdict| from_wire(&verdict))
+    let answer = ask(context, address, &call, true).await;
+    answer.map_or(Verdict::Unknown, |verdict| from_wire(&verdict))
 }
 
 /// Whether keys may have been known to daemons that are all gone: the platform's service holds
--- a/src/modules/serve/keys/key_homes.rs
+++ b/src/modules/serve/keys/key_homes.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// A call that was let run: its end must be told to the home that let it.
+/// A call that was let run: its end must be reported to the home that let it.
 #[derive(Clone, Debug)]
 pub struct LetRun {
     pub(super) call: KeyedCall,
--- a/src/modules/serve/leaving.rs
+++ b/src/modules/serve/leaving.rs
@@ -8,7 +8,7 @@
 /// Who said that the VM leaves.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum LeavingSource {
-    /// The process was told to stop.
+    /// The process got a signal to stop.
     #[display("stop signal")]
     StopSignal,
     /// An operator drained the VM.
--- a/src/modules/serve/peers/membership.rs
+++ b/src/modules/serve/peers/membership.rs
@@ -106,7 +106,7 @@
                 event!(Event::Superseded, vm = context.config.vm);
                 context.leaving.begin(LeavingSource::Superseded);
             }
-            MembershipEffect::ToldToLeave => {
+            MembershipEffect::LeavingRequested => {
                 context.leaving.begin(LeavingSource::VmList);
                 set_leaving(context, true);
             }
@@ -230,25 +230,25 @@
 fn take_list(context: &Arc<Context>, list: Vec<VmEntry>) {
     let now = context.now();
     let mut effects = Vec::new();
-    let mut told = Vec::new();
+    let mut newly_leaving = Vec::new();
     let is_near = |entry: &&VmEntry| entry.data_centre == context.config.data_centre;
     for entry in list.iter().filter(is_near) {
         if entry.vm == context.config.vm {
             if entry.leaving && !context.leaving.is_leaving() {
-                effects.push(MembershipEffect::ToldToLeave);
+                effects.push(MembershipEffect::LeavingRequested);
             }
             continue;
         }
         let mut membership = context.members.lock();
         membership.relearn(now, &entry.vm, entry.peer_address);
         if entry.leaving && membership.mark_leaving(now, &entry.vm, &mut effects) {
-            told.push(entry.peer_address);
+            newly_leaving.push(entry.peer_address);
         }
     }
     carry_out(context, effects);
     refresh(context);
-    // The VM that leaves is told by us: its own list may be further behind.
-    for address in told {
+    // A heartbeat says so to the VM that leaves, since its own list may be further behind.
+    for address in newly_leaving {
         send_heartbeat(context, address);
     }
     let near: Vec<VmId> = list
--- a/src/modules/serve/pools/handle.rs
+++ b/src/modules/serve/pools/handle.rs
@@ -1,4 +1,4 @@
-//! The way to a pool: what it can be told, and asked.
+//! A pool's mailbox: the messages that its task takes, and the views that it answers with.
 
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolReport};
@@ -13,7 +13,7 @@
 /// over the 10,000 requests in flight that were measured (docs/CAPACITY.md).
 pub(crate) const MAX_MESSAGES: usize = 16_384;
 
-/// What a pool is told.
+/// A message to a pool's task.
 pub enum PoolMessage {
     /// A request asks to be served.
     Offer(Box<NamedOffer>, OrderSender),
--- a/src/modules/serve/pools/messages.rs
+++ b/src/modules/serve/pools/messages.rs
@@ -50,7 +50,7 @@
         engine: Arc<EndpointLink>,
         /// Priority inside the engine.
         priority: Tier,
-        /// Prompt tokens that are believed to be cached there.
+        /// Prompt tokens that are expected in its prefix cache.
         cached_tokens: Tokens,
     },
     /// Cancel the attempt and wait for the next order.
--- a/src/modules/serve/requests/model_outcome.rs
+++ b/src/modules/serve/requests/model_outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a model request: told to its pool and its caller, counted in metrics and burn,
+//! What became of a model request: reported to its pool and its caller, counted in metrics and burn,
 //! logged.
 
 use crate::modules::serve::observation::burn::Ended;
--- a/src/modules/serve/requests/refusal.rs
+++ b/src/modules/serve/requests/refusal.rs
@@ -171,7 +171,7 @@
             let exact = retry_after_ms.to_string();
             headers.insert("retry-after-ms", header_value(&exact));
         } else {
-            // Client libraries repeat calls by themselves unless told not to.
+            // Client libraries repeat calls by themselves unless a header forbids it.
             headers.insert("x-should-retry", HeaderValue::from_static("false"));
         }
         response
