--- a/crates/adapters/src/http_client.rs
+++ b/crates/adapters/src/http_client.rs
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     /// As [`HttpClient::send`], [`HttpError::Status`], [`HttpError::Malformed`].
-    pub async fn post_streaming<T: Serialize>(
+    pub(crate) async fn post_streaming<T: Serialize>(
         &self,
         path: &str,
         body: &T,
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// As [`HttpClient::post_streaming`], and [`HttpError::TimedOut`].
-    pub async fn post_json<T: Serialize, R: DeserializeOwned>(
+    pub(crate) async fn post_json<T: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
         body: &T,
--- a/crates/decisions/src/configs/admission.rs
+++ b/crates/decisions/src/configs/admission.rs
@@ -30,7 +30,7 @@
 
 impl AdmissionConfig {
     /// The expected first token from which on a request preempts lower tiers.
-    pub fn preempt_at_ms(&self, target_ms: f64) -> f64 {
+    pub(crate) fn preempt_at_ms(&self, target_ms: f64) -> f64 {
         let slack_ms = self
             .preempt_slack_ms
             .min(target_ms * self.max_preempt_slack_share);
--- a/crates/decisions/src/modules/prefix_cache.rs
+++ b/crates/decisions/src/modules/prefix_cache.rs
@@ -56,7 +56,7 @@
     }
 
     /// Notes that `engine` dropped `block`.
-    pub fn evicted(&mut self, block: u64, engine: EndpointIx) {
+    pub(crate) fn evicted(&mut self, block: u64, engine: EndpointIx) {
         if let Some(holders) = self.holders.get_mut(&block) {
             for slot in holders.iter_mut() {
                 if slot.is_some_and(|known| known.engine == engine) {
--- a/crates/decisions/src/modules/request_life.rs
+++ b/crates/decisions/src/modules/request_life.rs
@@ -19,7 +19,7 @@
 
 /// Where a request stands.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum LifeState {
+pub(crate) enum LifeState {
     /// It waits for a slot.
     #[display("queued")]
     Queued,
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -32,11 +32,11 @@
     /// Done. From docs/CLI.md, as the next ones.
     pub const OK: u8 = 0;
     /// Done, and the answer is no: a broken promise, a refused change. From docs/CLI.md.
-    pub const NEGATIVE: u8 = 1;
+    pub(crate) const NEGATIVE: u8 = 1;
     /// Settings, a file or a query are at fault. From docs/CLI.md.
-    pub const USAGE: u8 = 2;
+    pub(crate) const USAGE: u8 = 2;
     /// The other side can't be reached. From docs/CLI.md.
-    pub const UNREACHABLE: u8 = 3;
+    pub(crate) const UNREACHABLE: u8 = 3;
 }
 
 /// A router for language-model traffic with priorities and service levels.
--- a/src/commands/operator_client.rs
+++ b/src/commands/operator_client.rs
@@ -10,7 +10,7 @@
 
 /// Why a daemon gave no answer.
 #[derive(Debug, Display, Error, From)]
-pub enum ClientError {
+pub(crate) enum ClientError {
     /// No token was given.
     #[display("give the operator's token by BRIDGEVANE_OPERATOR_TOKEN or --token")]
     NoToken,
@@ -29,7 +29,7 @@
 }
 
 /// Runs a command that asks a daemon; gives its exit code.
-pub fn run_to_exit_code(command: impl Future<Output = Result<u8, ClientError>>) -> u8 {
+pub(crate) fn run_to_exit_code(command: impl Future<Output = Result<u8, ClientError>>) -> u8 {
     match block_on(command) {
         Ok(Ok(code)) => code,
         Ok(Err(error)) => {
@@ -48,7 +48,7 @@
 
 /// A daemon's answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DaemonAnswer {
+pub(crate) struct DaemonAnswer {
     /// HTTP status.
     pub status: u16,
     /// Body.
@@ -57,7 +57,7 @@
 
 /// A daemon's operators' interface.
 #[derive(Clone, Debug)]
-pub struct OperatorClient {
+pub(crate) struct OperatorClient {
     http: HttpClient,
     token: String,
 }
--- a/src/configs/gateway.rs
+++ b/src/configs/gateway.rs
@@ -13,7 +13,7 @@
 
 /// Everything that `gateway` needs to know before it starts.
 #[derive(Clone, Debug)]
-pub struct GatewayConfig {
+pub(crate) struct GatewayConfig {
     /// The gateway's own.
     pub gateway: GatewaySettings,
     /// The platform's store.
--- a/src/configs/settings_reader.rs
+++ b/src/configs/settings_reader.rs
@@ -40,7 +40,7 @@
 }
 
 /// The environment variable of a flag: `--vm-id` is `BRIDGEVANE_VM_ID`.
-pub fn variable_of(flag: &str) -> String {
+pub(crate) fn variable_of(flag: &str) -> String {
     format!("BRIDGEVANE_{}", flag.to_uppercase().replace('-', "_"))
 }
 
--- a/src/modules/process/log_writer.rs
+++ b/src/modules/process/log_writer.rs
@@ -27,7 +27,7 @@
 
 /// Takes lines.
 #[derive(Clone, Debug)]
-pub struct Sink(Arc<Shared>);
+pub(crate) struct Sink(Arc<Shared>);
 
 impl Sink {
     /// Adds a line; when the buffer is full it is dropped and counted.
@@ -49,7 +49,7 @@
 
 /// The thread that writes.
 #[derive(Debug)]
-pub struct LogWriter {
+pub(crate) struct LogWriter {
     shared: Arc<Shared>,
     thread: std::thread::JoinHandle<()>,
 }
@@ -66,7 +66,7 @@
 
 impl LogWriter {
     /// Where lines go.
-    pub fn sink(&self) -> Sink {
+    pub(crate) fn sink(&self) -> Sink {
         Sink(self.shared.clone())
     }
 
--- a/src/modules/process/logging.rs
+++ b/src/modules/process/logging.rs
@@ -12,7 +12,7 @@
 /// Logging was set up before.
 #[derive(Debug, Display, Error, From)]
 #[display("logging was set up before")]
-pub struct LoggingError {
+pub(crate) struct LoggingError {
     source: log::SetLoggerError,
 }
 
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 /// [`LoggingError`] when logging was set up before.
-pub fn set_up_on_stderr(config: LogConfig) -> Result<(), LoggingError> {
+pub(crate) fn set_up_on_stderr(config: LogConfig) -> Result<(), LoggingError> {
     dispatch(config, std::io::stderr().into())
 }
 
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// [`LoggingError`] when logging was set up before.
-pub fn set_up(config: LogConfig, sink: Sink) -> Result<(), LoggingError> {
+pub(crate) fn set_up(config: LogConfig, sink: Sink) -> Result<(), LoggingError> {
     let output = fern::Output::call(move |record| sink.line(&record.args().to_string()));
     dispatch(config, output)
 }
--- a/src/modules/process/metrics_page.rs
+++ b/src/modules/process/metrics_page.rs
@@ -8,7 +8,7 @@
 
 /// A meter whose instruments are shown as a Prometheus page.
 #[derive(Clone)]
-pub struct MetricsPage {
+pub(crate) struct MetricsPage {
     registry: Registry,
     provider: SdkMeterProvider,
 }
--- a/src/modules/serve/configuration/accept.rs
+++ b/src/modules/serve/configuration/accept.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// Takes a version that came whole, from the platform or an operator's change.
-pub fn accept_document(context: &Arc<Context>, version: ConfigVersion, document: Document) {
+pub(crate) fn accept_document(context: &Arc<Context>, version: ConfigVersion, document: Document) {
     let sections = match Sections::of(&document) {
         Ok(sections) => sections,
         Err(error) => {
--- a/src/modules/serve/configuration/change.rs
+++ b/src/modules/serve/configuration/change.rs
@@ -24,7 +24,7 @@
 
 /// A change that an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ProposedChange {
+pub(crate) enum ProposedChange {
     /// A statement of the language.
     Statement(Statement),
     /// A whole document, made on top of a version.
@@ -33,7 +33,7 @@
 
 /// Who asks for what.
 #[derive(Clone, Debug)]
-pub struct Proposal {
+pub(crate) struct Proposal {
     /// The operation's id.
     pub operation_id: OperationId,
     /// The operator.
@@ -45,7 +45,7 @@
 /// What became of a proposal.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
-pub enum Decided {
+pub(crate) enum Decided {
     /// It took effect, now or before.
     TookEffect {
         /// The version that it made.
@@ -62,7 +62,7 @@
 
 /// Why a proposal was not decided as asked.
 #[derive(Debug, Display, Error, From)]
-pub enum ChangeError {
+pub(crate) enum ChangeError {
     /// It would make an invalid configuration; it did not take effect.
     #[display("it did not take effect:\n{_0}")]
     Invalid(ConfigProblems),
--- a/src/modules/serve/configuration/in_force.rs
+++ b/src/modules/serve/configuration/in_force.rs
@@ -34,7 +34,7 @@
     }
 
     /// The customer whose bearer key is `key`.
-    pub fn customer_of_key(&self, key: &str) -> Option<(&CustomerId, &CustomerConfig)> {
+    pub(crate) fn customer_of_key(&self, key: &str) -> Option<(&CustomerId, &CustomerConfig)> {
         let name = self.customer_of_digest.get(&key_digest(key))?;
         self.document.customer.get_key_value(name)
     }
--- a/src/modules/serve/configuration/relay.rs
+++ b/src/modules/serve/configuration/relay.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// A daemon that is behind asks for what is missing.
-pub fn on_wanted(context: &Arc<Context>, link: &LinkHandle, wanted: &ConfigWanted) {
+pub(crate) fn on_wanted(context: &Arc<Context>, link: &LinkHandle, wanted: &ConfigWanted) {
     let answer = context
         .replica
         .lock()
@@ -49,7 +49,7 @@
 }
 
 /// A change came.
-pub fn on_delta(context: &Arc<Context>, link: &LinkHandle, delta: ConfigDelta) {
+pub(crate) fn on_delta(context: &Arc<Context>, link: &LinkHandle, delta: ConfigDelta) {
     let version = ConfigVersion(delta.to_version);
     let from_wire = |change: WireChange| SectionChange {
         path: change.path,
@@ -75,7 +75,7 @@
 }
 
 /// A whole version came.
-pub fn on_snapshot(context: &Arc<Context>, snapshot: ConfigSnapshot) {
+pub(crate) fn on_snapshot(context: &Arc<Context>, snapshot: ConfigSnapshot) {
     let version = ConfigVersion(snapshot.version);
     let entry = |section: WireChange| Some((section.path, section.text?));
     let sections = Sections(snapshot.sections.into_iter().filter_map(entry).collect());
--- a/src/modules/serve/configuration/replica.rs
+++ b/src/modules/serve/configuration/replica.rs
@@ -48,13 +48,13 @@
     }
 
     /// Notes that someone who knows versions has answered.
-    pub fn note_contact(&self) {
+    pub(crate) fn note_contact(&self) {
         self.has_contact.store(true, Ordering::Release);
     }
 
     /// Whether requests may be taken: not before someone was asked for the newest version,
     /// and at first not under an older one than any peer holds.
-    pub fn may_serve(&self) -> bool {
+    pub(crate) fn may_serve(&self) -> bool {
         if self.has_served.load(Ordering::Acquire) {
             return true;
         }
@@ -69,12 +69,12 @@
     }
 
     /// Takes a read of the platform's service from the budget.
-    pub fn may_call(&self, now: TimeMs) -> bool {
+    pub(crate) fn may_call(&self, now: TimeMs) -> bool {
         self.budget().take(now, CallKind::Read).is_ok()
     }
 
     /// Notes that the platform's service answered.
-    pub fn call_succeeded(&self) {
+    pub(crate) fn call_succeeded(&self) {
         let was_failing = {
             let mut budget = self.budget();
             let was_failing = budget.is_failing();
@@ -87,12 +87,12 @@
     }
 
     /// Whether the latest call of the platform's service failed.
-    pub fn is_platform_away(&self) -> bool {
+    pub(crate) fn is_platform_away(&self) -> bool {
         self.budget().is_failing()
     }
 
     /// Notes that a call of the platform's service failed.
-    pub fn call_failed(&self, now: TimeMs, error: &KvError) {
+    pub(crate) fn call_failed(&self, now: TimeMs, error: &KvError) {
         let retry_after_ms = match error {
             KvError::RateLimited { retry_after_ms } => *retry_after_ms,
             _ => DurationMs(0),
--- a/src/modules/serve/context.rs
+++ b/src/modules/serve/context.rs
@@ -102,7 +102,7 @@
     }
 
     /// A new identifier: this VM, this life of it, and a counter.
-    pub fn new_request_id(&self) -> RequestId {
+    pub(crate) fn new_request_id(&self) -> RequestId {
         let count = self.next_request.fetch_add(1, Ordering::Relaxed);
         let name = xxhash_rust::xxh3::xxh3_64(self.config.vm.as_str().as_bytes());
         let life = name ^ self.incarnation.0.rotate_left(32);
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -173,7 +173,7 @@
 }
 
 /// Another daemon asks about a key.
-pub fn on_claim(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, wire: KeyClaim) {
+pub(crate) fn on_claim(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, wire: KeyClaim) {
     let Some(request) = request_of(&wire.request) else {
         return;
     };
--- a/src/modules/serve/keys/key_homes.rs
+++ b/src/modules/serve/keys/key_homes.rs
@@ -15,7 +15,7 @@
 
 /// A keyed call, as its daemon knows it.
 #[derive(Clone, Debug)]
-pub struct KeyedCall {
+pub(crate) struct KeyedCall {
     /// Service.
     pub service: ServiceName,
     /// Customer.
@@ -37,7 +37,7 @@
 
 /// A call that was let run: its end must be reported to the home that let it.
 #[derive(Clone, Debug)]
-pub struct LetRun {
+pub(crate) struct LetRun {
     pub(super) call: KeyedCall,
     /// The home; none: this daemon.
     pub(super) home: Option<SocketAddr>,
@@ -45,7 +45,7 @@
 
 /// What the home of a key said.
 #[derive(Clone, Debug)]
-pub enum ClaimAnswer {
+pub(crate) enum ClaimAnswer {
     /// Run it, and tell how it ended.
     Run(LetRun),
     /// Don't.
@@ -91,18 +91,8 @@
         self.registry().listed(now, listed);
     }
 
-    /// Keys that are remembered here.
-    pub fn len(&self) -> usize {
-        self.registry().len()
-    }
-
-    /// Whether no key is remembered here.
-    pub fn is_empty(&self) -> bool {
-        self.registry().is_empty()
-    }
-
     /// A home has answered.
-    pub fn on_verdict(&self, verdict: &KeyVerdict) {
+    pub(crate) fn on_verdict(&self, verdict: &KeyVerdict) {
         if let Some(waiting) = self.waiting().remove(&verdict.claim) {
             // Who asked may have given up.
             let _ = waiting.send(verdict.clone());
--- a/src/modules/serve/leaving.rs
+++ b/src/modules/serve/leaving.rs
@@ -37,7 +37,7 @@
 }
 
 /// A request in progress; a planned stop waits until it is dropped.
-pub struct InProgress<'a> {
+pub(crate) struct InProgress<'a> {
     leaving: &'a Leaving,
 }
 
@@ -67,7 +67,7 @@
     }
 
     /// Counts a request in progress.
-    pub fn begin_request(&self) -> InProgress<'_> {
+    pub(crate) fn begin_request(&self) -> InProgress<'_> {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         InProgress { leaving: self }
     }
--- a/src/modules/serve/observation/burn.rs
+++ b/src/modules/serve/observation/burn.rs
@@ -58,7 +58,7 @@
     }
 
     /// How many times faster than allowed the error budget is used.
-    pub fn burn_rate(&self, objective: Share) -> f64 {
+    pub(crate) fn burn_rate(&self, objective: Share) -> f64 {
         let budget = (1.0 - objective.0).max(1e-6);
         (1.0 - self.attainment().0) / budget
     }
@@ -87,7 +87,7 @@
 /// First-token times, as a histogram that can be added to another one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "Vec<(u64, u64)>", into = "Vec<(u64, u64)>")]
-pub struct FirstTokens {
+pub(crate) struct FirstTokens {
     histogram: Histogram<u64>,
 }
 
@@ -134,7 +134,7 @@
     }
 
     /// The time that this part of first tokens came within; none without any.
-    pub fn quantile_ms(&self, part: f64) -> Option<u64> {
+    pub(crate) fn quantile_ms(&self, part: f64) -> Option<u64> {
         (!self.histogram.is_empty()).then(|| self.histogram.value_at_quantile(part))
     }
 }
@@ -222,7 +222,7 @@
     }
 
     /// First-token times of the last `window_ms`, by class.
-    pub fn first_tokens(
+    pub(crate) fn first_tokens(
         &self,
         now: TimeMs,
         window_ms: DurationMs,
--- a/src/modules/serve/observation/metrics.rs
+++ b/src/modules/serve/observation/metrics.rs
@@ -44,7 +44,7 @@
     }
 
     /// A request got its final answer.
-    pub fn request_ended(&self, class: &ClassName, result: &'static str) {
+    pub(crate) fn request_ended(&self, class: &ClassName, result: &'static str) {
         let labels = [class_label(class), KeyValue::new("result", result)];
         self.requests.add(1, &labels);
     }
@@ -66,12 +66,12 @@
     }
 
     /// A call of the platform was made.
-    pub fn platform_call(&self, kind: &'static str) {
+    pub(crate) fn platform_call(&self, kind: &'static str) {
         self.platform_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
     /// Bytes went to or came from another daemon.
-    pub fn peer_bytes(&self, direction: &'static str, purpose: &'static str, bytes: u64) {
+    pub(crate) fn peer_bytes(&self, direction: &'static str, purpose: &'static str, bytes: u64) {
         let labels = [
             KeyValue::new("direction", direction),
             KeyValue::new("purpose", purpose),
--- a/src/modules/serve/operators/fan_out.rs
+++ b/src/modules/serve/operators/fan_out.rs
@@ -27,7 +27,7 @@
 const MAX_ANSWERS: usize = 1_024;
 
 /// Asks every daemon of the data centre, this one included.
-pub async fn ask_all(context: &Arc<Context>, text: &str) -> Answer {
+pub(crate) async fn ask_all(context: &Arc<Context>, text: &str) -> Answer {
     let query = context.queries.next.fetch_add(1, Ordering::Relaxed);
     let (sender, mut receiver) = mpsc::channel(MAX_ANSWERS);
     context.queries.waiting().insert(query, sender);
@@ -70,7 +70,7 @@
 }
 
 /// Another daemon passes a statement on.
-pub fn on_query(context: &Arc<Context>, link: &LinkHandle, query: Query) {
+pub(crate) fn on_query(context: &Arc<Context>, link: &LinkHandle, query: Query) {
     let (context, link) = (context.clone(), link.clone());
     tokio::spawn(async move {
         let (rows, error) = match answer_here(&context, &query.text).await {
--- a/src/modules/serve/operators/interface.rs
+++ b/src/modules/serve/operators/interface.rs
@@ -28,7 +28,7 @@
 /// What an operator sends.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ask {
+pub(crate) struct Ask {
     /// A statement.
     #[serde(default)]
     pub statement: Option<String>,
--- a/src/modules/serve/operators/queries.rs
+++ b/src/modules/serve/operators/queries.rs
@@ -43,7 +43,7 @@
     }
 
     /// A daemon has answered.
-    pub fn on_answer(&self, peer: &Peer, answer: QueryAnswer) {
+    pub(crate) fn on_answer(&self, peer: &Peer, answer: QueryAnswer) {
         let part = PartAnswer {
             vm: peer.vm.clone(),
             // Rows of a later version that can't be read are left out.
--- a/src/modules/serve/operators/row.rs
+++ b/src/modules/serve/operators/row.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether a condition holds; none: there is no such field.
-    pub fn meets(&self, condition: &Condition) -> Option<bool> {
+    pub(crate) fn meets(&self, condition: &Condition) -> Option<bool> {
         let value = self.get(&condition.field)?;
         let order = compare(value, &condition.value);
         Some(match condition.comparison {
@@ -87,7 +87,7 @@
 pub(super) const HISTOGRAM_FIELD: &str = "first_tokens";
 
 /// The rows as people read them: without histograms.
-pub fn without_histograms(rows: &[Row]) -> Vec<Row> {
+pub(crate) fn without_histograms(rows: &[Row]) -> Vec<Row> {
     let without = |row: &Row| {
         let fields = row.fields.iter();
         let fields = fields.filter(|field| field.name != HISTOGRAM_FIELD);
--- a/src/modules/serve/operators/rows.rs
+++ b/src/modules/serve/operators/rows.rs
@@ -48,7 +48,7 @@
 /// A condition names a field that the table doesn't have.
 #[derive(Clone, Debug, derive_more::Display, derive_more::Error, PartialEq, Eq)]
 #[display("there is no field '{field}'; the fields are {known}")]
-pub struct UnknownField {
+pub(crate) struct UnknownField {
     /// The name.
     pub field: String,
     /// What there is.
@@ -176,7 +176,7 @@
 /// The slow window, six hours. Chosen because it shows what eats the error budget slowly.
 const SLOW_WINDOW: DurationMs = DurationMs(21_600_000);
 /// The windows of `show burn`.
-pub const BURN_WINDOWS: [DurationMs; 3] = [FAST_WINDOW, USUAL_WINDOW, SLOW_WINDOW];
+pub(crate) const BURN_WINDOWS: [DurationMs; 3] = [FAST_WINDOW, USUAL_WINDOW, SLOW_WINDOW];
 
 fn burn(context: &Arc<Context>) -> Vec<Row> {
     let Some(in_force) = context.in_force.load() else {
--- a/src/modules/serve/peers/connections.rs
+++ b/src/modules/serve/peers/connections.rs
@@ -36,7 +36,7 @@
 }
 
 /// Opens the connections that are asked for, until the daemon ends.
-pub async fn dial_all(context: Arc<Context>, mut asked: mpsc::UnboundedReceiver<Dial>) {
+pub(crate) async fn dial_all(context: Arc<Context>, mut asked: mpsc::UnboundedReceiver<Dial>) {
     while let Some(dial) = asked.recv().await {
         tokio::spawn(call(context.clone(), dial));
     }
--- a/src/modules/serve/peers/frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -35,7 +35,7 @@
 }
 
 /// A refusal that goes out ends an offer of the other side.
-pub fn note_sent(frame: &Frame, offers: &mut OpenOffers) {
+pub(crate) fn note_sent(frame: &Frame, offers: &mut OpenOffers) {
     let Some(Body::PoolOrder(order)) = &frame.body else {
         return;
     };
--- a/src/modules/serve/peers/links.rs
+++ b/src/modules/serve/peers/links.rs
@@ -55,7 +55,7 @@
 }
 
 /// Requests that the daemon at the other end has offered here.
-pub type OpenOffers = HashMap<RequestId, ServiceName>;
+pub(crate) type OpenOffers = HashMap<RequestId, ServiceName>;
 
 /// A connection that is to be opened.
 #[derive(Debug)]
--- a/src/modules/serve/peers/members.rs
+++ b/src/modules/serve/peers/members.rs
@@ -84,7 +84,7 @@
     }
 
     /// The home of a key, and where it listens; none: this daemon itself.
-    pub fn remote_home(&self, key: &str) -> Option<(VmId, SocketAddr)> {
+    pub(crate) fn remote_home(&self, key: &str) -> Option<(VmId, SocketAddr)> {
         let view = self.view.load();
         let home = home_of(key, view.live.iter())?;
         if *home == self.own_vm {
@@ -109,7 +109,7 @@
     }
 
     /// Whether this daemon is one of those that call the platform for its data centre.
-    pub fn is_watcher(&self) -> bool {
+    pub(crate) fn is_watcher(&self) -> bool {
         let view = self.view.load();
         let mut rest: Vec<&VmId> = view.live.iter().collect();
         for _ in 0..WATCHERS {
--- a/src/modules/serve/peers/membership.rs
+++ b/src/modules/serve/peers/membership.rs
@@ -35,7 +35,7 @@
 const REMOTE_EVERY_MS: u64 = 5_000;
 
 /// This VM leaves or stays; the others hear of it at once.
-pub fn set_leaving(context: &Arc<Context>, is_leaving: bool) {
+pub(crate) fn set_leaving(context: &Arc<Context>, is_leaving: bool) {
     {
         let mut membership = context.members.lock();
         if is_leaving {
@@ -124,7 +124,7 @@
 }
 
 /// Sends heartbeats now, to neighbours and a few others: news travels without waiting.
-pub fn announce(context: &Arc<Context>) {
+pub(crate) fn announce(context: &Arc<Context>) {
     /// Not measured, chosen because neighbours pass news on; two more reach the far side of the
     /// ring sooner.
     const OTHERS: usize = 2;
@@ -146,7 +146,12 @@
 }
 
 /// A heartbeat came: answer it.
-pub fn on_heartbeat(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, heartbeat: Heartbeat) {
+pub(crate) fn on_heartbeat(
+    context: &Arc<Context>,
+    peer: &Peer,
+    link: &LinkHandle,
+    heartbeat: Heartbeat,
+) {
     let is_new = take(context, peer, link, &heartbeat);
     let differs = heartbeat.members_digest != context.members.lock().digest();
     let now = context.now();
@@ -163,7 +168,7 @@
 }
 
 /// A heartbeat was answered.
-pub fn on_ack(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, heartbeat: Heartbeat) {
+pub(crate) fn on_ack(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, heartbeat: Heartbeat) {
     take(context, peer, link, &heartbeat);
     context.replica.note_contact();
 }
--- a/src/modules/serve/pools/actor.rs
+++ b/src/modules/serve/pools/actor.rs
@@ -353,7 +353,6 @@
 
     fn view(&self) -> PoolView {
         PoolView {
-            service: self.service.clone(),
             requests: self.pool.request_views(self.context.now(), &self.settings),
             engines: self.pool.engine_views(),
             classes: self.pool.class_views(),
--- a/src/modules/serve/pools/handle.rs
+++ b/src/modules/serve/pools/handle.rs
@@ -5,7 +5,7 @@
 use crate::modules::serve::pools::orders::OrderSender;
 use bridgevane_adapters::CacheEvent;
 use bridgevane_decisions::{ClassView, DecisionRecord, EngineView, RequestView};
-use bridgevane_types::{AttemptNumber, DurationMs, EndpointId, RequestId, ServiceName, Tokens};
+use bridgevane_types::{AttemptNumber, DurationMs, EndpointId, RequestId, Tokens};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
@@ -58,8 +58,6 @@
 /// What operators see of a pool.
 #[derive(Clone, Debug)]
 pub struct PoolView {
-    /// The service.
-    pub service: ServiceName,
     /// Requests in flight.
     pub requests: Vec<RequestView>,
     /// Engines.
@@ -96,7 +94,7 @@
     }
 
     /// Tells the pool a new configuration.
-    pub fn reconfigure(&self, in_force: Arc<InForce>) {
+    pub(crate) fn reconfigure(&self, in_force: Arc<InForce>) {
         let messages = self.messages.clone();
         tokio::spawn(async move {
             // The pool has ended: it needs no configuration.
--- a/src/modules/serve/pools/homes.rs
+++ b/src/modules/serve/pools/homes.rs
@@ -49,7 +49,7 @@
 
 /// Whether this daemon is the home of `service` by its view of who lives, so that nobody
 /// else decides on its engines.
-pub fn is_sole_home(context: &Context, service: &ServiceName) -> bool {
+pub(crate) fn is_sole_home(context: &Context, service: &ServiceName) -> bool {
     context.members.remote_home(&home_key(service)).is_none()
 }
 
@@ -119,7 +119,7 @@
 }
 
 /// The home of a request of this daemon has decided.
-pub fn on_order(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, order: &WireOrder) {
+pub(crate) fn on_order(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, order: &WireOrder) {
     let Some(request) = request_of(&order.request) else {
         return;
     };
@@ -179,7 +179,7 @@
 }
 
 /// Who lives has changed: homes that are gone are passed over.
-pub fn membership_changed(context: &Arc<Context>) {
+pub(crate) fn membership_changed(context: &Arc<Context>) {
     let homes: Vec<VmId> = context
         .homes
         .lock()
@@ -194,7 +194,7 @@
 }
 
 /// A daemon whose offers are decided here is gone.
-pub async fn origin_lost(
+pub(crate) async fn origin_lost(
     context: &Arc<Context>,
     service: &ServiceName,
     request: RequestId,
@@ -306,7 +306,7 @@
 }
 
 /// Another daemon offers a request for this one to decide on.
-pub fn on_offer(
+pub(crate) fn on_offer(
     context: &Arc<Context>,
     link: &LinkHandle,
     offer: PoolOffer,
--- a/src/modules/serve/pools/messages.rs
+++ b/src/modules/serve/pools/messages.rs
@@ -10,7 +10,7 @@
 
 /// When a caller may come back whose request found no pool, no engine or a full queue. Not
 /// measured, chosen because a configuration or a queue changes within seconds.
-pub const RETRY_SOON: DurationMs = DurationMs(1_000);
+pub(crate) const RETRY_SOON: DurationMs = DurationMs(1_000);
 
 /// A request that asks a pool to be served, by names.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/modules/serve/pools/orders.rs
+++ b/src/modules/serve/pools/orders.rs
@@ -39,7 +39,7 @@
     }
 
     /// Tells apart where requests come from.
-    pub fn origin(&self) -> u64 {
+    pub(crate) fn origin(&self) -> u64 {
         match self {
             Self::Local(_) => LOCAL_ORIGIN,
             Self::Peer(_, link) => link.id(),
@@ -48,4 +48,4 @@
 }
 
 /// Where a request gets its orders. The pool sends a handful an attempt.
-pub type OrderReceiver = mpsc::UnboundedReceiver<PoolOrder>;
+pub(crate) type OrderReceiver = mpsc::UnboundedReceiver<PoolOrder>;
--- a/src/modules/serve/pools/wire.rs
+++ b/src/modules/serve/pools/wire.rs
@@ -38,7 +38,7 @@
 }
 
 /// The order as a frame for the daemon that its request came in at.
-pub fn order_to_wire(request: RequestId, order: &PoolOrder) -> Body {
+pub(crate) fn order_to_wire(request: RequestId, order: &PoolOrder) -> Body {
     let order = match order {
         PoolOrder::Dispatch {
             attempt,
--- a/src/modules/serve/requests/chat_format.rs
+++ b/src/modules/serve/requests/chat_format.rs
@@ -7,7 +7,7 @@
 
 /// Which of the two calls it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub(crate) enum Shape {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
@@ -16,7 +16,7 @@
 
 /// The fields of a call that the router reads. Others are ignored.
 #[derive(Clone, Debug, Deserialize)]
-pub struct ModelCall {
+pub(crate) struct ModelCall {
     /// The model.
     pub model: ModelName,
     /// Chat messages.
@@ -73,7 +73,7 @@
     }
 
     /// The prompt as one text.
-    pub fn prompt_text(&self, shape: Shape) -> String {
+    pub(crate) fn prompt_text(&self, shape: Shape) -> String {
         match shape {
             // A completion without a prompt begins from nothing, as the API allows.
             Shape::Completion => self.prompt.as_ref().map(text_of).unwrap_or_default(),
@@ -93,12 +93,12 @@
     }
 
     /// Whether pieces are sent as they come.
-    pub fn is_streaming(&self) -> bool {
+    pub(crate) fn is_streaming(&self) -> bool {
         self.stream.unwrap_or(false)
     }
 
     /// Whether a streamed answer ends with its usage.
-    pub fn includes_usage(&self) -> bool {
+    pub(crate) fn includes_usage(&self) -> bool {
         self.stream_options
             .as_ref()
             .is_some_and(|options| options.include_usage)
@@ -107,7 +107,7 @@
 
 /// Writes answers of one call.
 #[derive(Clone, Debug)]
-pub struct AnswerFormat {
+pub(crate) struct AnswerFormat {
     /// The call's shape.
     pub shape: Shape,
     /// The request.
@@ -162,7 +162,7 @@
     }
 
     /// The last piece of a streamed answer.
-    pub fn last_piece(&self, reason: EndReason) -> Value {
+    pub(crate) fn last_piece(&self, reason: EndReason) -> Value {
         let reason = reason.to_string();
         let choice = match self.shape {
             Shape::Chat => json!({ "index": 0, "delta": {}, "finish_reason": reason }),
@@ -172,7 +172,7 @@
     }
 
     /// The usage at the end of a streamed answer.
-    pub fn usage_piece(&self, tokens: Tokens) -> Value {
+    pub(crate) fn usage_piece(&self, tokens: Tokens) -> Value {
         let mut piece = self.envelope(true, json!([]));
         piece["usage"] = self.usage(tokens);
         piece
--- a/src/modules/serve/requests/model_request.rs
+++ b/src/modules/serve/requests/model_request.rs
@@ -21,7 +21,7 @@
 
 /// What the caller gets.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallerEvent {
+pub(crate) enum CallerEvent {
     /// A piece of the answer.
     Text(String),
     /// The answer is whole.
@@ -31,7 +31,7 @@
 }
 
 /// What a request needs to run.
-pub struct ModelRequest {
+pub(crate) struct ModelRequest {
     /// The offer to the pool.
     pub offer: NamedOffer,
     /// The model.
--- a/src/modules/serve/requests/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 
 /// What a call needs to run.
-pub struct PlainRequest {
+pub(crate) struct PlainRequest {
     /// The offer to the pool.
     pub offer: NamedOffer,
     /// The call.
--- a/src/modules/serve/requests/refusal.rs
+++ b/src/modules/serve/requests/refusal.rs
@@ -8,7 +8,7 @@
 
 /// What was wrong with a request itself.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
-pub enum BadRequest {
+pub(crate) enum BadRequest {
     /// No or an unknown bearer key.
     #[display("invalid_api_key")]
     UnknownKey,
@@ -46,7 +46,7 @@
 
 /// A final answer without the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerRefusal {
+pub(crate) struct CallerRefusal {
     /// The request.
     pub request: RequestId,
     /// HTTP status.
@@ -61,7 +61,7 @@
 
 /// The typed code of a final answer.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
-pub enum Code {
+pub(crate) enum Code {
     /// The request was at fault.
     #[display("{_0}")]
     BadRequest(BadRequest),
@@ -76,7 +76,7 @@
 
 impl CallerRefusal {
     /// The answer to a request that is at fault: it was not run.
-    pub fn bad_request(request: RequestId, bad: BadRequest) -> Self {
+    pub(crate) fn bad_request(request: RequestId, bad: BadRequest) -> Self {
         let status = match bad {
             BadRequest::UnknownKey => StatusCode::UNAUTHORIZED,
             BadRequest::MalformedBody => StatusCode::BAD_REQUEST,
@@ -126,7 +126,7 @@
     }
 
     /// The error object that client libraries of the API read.
-    pub fn error_object(&self) -> Value {
+    pub(crate) fn error_object(&self) -> Value {
         let kind = if self.status.is_client_error() {
             "invalid_request_error"
         } else {
@@ -152,7 +152,7 @@
 }
 
 /// A header value of text that holds no control characters.
-pub fn header_value(text: &str) -> HeaderValue {
+pub(crate) fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("invalid"))
 }
 
--- a/src/modules/serve/requests/targets.rs
+++ b/src/modules/serve/requests/targets.rs
@@ -5,7 +5,7 @@
 
 /// The latency targets of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Targets {
+pub(crate) struct Targets {
     /// The latest first token.
     pub first_token_ms: DurationMs,
     /// The longest mean gap between tokens.
@@ -22,7 +22,7 @@
     }
 
     /// Whether a whole answer was within target.
-    pub fn are_met(&self, first_token_ms: u64, whole_ms: u64, tokens: u64) -> bool {
+    pub(crate) fn are_met(&self, first_token_ms: u64, whole_ms: u64, tokens: u64) -> bool {
         let gaps = tokens.saturating_sub(1).max(1);
         let mean_gap_ms = whole_ms.saturating_sub(first_token_ms) / gaps;
         let gap_met = self
--- a/src/modules/serve/rollouts/carry_out.rs
+++ b/src/modules/serve/rollouts/carry_out.rs
@@ -39,7 +39,7 @@
 
 /// Why a rollout can't go on now.
 #[derive(Clone, Debug, Display, Error, From)]
-pub enum RolloutError {
+pub(crate) enum RolloutError {
     /// The platform's service.
     #[display("{_0}")]
     Platform(KvError),
