--- a/crates/coordination/src/modules/key_registry.rs
+++ b/crates/coordination/src/modules/key_registry.rs
@@ -81,17 +81,17 @@
 }
 
 #[derive(Clone, Debug)]
-enum State {
+enum ClaimState {
     Running { runner: VmId },
     Done(StoredAnswer),
     Unknown,
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct KeyEntry {
     call_digest: u64,
     request: RequestId,
-    state: State,
+    state: ClaimState,
 }
 
 /// A daemon that was lost.
@@ -107,7 +107,7 @@
     config: KeyRegistryConfig,
     own: KeyMember,
     started_at: TimeMs,
-    entries: HashMap<String, Entry>,
+    entries: HashMap<String, KeyEntry>,
     ended: VecDeque<(TimeMs, String)>,
     lost: BTreeMap<VmId, Lost>,
 }
@@ -160,10 +160,10 @@
         if self.entries.len() >= self.config.max_keys {
             return Verdict::Full;
         }
-        let state = State::Running {
+        let state = ClaimState::Running {
             runner: claim.runner,
         };
-        let entry = Entry {
+        let entry = KeyEntry {
             call_digest: claim.call_digest,
             request: claim.request,
             state,
@@ -186,14 +186,14 @@
                 return;
             }
             KeyEnd::Done(answer) if answer.body.len() <= self.config.max_answer_bytes => {
-                entry.state = State::Done(answer);
+                entry.state = ClaimState::Done(answer);
             }
             KeyEnd::Done(answer) => {
                 // Too large to give again: that it ran is what matters.
                 let body = Vec::new();
-                entry.state = State::Done(StoredAnswer { body, ..answer });
+                entry.state = ClaimState::Done(StoredAnswer { body, ..answer });
             }
-            KeyEnd::Unknown => entry.state = State::Unknown,
+            KeyEnd::Unknown => entry.state = ClaimState::Unknown,
         }
         self.ended.push_back((now, key.to_owned()));
     }
@@ -202,8 +202,8 @@
     pub fn member_lost(&mut self, now: TimeMs, vm: &VmId) {
         self.lost.insert(vm.clone(), Lost { delisted_at: None });
         for (key, entry) in &mut self.entries {
-            if matches!(&entry.state, State::Running { runner } if runner == vm) {
-                entry.state = State::Unknown;
+            if matches!(&entry.state, ClaimState::Running { runner } if runner == vm) {
+                entry.state = ClaimState::Unknown;
                 self.ended.push_back((now, key.clone()));
             }
         }
@@ -262,13 +262,13 @@
     }
 }
 
-fn known(entry: &Entry, claim: &Claim) -> Verdict {
+fn known(entry: &KeyEntry, claim: &Claim) -> Verdict {
     if entry.call_digest != claim.call_digest {
         return Verdict::Mismatch;
     }
     match &entry.state {
-        State::Running { .. } => Verdict::Running,
-        State::Done(answer) => Verdict::Done(answer.clone()),
-        State::Unknown => Verdict::Unknown,
+        ClaimState::Running { .. } => Verdict::Running,
+        ClaimState::Done(answer) => Verdict::Done(answer.clone()),
+        ClaimState::Unknown => Verdict::Unknown,
     }
 }
--- a/crates/decisions/benches/decision.rs
+++ b/crates/decisions/benches/decision.rs
@@ -6,7 +6,7 @@
 
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, ClassIx, Context, CustomerIx, Effect, KindIx, NoLog, Offer, Policy, Pool,
+    AttemptEnd, ClassIx, CustomerIx, Effect, KindIx, NoLog, Offer, Policy, Pool, PoolContext,
 };
 use bridgevane_types::{AttemptNumber, RequestId, TimeMs, Tokens};
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -53,8 +53,8 @@
         bench
     }
 
-    fn decide(&mut self, decide: impl FnOnce(&mut Pool, &mut Context<'_, NoLog>)) {
-        let mut context = Context {
+    fn decide(&mut self, decide: impl FnOnce(&mut Pool, &mut PoolContext<'_, NoLog>)) {
+        let mut context = PoolContext {
             now: TimeMs(self.next),
             settings: &self.settings,
             effects: &mut self.effects,
--- a/crates/decisions/benches/memory.rs
+++ b/crates/decisions/benches/memory.rs
@@ -7,8 +7,8 @@
 
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, ClassIx, Context, CustomerIx, Effect, EndpointIx, KindIx, NoLog, Offer, Policy,
-    Pool,
+    AttemptEnd, ClassIx, CustomerIx, Effect, EndpointIx, KindIx, NoLog, Offer, Policy, Pool,
+    PoolContext,
 };
 use bridgevane_types::{RequestId, TimeMs, Tokens};
 use sized_policy::{CUSTOMERS, TIERS, policy};
@@ -38,8 +38,8 @@
         }
     }
 
-    fn decide(&mut self, decide: impl FnOnce(&mut Pool, &mut Context<'_, NoLog>)) {
-        let mut context = Context {
+    fn decide(&mut self, decide: impl FnOnce(&mut Pool, &mut PoolContext<'_, NoLog>)) {
+        let mut context = PoolContext {
             now: TimeMs(1),
             settings: &self.settings,
             effects: &mut self.effects,
--- a/crates/decisions/src/context.rs
+++ b/crates/decisions/src/context.rs
@@ -6,7 +6,7 @@
 use bridgevane_types::TimeMs;
 
 /// The moment, the settings, and where effects and decisions go.
-pub struct Context<'a, L: DecisionLog> {
+pub struct PoolContext<'a, L: DecisionLog> {
     /// Now.
     pub now: TimeMs,
     /// Settings of all modules.
@@ -17,7 +17,7 @@
     pub log: &'a mut L,
 }
 
-impl<L: DecisionLog> Context<'_, L> {
+impl<L: DecisionLog> PoolContext<'_, L> {
     pub(crate) fn record(&mut self, decision: Decision) {
         self.log.record(DecisionRecord {
             at: self.now,
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -1,6 +1,6 @@
 //! The events that a pool decides on.
 
-use crate::context::Context;
+use crate::context::PoolContext;
 use crate::decision_log::DecisionLog;
 use crate::index::{ClassIx, CustomerIx, EndpointIx, KindIx};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Tokens};
@@ -54,12 +54,12 @@
 /// to compare it with.
 pub trait Policy {
     /// A request asks to be served.
-    fn offer<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, offer: Offer);
+    fn offer<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer);
 
     /// An attempt's first token came.
     fn first_token<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
     );
@@ -68,7 +68,7 @@
     /// one before.
     fn progress<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         delivered: Tokens,
@@ -78,7 +78,7 @@
     /// An attempt ended.
     fn finished<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         end: AttemptEnd,
@@ -87,12 +87,12 @@
     /// An engine reported its load: requests that run or wait there, as of `age_ms` ago.
     fn load_report<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         engine: EndpointIx,
         busy: u32,
         age_ms: DurationMs,
     );
 
     /// Time has passed.
-    fn tick<L: DecisionLog>(&mut self, context: &mut Context<'_, L>);
+    fn tick<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>);
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -15,7 +15,7 @@
 mod policy;
 mod pool;
 
-pub use context::Context;
+pub use context::PoolContext;
 pub use decision_log::{Decision, DecisionLog, DecisionRecord, NoLog, Recorder};
 pub use effect::{CancelCause, Effect};
 pub use event::{AttemptEnd, Offer, Policy};
--- a/crates/decisions/src/pool/admit.rs
+++ b/crates/decisions/src/pool/admit.rs
@@ -2,7 +2,7 @@
 
 use super::Pool;
 use super::entry::Entry;
-use crate::context::Context;
+use crate::context::PoolContext;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::Effect;
 use crate::event::Offer;
@@ -15,7 +15,7 @@
 const NO_ENGINE_RETRY_MS: f64 = 1_000.0;
 
 impl Pool {
-    pub(super) fn admit<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, offer: Offer) {
+    pub(super) fn admit<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer) {
         let request = offer.request;
         let class = offer.class;
         if self.requests.contains_key(&request) {
@@ -68,7 +68,7 @@
 
     fn admit_customer<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         offer: &Offer,
         expected_tokens: f64,
     ) -> Result<(), DurationMs> {
@@ -101,7 +101,11 @@
 
     /// A request that could not start at once waits if it can make its target, makes room
     /// for itself if lower tiers hold any, and is refused otherwise.
-    fn keep_or_refuse<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, request: RequestId) {
+    fn keep_or_refuse<L: DecisionLog>(
+        &mut self,
+        context: &mut PoolContext<'_, L>,
+        request: RequestId,
+    ) {
         let Some(entry) = self.requests.get(&request) else {
             return;
         };
@@ -142,7 +146,7 @@
     /// class whose longest wait is reached gets one protected slot, which bounds the wait.
     pub(super) fn expected_wait_ms<L: DecisionLog>(
         &self,
-        context: &Context<'_, L>,
+        context: &PoolContext<'_, L>,
         class: ClassIx,
         customer: CustomerIx,
     ) -> f64 {
@@ -170,7 +174,11 @@
     }
 
     /// Gives up the newest waiting request of the lowest tier below `class`'s; false: none.
-    fn shed_below<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, class: ClassIx) -> bool {
+    fn shed_below<L: DecisionLog>(
+        &mut self,
+        context: &mut PoolContext<'_, L>,
+        class: ClassIx,
+    ) -> bool {
         let tier = self.class_policy(class).tier;
         let lowest = self.class_order.iter().rev().find(|other| {
             self.class_policy(**other).tier > tier && !self.classes[other.at()].queue.is_empty()
@@ -186,7 +194,7 @@
     /// Gives a waiting request its final answer.
     pub(super) fn give_up<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         code: RefusalCode,
         retry_after_ms: f64,
@@ -229,7 +237,7 @@
 }
 
 fn refuse<L: DecisionLog>(
-    context: &mut Context<'_, L>,
+    context: &mut PoolContext<'_, L>,
     request: RequestId,
     code: RefusalCode,
     outcome: Outcome,
--- a/crates/decisions/src/pool/attempt.rs
+++ b/crates/decisions/src/pool/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::Pool;
 use super::entry::{Entry, Running};
-use crate::context::Context;
+use crate::context::PoolContext;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::{CancelCause, Effect};
 use crate::event::AttemptEnd;
@@ -21,7 +21,7 @@
 
     pub(super) fn note_first_token<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
     ) {
@@ -62,7 +62,7 @@
 
     pub(super) fn note_progress<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         delivered: Tokens,
@@ -102,7 +102,7 @@
     /// Learns an engine's speed from `gained` tokens with a mean gap.
     fn note_tokens<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         at: EndpointIx,
         gained: u64,
         gap_ms: f64,
@@ -134,7 +134,7 @@
 
     pub(super) fn end_attempt<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         end: AttemptEnd,
@@ -177,7 +177,7 @@
     /// Ends a request whose answer was whole before its cancellation arrived.
     fn complete_crossed<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         tokens: Tokens,
@@ -189,7 +189,7 @@
 
     fn complete<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         tokens: Tokens,
@@ -214,7 +214,7 @@
     }
 
     /// The caller went away: whatever runs is cancelled, whatever waits is forgotten.
-    fn abandon<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, request: RequestId) {
+    fn abandon<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, request: RequestId) {
         let running = self.release_slot(context, request);
         let Some(entry) = self.end_request(request) else {
             return;
@@ -245,7 +245,7 @@
     /// Frees the slot of a running request and forgets it as a victim.
     pub(super) fn release_slot<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
     ) -> Option<Running> {
         let entry = self.requests.get_mut(&request)?;
--- a/crates/decisions/src/pool/dispatch.rs
+++ b/crates/decisions/src/pool/dispatch.rs
@@ -1,9 +1,9 @@
 //! Which waiting request goes next, and to which engine.
 
 use super::entry::Running;
-use super::{Engine, Pool};
+use super::{Pool, PoolEngine};
 use crate::configs::Settings;
-use crate::context::Context;
+use crate::context::PoolContext;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::Effect;
 use crate::event::Offer;
@@ -42,7 +42,7 @@
 
 impl Pool {
     /// Sends waiting requests while there is room.
-    pub(super) fn dispatch_all<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    pub(super) fn dispatch_all<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         while self.queued > 0 {
             let Some(turn) = self.next_turn(context) else {
                 return;
@@ -62,7 +62,7 @@
 
     /// Gives engines on probation the least important waiting work: a slow engine must not
     /// cost an important request its target.
-    fn probe<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    fn probe<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         for at in 0..self.engines.len() as u32 {
             let engine = &self.engines[at as usize];
             let is_probed = engine.health.state() == HealthState::Probation;
@@ -105,7 +105,7 @@
 
     /// The class that goes next: one whose longest wait is reached, else one that is owed
     /// its guaranteed part, else the most important; within a tier the earliest deadline.
-    fn next_turn<L: DecisionLog>(&self, context: &Context<'_, L>) -> Option<Turn> {
+    fn next_turn<L: DecisionLog>(&self, context: &PoolContext<'_, L>) -> Option<Turn> {
         if let Some(class) = self.aged_class(context) {
             return Some(Turn {
                 class,
@@ -141,7 +141,7 @@
         best.map(|(class, _)| Turn::by_tier(class))
     }
 
-    fn aged_class<L: DecisionLog>(&self, context: &Context<'_, L>) -> Option<ClassIx> {
+    fn aged_class<L: DecisionLog>(&self, context: &PoolContext<'_, L>) -> Option<ClassIx> {
         if !context.settings.admission.is_ageing {
             return None;
         }
@@ -179,7 +179,7 @@
     /// The cheapest engine with room: prompt tokens to process, then load.
     fn choose_engine<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
     ) -> Option<Choice> {
         let entry = self.requests.get(&request)?;
@@ -272,7 +272,7 @@
     /// Sends `request`, the head of its class's queue, to the chosen engine.
     fn send<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         turn: Turn,
         request: RequestId,
         choice: Choice,
@@ -286,7 +286,7 @@
     /// Sends `request`, which stands in no queue, to an engine whose slot was just cleared.
     pub(super) fn send_to<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         engine: EndpointIx,
     ) {
@@ -306,7 +306,7 @@
     /// order.
     fn start<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         turn: Turn,
         request: RequestId,
         choice: Choice,
@@ -404,7 +404,7 @@
     charged_ms: f64,
 }
 
-fn occupy(engine: &mut Engine, now: bridgevane_types::TimeMs, request: RequestId) {
+fn occupy(engine: &mut PoolEngine, now: bridgevane_types::TimeMs, request: RequestId) {
     if engine.load.in_flight() == 0 {
         engine.heard_at = now;
     }
--- a/crates/decisions/src/pool/maintain.rs
+++ b/crates/decisions/src/pool/maintain.rs
@@ -2,7 +2,7 @@
 
 use super::Pool;
 use super::entry::Entry;
-use crate::context::Context;
+use crate::context::PoolContext;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::CancelCause;
 use crate::index::{ClassIx, EndpointIx};
@@ -11,7 +11,7 @@
 use bridgevane_types::{DurationMs, RefusalCode, RequestId};
 
 impl Pool {
-    pub(super) fn maintain<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    pub(super) fn maintain<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         let elapsed_ms = context.now.since(self.ticked_at).0;
         self.ticked_at = context.now;
         self.accrue_shares(context);
@@ -22,7 +22,7 @@
         self.rescue_waiting(context);
     }
 
-    fn accrue_shares<L: DecisionLog>(&mut self, context: &Context<'_, L>) {
+    fn accrue_shares<L: DecisionLog>(&mut self, context: &PoolContext<'_, L>) {
         for (class, policy) in self.classes.iter_mut().zip(&self.policy.classes) {
             let guaranteed_slots = policy.min_share.0 * self.total_slots;
             let is_waiting = !class.queue.is_empty();
@@ -45,7 +45,7 @@
         }
     }
 
-    fn check_engines<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    fn check_engines<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         let check_every_ms = context.settings.engine_health.check_every_ms;
         if context.now.since(self.checked_at).0 < check_every_ms {
             return;
@@ -77,7 +77,7 @@
 
     fn check_engine<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         at: EndpointIx,
         median_ms: f64,
     ) {
@@ -131,7 +131,7 @@
     }
 
     /// Notes in the log which engines came into use or fell out of it.
-    pub(super) fn record_use<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    pub(super) fn record_use<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         for (at, engine) in self.engines.iter_mut().enumerate() {
             let is_in_use = engine.health.state() == HealthState::Active && !engine.is_drained;
             if is_in_use != engine.was_in_use {
@@ -144,7 +144,7 @@
         }
     }
 
-    fn adjust_limits<L: DecisionLog>(&mut self, context: &Context<'_, L>) {
+    fn adjust_limits<L: DecisionLog>(&mut self, context: &PoolContext<'_, L>) {
         let targets = self
             .policy
             .classes
@@ -160,7 +160,7 @@
 
     /// Attempts whose first token is overdue count against their engine, when it has given
     /// nothing else either: an engine that works on prompts of higher tiers isn't slow.
-    fn check_started<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    fn check_started<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         let mut later = Vec::new();
         while let Some((request, attempt)) = self.started.front().copied() {
             let entry = self.requests.get(&request);
@@ -206,7 +206,11 @@
 
     /// Whether a request has a slot but its engine works on others' prompts for so long that
     /// its class's longest wait is reached: sent again, it goes before them.
-    fn is_starved_inside<L: DecisionLog>(&self, context: &Context<'_, L>, entry: &Entry) -> bool {
+    fn is_starved_inside<L: DecisionLog>(
+        &self,
+        context: &PoolContext<'_, L>,
+        entry: &Entry,
+    ) -> bool {
         let class = entry.offer.class;
         let is_aged = entry.running.is_some_and(|running| running.is_aged);
         let waited_ms = context.now.since(entry.arrived_at).0;
@@ -217,7 +221,7 @@
     }
 
     /// Waiting requests that run out of time make room or are given up, at once.
-    fn rescue_waiting<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    fn rescue_waiting<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         for at in 0..self.class_order.len() {
             let class = self.class_order[at];
             while self.rescue_head(context, class) {}
@@ -229,7 +233,7 @@
     /// Acts on the head of a class's queue; true when it left the queue.
     fn rescue_head<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         class: ClassIx,
     ) -> bool {
         let Some(head) = self.classes[class.at()].queue.peek() else {
@@ -269,7 +273,7 @@
     }
 
     /// Whether the head of the class's queue is the one that its longest wait protects.
-    fn is_next_aged<L: DecisionLog>(&self, context: &Context<'_, L>, class: ClassIx) -> bool {
+    fn is_next_aged<L: DecisionLog>(&self, context: &PoolContext<'_, L>, class: ClassIx) -> bool {
         let is_lower = self.class_order.first() != Some(&class);
         let of_class = self.aged_slots_of_class(context.settings);
         is_lower && self.classes[class.at()].aged_running < of_class
@@ -277,7 +281,11 @@
 
     /// Requests that were sent and came back without a token are given up like others; they
     /// stand behind streams that broke off, which never are.
-    fn give_up_returned<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, class: ClassIx) {
+    fn give_up_returned<L: DecisionLog>(
+        &mut self,
+        context: &mut PoolContext<'_, L>,
+        class: ClassIx,
+    ) {
         let target_ms = self.class_policy(class).first_token_target_ms.0 as f64;
         let latest_ms = target_ms * (2.0 + context.settings.admission.late_grace_share);
         let is_late = |request: &RequestId| {
@@ -297,7 +305,11 @@
     }
 
     /// The newest waiting requests are given up while those before them take all the time.
-    fn give_up_hopeless<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, class: ClassIx) {
+    fn give_up_hopeless<L: DecisionLog>(
+        &mut self,
+        context: &mut PoolContext<'_, L>,
+        class: ClassIx,
+    ) {
         /// Not measured, chosen because a tick comes every 20 ms: more would stop other decisions
         /// for longer.
         const MAX_AT_ONCE: usize = 8;
--- a/crates/decisions/src/pool/mod.rs
+++ b/crates/decisions/src/pool/mod.rs
@@ -12,7 +12,7 @@
 pub use view::{ClassView, EngineView, RequestView};
 
 use crate::configs::Settings;
-use crate::context::Context;
+use crate::context::PoolContext;
 use crate::decision_log::DecisionLog;
 use crate::event::{AttemptEnd, Offer, Policy};
 use crate::index::{ClassIx, CustomerIx, EndpointIx};
@@ -34,7 +34,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// An engine of the pool.
-struct Engine {
+struct PoolEngine {
     limit: ConcurrencyLimit,
     health: EngineHealth,
     load: EngineLoad,
@@ -67,7 +67,7 @@
 /// Decides for one pool.
 pub struct Pool {
     policy: PoolPolicy,
-    engines: Vec<Engine>,
+    engines: Vec<PoolEngine>,
     /// What each engine's load adds to the cost of a request, in milliseconds; infinite
     /// without a free slot. Kept beside the engines so that a decision reads little memory.
     load_costs_ms: Vec<f64>,
@@ -124,7 +124,7 @@
                     known.limit.set_max(engine.slots.0);
                     known.is_drained = engine.is_drained;
                 }
-                None => self.engines.push(Engine {
+                None => self.engines.push(PoolEngine {
                     limit: ConcurrencyLimit::new(engine.slots.0),
                     health: EngineHealth::new(),
                     load: EngineLoad::new(),
@@ -198,7 +198,7 @@
     }
 
     /// Slots of `engine` that are free for new work.
-    fn free_slots(&self, settings: &Settings, engine: &Engine) -> u32 {
+    fn free_slots(&self, settings: &Settings, engine: &PoolEngine) -> u32 {
         if engine.is_drained {
             return 0;
         }
@@ -210,7 +210,7 @@
         limit.saturating_sub(engine.load.total())
     }
 
-    fn load_cost_ms(&self, settings: &Settings, engine: &Engine) -> f64 {
+    fn load_cost_ms(&self, settings: &Settings, engine: &PoolEngine) -> f64 {
         // An engine on probation gets its work by `probe` alone.
         let is_probed = engine.health.state() == HealthState::Probation;
         if is_probed || self.free_slots(settings, engine) == 0 {
@@ -234,9 +234,10 @@
     }
 
     fn count_slots(&mut self) {
-        let usable =
-            |engine: &&Engine| !engine.is_drained && engine.health.state() != HealthState::Ejected;
-        let slots = |engine: &Engine| f64::from(engine.limit.slots());
+        let usable = |engine: &&PoolEngine| {
+            !engine.is_drained && engine.health.state() != HealthState::Ejected
+        };
+        let slots = |engine: &PoolEngine| f64::from(engine.limit.slots());
         self.total_slots = self.engines.iter().filter(usable).map(slots).sum();
         self.is_probing = self
             .engines
@@ -254,13 +255,13 @@
 }
 
 impl Policy for Pool {
-    fn offer<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, offer: Offer) {
+    fn offer<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer) {
         self.admit(context, offer);
     }
 
     fn first_token<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
     ) {
@@ -269,7 +270,7 @@
 
     fn progress<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         delivered: Tokens,
@@ -280,7 +281,7 @@
 
     fn finished<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         end: AttemptEnd,
@@ -290,7 +291,7 @@
 
     fn load_report<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         engine: EndpointIx,
         busy: u32,
         age_ms: DurationMs,
@@ -302,7 +303,7 @@
         self.dispatch_all(context);
     }
 
-    fn tick<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    fn tick<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         self.maintain(context);
     }
 }
--- a/crates/decisions/src/pool/recover.rs
+++ b/crates/decisions/src/pool/recover.rs
@@ -2,7 +2,7 @@
 
 use super::Pool;
 use super::entry::Running;
-use crate::context::Context;
+use crate::context::PoolContext;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::CancelCause;
 use crate::index::EndpointIx;
@@ -18,7 +18,7 @@
     /// An attempt that surely did not run: any request may be sent again.
     pub(super) fn retry_unrun<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         running: Running,
@@ -34,7 +34,7 @@
     /// A request that engines find fault with: trying others would only spread it.
     pub(super) fn reject<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
     ) {
@@ -52,7 +52,7 @@
     /// An attempt that may have run: only a repeatable request is sent again.
     pub(super) fn retry_lost<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         running: Running,
@@ -78,7 +78,7 @@
 
     fn retry<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         failed: EndpointIx,
     ) {
@@ -101,7 +101,7 @@
     /// one fault on each would leave none. A second one with no token between does.
     pub(super) fn stream_lost<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         at: EndpointIx,
     ) {
         self.tell_health(context, at, HealthEvent::Unavailable);
@@ -110,7 +110,7 @@
     /// An engine could not be reached.
     pub(super) fn engine_lost<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         at: EndpointIx,
     ) {
         self.engines[at.at()].load.forget_others();
@@ -120,7 +120,7 @@
     /// Tells an engine's health; moves its work away when it was ejected by that.
     pub(super) fn tell_health<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         at: EndpointIx,
         event: HealthEvent,
     ) {
@@ -149,7 +149,7 @@
     /// waste what the engine has computed.
     pub(super) fn move_work_from<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         at: EndpointIx,
         is_silent: bool,
     ) {
--- a/crates/decisions/src/pool/room.rs
+++ b/crates/decisions/src/pool/room.rs
@@ -1,7 +1,7 @@
 //! Making room for higher tiers by preempting lower ones.
 
 use super::Pool;
-use crate::context::Context;
+use crate::context::PoolContext;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::{CancelCause, Effect};
 use crate::index::{ClassIx, EndpointIx};
@@ -13,7 +13,7 @@
     /// the head of `class`'s queue; false when there is no such work.
     pub(super) fn preempt_for<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         class: ClassIx,
     ) -> bool {
         if !context.settings.admission.is_preempting {
@@ -50,7 +50,7 @@
     /// the engine whose slot is free now.
     pub(super) fn take_back<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         cause: CancelCause,
         for_tier: Option<Tier>,
--- a/crates/decisions/src/pool/view.rs
+++ b/crates/decisions/src/pool/view.rs
@@ -88,7 +88,7 @@
 
     /// Engines.
     pub fn engine_views(&self) -> Vec<EngineView> {
-        let view = |(engine, policy): (&super::Engine, &crate::EnginePolicy)| EngineView {
+        let view = |(engine, policy): (&super::PoolEngine, &crate::EnginePolicy)| EngineView {
             engine: policy.name.clone(),
             health: engine.health.state(),
             is_drained: engine.is_drained,
--- a/crates/decisions/tests/pool_sequences.rs
+++ b/crates/decisions/tests/pool_sequences.rs
@@ -3,8 +3,8 @@
 
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, ClassIx, ClassPolicy, Context, CustomerIx, CustomerPolicy, Effect, EndpointIx,
-    EnginePolicy, KindIx, Offer, Policy, Pool, PoolPolicy, Recorder,
+    AttemptEnd, ClassIx, ClassPolicy, CustomerIx, CustomerPolicy, Effect, EndpointIx, EnginePolicy,
+    KindIx, Offer, Policy, Pool, PoolContext, PoolPolicy, Recorder,
 };
 use bridgevane_standins::check_promises;
 use bridgevane_types::{
@@ -138,9 +138,9 @@
         }
     }
 
-    fn decide(&mut self, decide: impl FnOnce(&mut Pool, &mut Context<'_, Recorder>)) {
+    fn decide(&mut self, decide: impl FnOnce(&mut Pool, &mut PoolContext<'_, Recorder>)) {
         let mut effects = Vec::new();
-        let mut context = Context {
+        let mut context = PoolContext {
             now: self.now,
             settings: &self.settings,
             effects: &mut effects,
--- a/crates/decisions/tests/support/baselines.rs
+++ b/crates/decisions/tests/support/baselines.rs
@@ -1,6 +1,8 @@
 //! Ways to decide that the product is compared with: first in, first out, by a simple chooser.
 
-use bridgevane_decisions::{AttemptEnd, Context, DecisionLog, Effect, EndpointIx, Offer, Policy};
+use bridgevane_decisions::{
+    AttemptEnd, DecisionLog, Effect, EndpointIx, Offer, Policy, PoolContext,
+};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Tier, Tokens};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -78,7 +80,7 @@
         (self.load(engine) < self.slots).then_some(engine)
     }
 
-    fn dispatch<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    fn dispatch<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         while !self.queue.is_empty() {
             let Some(engine) = self.choose() else { return };
             let Some(request) = self.queue.pop_front() else {
@@ -108,14 +110,14 @@
 }
 
 impl Policy for Baseline {
-    fn offer<L: DecisionLog>(&mut self, context: &mut Context<'_, L>, offer: Offer) {
+    fn offer<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer) {
         self.queue.push_back(offer.request);
         self.dispatch(context);
     }
 
     fn first_token<L: DecisionLog>(
         &mut self,
-        _context: &mut Context<'_, L>,
+        _context: &mut PoolContext<'_, L>,
         _request: RequestId,
         _attempt: AttemptNumber,
     ) {
@@ -123,7 +125,7 @@
 
     fn progress<L: DecisionLog>(
         &mut self,
-        _context: &mut Context<'_, L>,
+        _context: &mut PoolContext<'_, L>,
         request: RequestId,
         _attempt: AttemptNumber,
         delivered: Tokens,
@@ -136,7 +138,7 @@
 
     fn finished<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
         end: AttemptEnd,
@@ -164,7 +166,7 @@
 
     fn load_report<L: DecisionLog>(
         &mut self,
-        context: &mut Context<'_, L>,
+        context: &mut PoolContext<'_, L>,
         engine: EndpointIx,
         busy: u32,
         _age_ms: DurationMs,
@@ -173,7 +175,7 @@
         self.dispatch(context);
     }
 
-    fn tick<L: DecisionLog>(&mut self, context: &mut Context<'_, L>) {
+    fn tick<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         self.dispatch(context);
     }
 }
--- a/crates/decisions/tests/support/driver.rs
+++ b/crates/decisions/tests/support/driver.rs
@@ -4,8 +4,8 @@
 use bridgevane_adapters::EndReason;
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, CancelCause, ClassIx, Context, CustomerIx, Decision, Effect, EndpointIx, KindIx,
-    Offer, Policy, Recorder,
+    AttemptEnd, CancelCause, ClassIx, CustomerIx, Decision, Effect, EndpointIx, KindIx, Offer,
+    Policy, PoolContext, Recorder,
 };
 use bridgevane_standins::{
     BrokenPromise, EngineModel, EngineSpec, Job, ModelEvent, check_promises,
@@ -275,9 +275,13 @@
         self.now_us / 1000
     }
 
-    fn decide(&mut self, decider: usize, decide: impl FnOnce(&mut P, &mut Context<'_, Recorder>)) {
+    fn decide(
+        &mut self,
+        decider: usize,
+        decide: impl FnOnce(&mut P, &mut PoolContext<'_, Recorder>),
+    ) {
         let mut effects = Vec::new();
-        let mut context = Context {
+        let mut context = PoolContext {
             now: TimeMs(self.now_us / 1000),
             settings: &self.setup.settings,
             effects: &mut effects,
--- a/crates/gateway/src/endpoints/idle_connections.rs
+++ b/crates/gateway/src/endpoints/idle_connections.rs
@@ -22,7 +22,7 @@
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct IdleState {
     idle: Vec<IdleConnection>,
     is_closed: bool,
 }
@@ -30,11 +30,11 @@
 /// The idle connections to one endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct IdleConnections {
-    state: Mutex<State>,
+    state: Mutex<IdleState>,
 }
 
 impl IdleConnections {
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, IdleState> {
         self.state.lock().expect("no panic under this lock")
     }
 
--- a/src/modules/serve/observation/burn.rs
+++ b/src/modules/serve/observation/burn.rs
@@ -66,7 +66,7 @@
 
 /// How one request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestEnd {
     /// Whole; the flag tells whether it was within target.
     Whole {
         /// First token and gaps were within target.
@@ -186,16 +186,16 @@
 
 impl Burn {
     /// Counts a request that ended.
-    pub fn ended(&self, now: TimeMs, class: &ClassName, ended: Ended) {
+    pub fn ended(&self, now: TimeMs, class: &ClassName, ended: RequestEnd) {
         let mut classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
         let burn = classes.entry(class.clone()).or_default();
-        if let Ended::Whole { first_token_ms, .. } = ended {
+        if let RequestEnd::Whole { first_token_ms, .. } = ended {
             burn.add_first_token(now, first_token_ms.0);
         }
         let counts = burn.current(now);
         counts.offered += 1;
         match ended {
-            Ended::Whole {
+            RequestEnd::Whole {
                 is_in_target,
                 is_resumed,
                 tokens,
@@ -209,8 +209,8 @@
                     counts.late += 1;
                 }
             }
-            Ended::Refused => counts.refused += 1,
-            Ended::Cut => counts.cut += 1,
+            RequestEnd::Refused => counts.refused += 1,
+            RequestEnd::Cut => counts.cut += 1,
         }
     }
 
--- a/src/modules/serve/pools/actor.rs
+++ b/src/modules/serve/pools/actor.rs
@@ -10,8 +10,7 @@
 use bridgevane_adapters::{CacheChange, CacheEvent};
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, Context as DecisionContext, Effect, EndpointIx, Offer, Policy, Pool, PoolPolicy,
-    Recorder,
+    AttemptEnd, Effect, EndpointIx, Offer, Policy, Pool, PoolContext, PoolPolicy, Recorder,
 };
 use bridgevane_types::{
     AttemptNumber, EndpointId, Outcome, RefusalCode, RequestId, ServiceName, Tier, Tokens,
@@ -89,8 +88,8 @@
     }
 
     /// Runs a decision and carries out its effects.
-    fn decide(&mut self, decide: impl FnOnce(&mut Pool, &mut DecisionContext<'_, Recorder>)) {
-        let mut context = DecisionContext {
+    fn decide(&mut self, decide: impl FnOnce(&mut Pool, &mut PoolContext<'_, Recorder>)) {
+        let mut context = PoolContext {
             now: self.context.now(),
             settings: &self.settings,
             effects: &mut self.effects,
@@ -113,7 +112,7 @@
     fn end_gone(&mut self) {
         for request in std::mem::take(&mut self.gone) {
             self.orders.remove(&request);
-            let mut context = DecisionContext {
+            let mut context = PoolContext {
                 now: self.context.now(),
                 settings: &self.settings,
                 effects: &mut self.effects,
--- a/src/modules/serve/requests/model_outcome.rs
+++ b/src/modules/serve/requests/model_outcome.rs
@@ -1,7 +1,7 @@
 //! What became of a model request: reported to its pool and its caller, counted in metrics and burn,
 //! logged.
 
-use crate::modules::serve::observation::burn::Ended;
+use crate::modules::serve::observation::burn::RequestEnd;
 use crate::modules::serve::requests::model_request::{CallerEvent, EngineAttempt, Runner};
 use crate::modules::serve::requests::refusal::CallerRefusal;
 use bridgevane_adapters::EndReason;
@@ -31,7 +31,7 @@
         let result = if is_in_target { "in_target" } else { "late" };
         self.context.metrics.request_ended(self.class(), result);
         self.context.metrics.delivered(self.class(), tokens);
-        let ended = Ended::Whole {
+        let ended = RequestEnd::Whole {
             is_in_target,
             is_resumed: self.attempts > 1,
             tokens,
@@ -44,7 +44,11 @@
     pub(super) async fn refuse(&self, refusal: CallerRefusal) {
         let now = self.context.now();
         let is_cut = self.delivered > 0 || refusal.outcome != Outcome::NotRun;
-        let ended = if is_cut { Ended::Cut } else { Ended::Refused };
+        let ended = if is_cut {
+            RequestEnd::Cut
+        } else {
+            RequestEnd::Refused
+        };
         self.context.burn.ended(now, self.class(), ended);
         let result = if is_cut { "cut" } else { "refused" };
         self.context.metrics.request_ended(self.class(), result);
--- a/src/modules/serve/requests/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -3,7 +3,7 @@
 use crate::modules::serve::context::Context;
 use crate::modules::serve::keys::claims;
 use crate::modules::serve::keys::key_homes::{ClaimAnswer, KeyedCall};
-use crate::modules::serve::observation::burn::Ended;
+use crate::modules::serve::observation::burn::RequestEnd;
 use crate::modules::serve::pools::homes;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderReceiver;
@@ -180,7 +180,7 @@
         Ok(_) => {
             context.metrics.first_token(class, took_ms as f64 / 1000.0);
             let is_in_target = request.targets.are_met(took_ms, took_ms, 1);
-            let ended = Ended::Whole {
+            let ended = RequestEnd::Whole {
                 is_in_target,
                 is_resumed: false,
                 tokens: Tokens(1),
@@ -195,7 +195,7 @@
                 class = class,
                 code = refusal.code
             );
-            (Ended::Refused, "refused")
+            (RequestEnd::Refused, "refused")
         }
         Err(refusal) => {
             event!(
@@ -204,7 +204,7 @@
                 class = class,
                 code = refusal.code
             );
-            (Ended::Cut, "cut")
+            (RequestEnd::Cut, "cut")
         }
     };
     context.burn.ended(now, class, ended);
