--- a/crates/gateway/src/endpoints/load.rs
+++ b/crates/gateway/src/endpoints/load.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::AtomicTime;
 use crate::decisions::endpoint::load_report::{self, LoadSnapshot, ReportedLoad};
-use crate::decisions::endpoint::queue_delay::{PendingRequest, QueueDelay};
+use crate::decisions::endpoint::queue_delay::QueueDelay;
 use crate::decisions::endpoint::silence;
 use bridgevane_types::TimeMs;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -26,11 +26,11 @@
 
 /// What this daemon's own requests show of an endpoint's queue.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct QueueSnapshot {
+pub struct QueueSnapshot {
     /// How long a request that is sent now would wait, in milliseconds.
-    pub(crate) expected_ms: f64,
-    /// The request that has waited the longest.
-    pub(crate) longest_waiting: Option<PendingRequest>,
+    pub expected_ms: f64,
+    /// Whether the endpoint is silent while a request waits there.
+    pub is_silent: bool,
 }
 
 impl EndpointLoad {
@@ -92,21 +92,16 @@
         self.queue_delay.lock().expect("no panic under this lock")
     }
 
-    /// The queue now.
-    pub(crate) fn queue_snapshot(&self, now: TimeMs) -> QueueSnapshot {
+    /// The queue now; a request may wait `max_silence_ms` before the endpoint counts as silent.
+    pub fn queue_snapshot(&self, now: TimeMs, max_silence_ms: f64) -> QueueSnapshot {
         let delay = self.queue_delay();
+        let longest_waiting = delay.longest_waiting(now);
         QueueSnapshot {
             expected_ms: delay.expected_ms(now),
-            longest_waiting: delay.longest_waiting(now),
+            is_silent: silence::is_silent(now, longest_waiting, self.heard_at(), max_silence_ms),
         }
     }
 
-    /// Whether the endpoint is silent while a request waits there.
-    pub fn is_silent(&self, now: TimeMs, max_silence_ms: f64) -> bool {
-        let longest_waiting = self.queue_delay().longest_waiting(now);
-        silence::is_silent(now, longest_waiting, self.heard_at(), max_silence_ms)
-    }
-
     /// The load now; reports that have expired count as nothing.
     pub fn snapshot(&self, now: TimeMs) -> LoadSnapshot {
         let reported_at = self.others_running_reported_at.get();
--- a/crates/gateway/src/endpoints/selection.rs
+++ b/crates/gateway/src/endpoints/selection.rs
@@ -92,8 +92,8 @@
     endpoint: &Endpoint,
 ) -> Candidate {
     let record = endpoint.record.load();
-    let queue = endpoint.load.queue_snapshot(request.now);
     let max_silence_ms = silence::max_silence_ms(!request.prompt.is_empty());
+    let queue = endpoint.load.queue_snapshot(request.now, max_silence_ms);
     Candidate {
         index: endpoint.index,
         slots: record.slots,
@@ -102,11 +102,6 @@
         load: endpoint.load.snapshot(request.now),
         observed_queue_ms: queue.expected_ms,
         health: endpoint.health.snapshot(request.now),
-        is_silent: silence::is_silent(
-            request.now,
-            queue.longest_waiting,
-            endpoint.load.heard_at(),
-            max_silence_ms,
-        ),
+        is_silent: queue.is_silent,
     }
 }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -146,13 +146,14 @@
         sent_at: TimeMs(sent),
         prefill_ms: 100.0,
     };
+    let is_silent = || load.queue_snapshot(NOW, 400.0).is_silent;
     load.queue_delay().on_sent(waiting(NOW.0 - 450));
-    assert!(!load.is_silent(NOW, 400.0), "it may still be reading");
+    assert!(!is_silent(), "it may still be reading");
     load.queue_delay().on_sent(waiting(NOW.0 - 600));
-    assert!(load.is_silent(NOW, 400.0));
+    assert!(is_silent());
     assert_ne!(place(&service, &prompt, "dc-0"), first);
     load.on_heard(TimeMs(NOW.0 - 10));
-    assert!(!load.is_silent(NOW, 400.0), "others get their tokens");
+    assert!(!is_silent(), "others get their tokens");
 }
 
 #[test]
