--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -108,19 +108,11 @@
 
     /// Decodes headers of a client's request.
     pub(crate) fn client_headers<'a>(&'a self, headers: &'a HeaderMap) -> HeaderReader<'a> {
-        HeaderReader {
-            headers,
-            sender: Sender::Client,
-            unreadable: &self.unreadable_headers,
-        }
+        self.unreadable_headers.reader(Sender::Client, headers)
     }
 
     /// Decodes headers of an endpoint's answer.
     pub(crate) fn endpoint_headers<'a>(&'a self, headers: &'a HeaderMap) -> HeaderReader<'a> {
-        HeaderReader {
-            headers,
-            sender: Sender::Endpoint,
-            unreadable: &self.unreadable_headers,
-        }
+        self.unreadable_headers.reader(Sender::Endpoint, headers)
     }
 }
--- a/crates/gateway/src/replication/fleet.rs
+++ b/crates/gateway/src/replication/fleet.rs
@@ -49,15 +49,18 @@
         self.reports.lock().expect("no panic under this lock")
     }
 
+    /// This daemon's address among the seeds; none on a daemon that is no seed.
+    fn own_seed_address(&self) -> Option<SocketAddr> {
+        let own = self.own_address?;
+        self.seed_addresses.contains(&own).then_some(own)
+    }
+
     /// The other seeds, if this daemon is one; a daemon that is none has nothing to exchange with
     /// them.
     pub(crate) fn other_seeds(&self) -> Vec<SocketAddr> {
-        let Some(own) = self.own_address else {
+        let Some(own) = self.own_seed_address() else {
             return Vec::new();
         };
-        if !self.seed_addresses.contains(&own) {
-            return Vec::new();
-        }
         let seeds = self.seed_addresses.iter().copied();
         seeds.filter(|seed| *seed != own).collect()
     }
@@ -86,10 +89,7 @@
 
     /// On a seed: takes the other seeds' trees to be as large as its own; gives what counts now.
     pub(crate) fn estimate_size(&self) -> Option<u32> {
-        let own = self.own_address?;
-        if !self.seed_addresses.contains(&own) {
-            return None;
-        }
+        self.own_seed_address()?;
         let seeds = self.seed_addresses.len() as u32;
         self.on_size_report(self.tree_size().saturating_mul(seeds))
     }
--- a/crates/gateway/src/requests/attempt.rs
+++ b/crates/gateway/src/requests/attempt.rs
@@ -14,7 +14,7 @@
 use crate::requests::in_flight::InFlight;
 use crate::requests::inbound::InboundRequest;
 use crate::requests::response_head;
-use crate::unreadable_headers::{HeaderReader, Sender, UnreadableHeaders};
+use crate::unreadable_headers::{Sender, UnreadableHeaders};
 use bytes::Bytes;
 use http::{HeaderValue, Request, Response, response};
 use http_body_util::Full;
@@ -120,11 +120,7 @@
         let in_flight = InFlight::begin(self.clock, self.selected);
         let (connection, response) = self.send(request, hedge).await?;
         let (head, body) = response.into_parts();
-        let headers = HeaderReader {
-            headers: &head.headers,
-            sender: Sender::Endpoint,
-            unreadable: self.unreadable,
-        };
+        let headers = self.unreadable.reader(Sender::Endpoint, &head.headers);
         endpoint.load.on_heard(self.clock.now());
         if let Some(reported) = response_head::reported_load(self.names, &headers) {
             endpoint.load.on_report(self.clock.now(), reported);
--- a/crates/gateway/src/unreadable_headers.rs
+++ b/crates/gateway/src/unreadable_headers.rs
@@ -42,6 +42,15 @@
         }
     }
 
+    /// Decodes headers of a message of `sender`.
+    pub(crate) fn reader<'a>(&'a self, sender: Sender, headers: &'a HeaderMap) -> HeaderReader<'a> {
+        HeaderReader {
+            headers,
+            sender,
+            unreadable: self,
+        }
+    }
+
     fn note(&self, sender: Sender, name: &HeaderName) {
         let now = self.clock.now();
         let is_soon = |at| now.since(at) < LOG_INTERVAL;
@@ -62,9 +71,9 @@
 /// Decodes headers of one message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeaderReader<'a> {
-    pub(crate) headers: &'a HeaderMap,
-    pub(crate) sender: Sender,
-    pub(crate) unreadable: &'a UnreadableHeaders,
+    headers: &'a HeaderMap,
+    sender: Sender,
+    unreadable: &'a UnreadableHeaders,
 }
 
 impl<'a> HeaderReader<'a> {
