--- a/crates/decisions/benches/support/sized_policy.rs
+++ b/crates/decisions/benches/support/sized_policy.rs
@@ -29,7 +29,7 @@
         is_drained: false,
     };
     let kind = |tier: u8| (format!("kind-{tier}").as_str().into(), Tokens(200));
-    PoolPolicy::of(
+    PoolPolicy::from_parts(
         (0..TIERS).map(class).collect(),
         (0..CUSTOMERS).map(customer).collect(),
         (0..TIERS).map(kind).collect(),
--- a/crates/decisions/src/configs/admission.rs
+++ b/crates/decisions/src/configs/admission.rs
@@ -1,35 +1,38 @@
-//! Settings of admission, order and preemption.
+//! Settings of admission, queue order and preemption.
 
-/// Admission, order and preemption.
+/// Settings of admission, queue order and preemption.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Whether higher tiers take slots of lower ones; off only to show what it is for.
-    pub is_preempting: bool,
-    /// Whether a class's longest wait gives it a slot; off only to show what it is for.
-    pub is_ageing: bool,
-    /// Requests that wait in a pool at most, over all classes: the memory bound.
+    /// Whether higher tiers preempt lower ones. Tests disable it to show the failure that it
+    /// prevents.
+    pub is_preemption_enabled: bool,
+    /// Whether a class gets a slot when its longest wait is reached. Tests disable it to show the
+    /// failure that it prevents.
+    pub is_ageing_enabled: bool,
+    /// The maximum number of requests that wait in a pool, over all classes. Bounds the memory.
     pub max_queued: usize,
-    /// Time before its first-token target at which a waiting request preempts lower tiers...
+    /// The time before its first-token target (ms) at which a waiting request preempts lower tiers.
     pub preempt_slack_ms: f64,
-    /// ...and the part of the target that this time never exceeds.
+    /// The maximum of `preempt_slack_ms` as a share of the first-token target.
     pub max_preempt_slack_share: f64,
-    /// Part of the target that a request may be late before it is given up.
+    /// The share of the first-token target by which a request may be late before it is refused.
     pub late_grace_share: f64,
-    /// One in this many slots may run requests that waited for their class's longest wait.
-    pub slots_per_aged: u32,
-    /// Part of the first-token target after which a class counts as starving, when the
-    /// configuration gives no longest wait.
+    /// One in this many slots may run requests that have reached their class's longest wait.
+    pub slots_per_aged_request: u32,
+    /// The share of the first-token target after which a class counts as starved, if its
+    /// configuration sets no longest wait.
     pub default_max_wait_share: f64,
-    /// Margin on top of an estimate before a request is refused by it.
+    /// The share of the first-token target that an expected wait may exceed it by before the
+    /// request is refused.
     pub refuse_margin_share: f64,
-    /// The shortest `Retry-After` of a refusal.
+    /// The minimum `Retry-After` of a refusal (ms).
     pub min_retry_after_ms: u64,
-    /// The longest `Retry-After` of a refusal.
+    /// The maximum `Retry-After` of a refusal (ms).
     pub max_retry_after_ms: u64,
 }
 
 impl AdmissionConfig {
-    /// The expected first token from which on a request preempts lower tiers.
+    /// Returns the time to first token (ms) above which a request preempts lower tiers.
     pub(crate) fn preempt_at_ms(&self, target_ms: f64) -> f64 {
         let slack_ms = self
             .preempt_slack_ms
@@ -41,13 +44,13 @@
 impl Default for AdmissionConfig {
     fn default() -> Self {
         Self {
-            is_preempting: true,
-            is_ageing: true,
+            is_preemption_enabled: true,
+            is_ageing_enabled: true,
             max_queued: 20_000,
             preempt_slack_ms: 300.0,
             max_preempt_slack_share: 0.5,
             late_grace_share: 0.25,
-            slots_per_aged: 16,
+            slots_per_aged_request: 16,
             default_max_wait_share: 0.8,
             refuse_margin_share: 0.0,
             min_retry_after_ms: 250,
--- a/crates/decisions/src/configs/concurrency.rs
+++ b/crates/decisions/src/configs/concurrency.rs
@@ -1,15 +1,15 @@
 //! Settings of the concurrency limits of engines.
 
-/// How the limit of an engine follows its observed latency.
+/// Settings of the concurrency limit of an engine, which follows its latency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConcurrencyConfig {
-    /// How often a limit moves.
+    /// The interval at which a limit is adjusted (ms).
     pub adjust_every_ms: u64,
-    /// Factor of a decrease.
+    /// The factor of a decrease.
     pub decrease_factor: f64,
-    /// Slots of an increase.
+    /// The number of slots added by an increase.
     pub increase_slots: f64,
-    /// The limit never falls below.
+    /// The minimum of the limit, in slots.
     pub min_limit: f64,
 }
 
--- a/crates/decisions/src/configs/engine_health.rs
+++ b/crates/decisions/src/configs/engine_health.rs
@@ -1,31 +1,33 @@
-//! Settings of ejection and return of engines.
+//! Settings of the ejection and return of engines.
 
-/// When an engine is taken out, and how it comes back.
+/// Settings of the ejection, probation and return of engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineHealthConfig {
-    /// An engine this many times slower than its peers' median counts as slow.
+    /// The multiple of the peers' median time between tokens above which an engine counts as slow.
     pub slow_factor: f64,
-    /// Checks in a row that must find it slow.
+    /// The number of consecutive slow checks that eject an engine.
     pub slow_checks: u32,
-    /// Refusals of work, without tokens between them, that take an engine out.
+    /// The number of refused requests or broken streams, without tokens between them, that ejects
+    /// an engine.
     pub refusals: u32,
-    /// How often engines are compared.
+    /// The interval at which engines are checked (ms).
     pub check_every_ms: u64,
-    /// The largest part of a pool that may be out for slowness.
+    /// The maximum share of a pool's engines that may be out of use when one is ejected for
+    /// slowness.
     pub max_ejected_share: f64,
-    /// How long an engine stays out the first time; doubled each time.
+    /// The duration of the first ejection (ms); each further one in a row lasts twice as long.
     pub eject_ms: u64,
-    /// The longest time out.
+    /// The maximum duration of an ejection (ms).
     pub max_eject_ms: u64,
-    /// Tokens at normal speed that end the probation.
+    /// The number of tokens at normal speed that ends the probation.
     pub probation_tokens: u64,
-    /// Slots during probation.
+    /// The number of slots in use during probation.
     pub probation_slots: u32,
-    /// A running engine that gives no token for this many times its usual gap is silent.
+    /// The multiple of the usual gap without a token after which an engine counts as silent.
     pub silence_factor: f64,
-    /// How often a running attempt reports, at the latest.
+    /// The maximum interval between reports of a running attempt (ms).
     pub report_every_ms: u64,
-    /// Silence shorter than this never counts.
+    /// The minimum time without a token (ms) that counts as silence.
     pub min_silence_ms: u64,
 }
 
--- a/crates/decisions/src/configs/estimates.rs
+++ b/crates/decisions/src/configs/estimates.rs
@@ -1,19 +1,20 @@
-//! Settings of expected lengths and speeds.
+//! Settings of the estimates of answer lengths and engine speeds.
 
-/// What is expected before anything was observed, and how fast observations count.
+/// Initial estimates, and the weight of observations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EstimatesConfig {
-    /// Time between tokens.
+    /// The initial time between tokens (ms).
     pub initial_between_tokens_ms: f64,
-    /// Prompt tokens processed in a millisecond.
+    /// The initial number of prompt tokens processed per millisecond.
     pub initial_prefill_tokens_per_ms: f64,
-    /// Weight of a new observation.
+    /// The weight of a new observation.
     pub weight: f64,
-    /// Answers after which a length sketch starts anew, keeping the last one beside it.
+    /// The number of answers after which a length sketch starts a new generation; the previous
+    /// generation is kept.
     pub answers_per_generation: u64,
-    /// Answers of a customer before its own sketch is used.
+    /// The number of answers of a customer from which on its own sketch is used.
     pub min_customer_answers: u64,
-    /// Sketches by customer that are kept at most.
+    /// The maximum number of sketches per customer and kind.
     pub max_customer_sketches: usize,
 }
 
--- a/crates/decisions/src/configs/mod.rs
+++ b/crates/decisions/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of the decision modules: plain values with defaults, one file a module.
+//! Settings of the decision modules: plain values with defaults, one file per module.
 
 mod admission;
 mod concurrency;
@@ -14,18 +14,18 @@
 pub use retry::RetryConfig;
 pub use routing::RoutingConfig;
 
-/// Settings of all decision modules.
+/// The settings of all decision modules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Admission, order, preemption.
+    /// Admission, queue order and preemption.
     pub admission: AdmissionConfig,
     /// Concurrency limits of engines.
     pub concurrency: ConcurrencyConfig,
     /// Ejection and return of engines.
     pub engine_health: EngineHealthConfig,
-    /// Expected lengths and speeds.
+    /// Estimates of answer lengths and engine speeds.
     pub estimates: EstimatesConfig,
-    /// Retries.
+    /// Retry budgets.
     pub retry: RetryConfig,
     /// Choice of an engine.
     pub routing: RoutingConfig,
--- a/crates/decisions/src/configs/retry.rs
+++ b/crates/decisions/src/configs/retry.rs
@@ -1,13 +1,13 @@
 //! Settings of retries.
 
-/// Budgets of retries, by class.
+/// Settings of the retry budget of each class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryConfig {
-    /// Retries that each new request adds to its class's budget.
+    /// The number of retries that a new request adds to its class's budget.
     pub per_request: f64,
-    /// The largest budget: what one crash of a large engine may need.
+    /// The maximum budget: the crash of one large engine may need this many retries.
     pub max_budget: f64,
-    /// Attempts of one request at most.
+    /// The maximum number of attempts per request.
     pub max_attempts: u64,
 }
 
--- a/crates/decisions/src/configs/routing.rs
+++ b/crates/decisions/src/configs/routing.rs
@@ -1,18 +1,18 @@
 //! Settings of the choice of an engine.
 
-/// How an engine is chosen among those with room.
+/// Settings of the choice among engines with free slots.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingConfig {
-    /// Cost of a fully loaded engine over an idle one, in milliseconds.
+    /// The cost of a fully loaded engine compared with an idle one (ms).
     pub load_cost_ms: f64,
-    /// Whether cached prefixes count.
+    /// Whether cached prefixes lower the cost of an engine.
     pub is_cache_aware: bool,
-    /// Blocks whose holders are remembered at most.
+    /// The maximum number of blocks whose holders are remembered.
     pub max_blocks: usize,
-    /// How long a remembered block counts when no event confirms it.
+    /// The time for which a remembered block counts without an event that confirms it (ms).
     pub block_memory_ms: u64,
-    /// Engines looked at for one decision; none: all. Two is the power of two choices, for
-    /// daemons that share engines without a home.
+    /// The number of random engines to compare per decision; `None` compares all. Two gives the
+    /// power of two choices, for daemons that share engines without a home daemon.
     pub choices: Option<u32>,
 }
 
--- a/crates/decisions/src/context.rs
+++ b/crates/decisions/src/context.rs
@@ -1,19 +1,19 @@
-//! What is handed down to every decision.
+//! The context that is passed to every decision.
 
 use crate::configs::Settings;
 use crate::decision_log::{Decision, DecisionLog, DecisionRecord};
 use crate::effect::Effect;
 use bridgevane_types::TimeMs;
 
-/// The moment, the settings, and where effects and decisions go.
+/// The current time, the settings, and the sinks for effects and decisions.
 pub struct PoolContext<'a, L: DecisionLog> {
-    /// Now.
+    /// The current time.
     pub now: TimeMs,
-    /// Settings of all modules.
+    /// The settings of all modules.
     pub settings: &'a Settings,
-    /// Effects, in order.
+    /// The effects to carry out, in order.
     pub effects: &'a mut Vec<Effect>,
-    /// Decisions, in order.
+    /// The log of decisions.
     pub log: &'a mut L,
 }
 
--- a/crates/decisions/src/crash_count.rs
+++ b/crates/decisions/src/crash_count.rs
@@ -1,98 +1,104 @@
-//! Crash count: which requests end the endpoints that run them, and are no longer passed on?
+//! Crash count: which requests crash the endpoints that run them and must no longer be sent?
 //!
-//! Inputs: news of this daemon, and in the gateway of all others, too ([`CrashNews`]): a request was under way at an
-//! endpoint when that ended; a request was answered well; a request is under quarantine. Each with
-//! its moment, by this daemon's clock (ms).
+//! Inputs: observations of this daemon and, in the gateway, of all other daemons ([`CrashNews`]):
+//! a request was running at an endpoint when the endpoint crashed; a request was answered
+//! successfully; a request is under quarantine. Each observation has a time by this daemon's clock
+//! (ms).
 //!
 //! Rules:
-//! - A request under which [`PROOF_CRASHES`] endpoints have ended is put under quarantine for
-//!   [`QUARANTINE`]. An endpoint counts once for a request, whoever saw its end and however often:
-//!   retries, hedges, resumed streams and other tries of the client are one count.
-//! - Endpoints that end within [`SAME_MOMENT`] count as one, unless the later run began after the earlier
-//!   end: whoever kills several at once ends them under whatever runs there, such as equal requests of
-//!   somebody who polls.
-//! - A good answer clears the request of the ends before it: whoever polls with equal requests
-//!   isn't to blame for what ended beside them.
-//! - An endpoint that ended under a request already under quarantine counts for no other request
-//!   that was there: that end is explained.
+//! - A request under which [`CRASHES_TO_QUARANTINE`] endpoints have crashed is put under quarantine
+//!   for [`QUARANTINE`]. A crash counts once per request and endpoint, however many daemons report
+//!   it and however often: retries, hedges, resumed streams and repeated requests of the client all
+//!   count as one.
+//! - Crashes within [`SAME_CRASH_WINDOW`] count as one, unless the later run began after the
+//!   earlier crash. Processes that are killed together crash under whatever they run, such as
+//!   identical requests of a client that polls.
+//! - A successful answer clears the request of all earlier crashes: a client that polls with
+//!   identical requests isn't the cause of the crashes that happened beside them.
+//! - A crash under a request that is already under quarantine is attributed to that request, and
+//!   counts for no other request that was running there.
 //!
-//! Reason: an endpoint that ends takes all its requests with it, and most of them aren't the cause.
-//! One that is comes again, and ends every endpoint that begins it; each end costs the fleet an
-//! engine for some seconds, and a customer's repeats took all of a service's engines down.
+//! Reason: a crash ends all requests of an endpoint, and most of them aren't the cause. A request
+//! that is the cause crashes every endpoint that starts it when it is retried. Each crash costs the
+//! fleet an engine for some seconds, and the retries of one customer took down all engines of a
+//! service.
 //!
-//! News are a set: the order in which they come, and how often, makes no difference to the count.
-//! What is kept is bounded, see the constants.
+//! Observations form a set: duplicates make no difference to the count, and neither does the order,
+//! except that it decides which crashes are attributed. The amount of state is bounded by the
+//! constants below.
 //!
-//! Tests: `crash_count.rs`; `crashing_requests.rs` of the gateway, `crashing_prompts.rs` of `serve`.
+//! Tests: `crash_count.rs`; `crashing_requests.rs` of the gateway, `crashing_prompts.rs` of
+//! `serve`.
 
 use bridgevane_types::{DurationMs, RequestFingerprint, TimeMs};
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Moments at which endpoints end under a request before it is taken for the cause. The users' bound: more may be
-/// reached while the news travels, for as long as a daemon may be out of touch, and three later.
-pub const PROOF_CRASHES: usize = 3;
-/// Ends that are no further apart count once. Not measured, chosen because processes of one host that are
-/// killed together end within some 10 ms; a request that comes back every 40 ms ends two or three more
-/// endpoints for it.
-pub const SAME_MOMENT: DurationMs = DurationMs(50);
-/// Ends that are kept of one request at most. Not measured, chosen because so many within one moment are
-/// no request's doing.
+/// The number of distinct crashes after which a request counts as their cause. The users require
+/// this bound. It may be exceeded while observations are in transit, for as long as a daemon may be
+/// disconnected, but not after that.
+pub const CRASHES_TO_QUARANTINE: usize = 3;
+/// The window in which crashes count as one. Processes of one host that are killed together end
+/// within some 10 ms. A request that is retried every 40 ms crashes two or three more endpoints
+/// because of this window.
+pub const SAME_CRASH_WINDOW: DurationMs = DurationMs(50);
+/// The maximum number of crashes kept per request: a single request doesn't cause that many within
+/// one window.
 const MAX_CRASHES: usize = 16;
-/// How long a request stays under quarantine, and how long an end counts. Chosen because it is the
-/// longest lease of the users' store, under which a quarantine outlives all daemons; not measured.
-/// Longer keeps requests out for which the engines may have been mended meanwhile.
+/// The duration of a quarantine, and the time for which a crash counts. It is the longest lease of
+/// the users' store, under which a quarantine survives the restart of all daemons. A longer one
+/// would keep out requests that the engines may handle by then.
 pub const QUARANTINE: DurationMs = DurationMs(600_000);
-/// Requests that are counted and not under quarantine, at most: those with the fewest ends give
-/// way, then the oldest. Not measured, chosen because sixteen engines of 64 slots may end at once
-/// with all of their requests; 0.2 MB.
+/// The maximum number of suspects, which have crashes and aren't under quarantine. Those with the
+/// fewest crashes are evicted first, then the oldest. Sixteen engines of 64 slots can crash at once
+/// with all of their requests. Takes 0.2 MB.
 const MAX_SUSPECTS: usize = 1_024;
-/// Requests under quarantine at most; the oldest give way. Not measured, chosen because each has
-/// cost three engines; 0.2 MB.
+/// The maximum number of requests under quarantine; the oldest are evicted first. Each of them has
+/// crashed three engines. Takes 0.2 MB.
 const MAX_QUARANTINED: usize = 4_096;
-/// Explained ends that are kept at most; the oldest give way. Not measured, chosen because news of
-/// an end come within seconds.
-const MAX_EXPLAINED: usize = 256;
-/// One in so many is dropped when there are too many. Not measured, chosen so that little is forgotten
-/// before it must be.
-const DROPPED_PART: usize = 8;
-
-/// One fact about a request.
+/// The maximum number of attributed crashes; the oldest are evicted first. Observations of a crash
+/// arrive within seconds.
+const MAX_ATTRIBUTED: usize = 256;
+/// When a map exceeds its maximum, one in this many entries is evicted. The fraction is small, so
+/// that little is forgotten early.
+const EVICTED_FRACTION: usize = 8;
+
+/// One observation about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashNews<E> {
-    /// The request.
+    /// The fingerprint of the request.
     pub request: RequestFingerprint,
-    /// When it was seen, by this daemon's clock.
+    /// The time of the observation by this daemon's clock.
     pub at: TimeMs,
-    /// When the run of it that this is about began; none: it isn't known.
+    /// The time at which the observed run of the request began; `None` if unknown.
     pub began_at: Option<TimeMs>,
-    /// What was seen.
+    /// The observed fact.
     pub fact: CrashFact<E>,
 }
 
-/// What was seen of a request.
+/// A fact about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashFact<E> {
-    /// It was under way at this endpoint when that ended.
+    /// The request was running at this endpoint when the endpoint crashed.
     Crashed(E),
-    /// It was answered well.
+    /// The request was answered successfully.
     Served,
-    /// It is under quarantine.
+    /// The request is under quarantine.
     Quarantined,
 }
 
-/// What became of a piece of news.
+/// The result of recording an observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NewsOutcome {
-    /// It changes nothing.
+    /// The observation changes nothing.
     Known,
-    /// It is taken in.
+    /// The observation was recorded.
     New,
-    /// It puts the request under quarantine.
+    /// The observation put the request under quarantine.
     Quarantines,
 }
 
-/// Up to where news have been told to another daemon.
+/// The position up to which observations have been sent to another daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NewsCursor(u64);
 
@@ -120,7 +126,7 @@
 }
 
 impl<E: Copy + Eq> Suspect<E> {
-    fn newest(&self) -> TimeMs {
+    fn last_observed_at(&self) -> TimeMs {
         let crashes = self.crashes.iter().map(|crash| crash.at);
         let served = self.served.map(|(at, _)| at);
         crashes.chain(served).max().unwrap_or_default()
@@ -130,24 +136,24 @@
         self.served.is_some_and(|(served, _)| served >= at)
     }
 
-    /// Moments at which endpoints have ended.
-    fn moments(&self) -> usize {
+    /// Returns the number of crashes, with those in one window counted once.
+    fn distinct_crashes(&self) -> usize {
         let mut crashes: Vec<&CountedCrash<E>> = self.crashes.iter().collect();
         crashes.sort_unstable_by_key(|crash| crash.at);
         let mut last: Option<TimeMs> = None;
-        let mut moments = 0;
+        let mut distinct_crashes = 0;
         for crash in crashes {
-            let is_later = last.is_none_or(|last| crash.at > last + SAME_MOMENT);
+            let is_later = last.is_none_or(|last| crash.at > last + SAME_CRASH_WINDOW);
             let began_later = last.is_some() && crash.began_at >= last;
             if is_later || began_later {
                 last = Some(crash.at);
-                moments += 1;
+                distinct_crashes += 1;
             }
         }
-        moments
+        distinct_crashes
     }
 
-    fn has(&self, endpoint: E) -> bool {
+    fn has_crash_of(&self, endpoint: E) -> bool {
         self.crashes.iter().any(|crash| crash.endpoint == endpoint)
     }
 }
@@ -159,18 +165,18 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Explained {
-    by: RequestFingerprint,
+struct AttributedCrash {
+    quarantined_request: RequestFingerprint,
     at: TimeMs,
     cursor: NewsCursor,
 }
 
-/// What is known of all requests; `E` names one life of an endpoint.
+/// The crash counts of all requests; `E` identifies one incarnation of an endpoint.
 #[derive(Debug)]
 pub struct CrashCount<E> {
     suspects: HashMap<RequestFingerprint, Suspect<E>>,
     quarantined: HashMap<RequestFingerprint, Quarantined>,
-    explained: HashMap<E, Explained>,
+    attributed: HashMap<E, AttributedCrash>,
     newest: NewsCursor,
 }
 
@@ -179,82 +185,83 @@
         Self {
             suspects: HashMap::new(),
             quarantined: HashMap::new(),
-            explained: HashMap::new(),
+            attributed: HashMap::new(),
             newest: NewsCursor::default(),
         }
     }
 }
 
 impl<E: Copy + Eq + Hash> CrashCount<E> {
-    /// Takes a piece of news in.
-    pub fn take(&mut self, now: TimeMs, news: CrashNews<E>) -> NewsOutcome {
-        if is_over(now, news.at) {
+    /// Records an observation.
+    pub fn take(&mut self, now: TimeMs, observation: CrashNews<E>) -> NewsOutcome {
+        if is_expired(now, observation.at) {
             return NewsOutcome::Known;
         }
-        match news.fact {
-            CrashFact::Crashed(endpoint) => self.on_crashed(news, endpoint),
-            CrashFact::Served => self.on_served(news),
-            CrashFact::Quarantined => self.quarantine(news.request, news.at),
+        match observation.fact {
+            CrashFact::Crashed(endpoint) => self.on_crashed(observation, endpoint),
+            CrashFact::Served => self.on_served(observation),
+            CrashFact::Quarantined => self.quarantine(observation.request, observation.at),
         }
     }
 
-    fn on_crashed(&mut self, news: CrashNews<E>, endpoint: E) -> NewsOutcome {
-        if self.explained.contains_key(&endpoint) {
+    fn on_crashed(&mut self, observation: CrashNews<E>, endpoint: E) -> NewsOutcome {
+        if self.attributed.contains_key(&endpoint) {
             return NewsOutcome::Known;
         }
-        if let Some(quarantined) = self.quarantined.get(&news.request) {
-            // The ends that prove it count for other requests, too: any of them may be the cause.
-            if news.at <= quarantined.since {
+        if let Some(quarantined) = self.quarantined.get(&observation.request) {
+            // The crashes that led to the quarantine count for other requests, too: any of them may
+            // be the cause.
+            if observation.at <= quarantined.since {
                 return NewsOutcome::Known;
             }
-            self.explain(news, endpoint);
+            self.attribute_crash(observation, endpoint);
             return NewsOutcome::New;
         }
         let cursor = self.next_cursor();
-        let suspect = self.suspects.entry(news.request).or_default();
+        let suspect = self.suspects.entry(observation.request).or_default();
         let is_full = suspect.crashes.len() >= MAX_CRASHES;
-        if suspect.is_cleared_at(news.at) || suspect.has(endpoint) || is_full {
+        if suspect.is_cleared_at(observation.at) || suspect.has_crash_of(endpoint) || is_full {
             return NewsOutcome::Known;
         }
         suspect.crashes.push(CountedCrash {
             endpoint,
-            began_at: news.began_at,
-            at: news.at,
+            began_at: observation.began_at,
+            at: observation.at,
             cursor,
         });
-        if suspect.moments() >= PROOF_CRASHES {
-            let since = suspect.newest();
-            return self.quarantine(news.request, since);
+        if suspect.distinct_crashes() >= CRASHES_TO_QUARANTINE {
+            let since = suspect.last_observed_at();
+            return self.quarantine(observation.request, since);
         }
-        bound(&mut self.suspects, MAX_SUSPECTS, |suspect| {
-            (suspect.crashes.len(), suspect.newest())
+        evict_lowest_ranked(&mut self.suspects, MAX_SUSPECTS, |suspect| {
+            (suspect.crashes.len(), suspect.last_observed_at())
         });
         NewsOutcome::New
     }
 
-    fn explain(&mut self, news: CrashNews<E>, endpoint: E) {
-        let explained = Explained {
-            by: news.request,
-            at: news.at,
+    fn attribute_crash(&mut self, observation: CrashNews<E>, endpoint: E) {
+        let attributed = AttributedCrash {
+            quarantined_request: observation.request,
+            at: observation.at,
             cursor: self.next_cursor(),
         };
-        self.explained.insert(endpoint, explained);
-        bound(&mut self.explained, MAX_EXPLAINED, |known| known.at);
+        self.attributed.insert(endpoint, attributed);
+        evict_lowest_ranked(&mut self.attributed, MAX_ATTRIBUTED, |known| known.at);
         for suspect in self.suspects.values_mut() {
             suspect.crashes.retain(|crash| crash.endpoint != endpoint);
         }
     }
 
-    fn on_served(&mut self, news: CrashNews<E>) -> NewsOutcome {
+    fn on_served(&mut self, observation: CrashNews<E>) -> NewsOutcome {
         let cursor = self.next_cursor();
-        let Some(suspect) = self.suspects.get_mut(&news.request) else {
+        let Some(suspect) = self.suspects.get_mut(&observation.request) else {
             return NewsOutcome::Known;
         };
-        if suspect.is_cleared_at(news.at) {
+        if suspect.is_cleared_at(observation.at) {
             return NewsOutcome::Known;
         }
-        suspect.served = Some((news.at, cursor));
-        suspect.crashes.retain(|crash| crash.at > news.at);
+        suspect.served = Some((observation.at, cursor));
+        suspect.crashes.retain(|crash| crash.at > observation.at);
         NewsOutcome::New
     }
 
@@ -266,7 +273,7 @@
         let cursor = self.next_cursor();
         let quarantined = Quarantined { since, cursor };
         self.quarantined.insert(request, quarantined);
-        bound(&mut self.quarantined, MAX_QUARANTINED, |known| known.since);
+        evict_lowest_ranked(&mut self.quarantined, MAX_QUARANTINED, |known| known.since);
         NewsOutcome::Quarantines
     }
 
@@ -275,85 +282,102 @@
         self.newest
     }
 
-    /// Forgets what no longer counts.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: TimeMs) {
         self.quarantined
-            .retain(|_, known| !is_over(now, known.since));
-        self.explained.retain(|_, known| !is_over(now, known.at));
+            .retain(|_, known| !is_expired(now, known.since));
+        self.attributed
+            .retain(|_, known| !is_expired(now, known.at));
         self.suspects
-            .retain(|_, suspect| !is_over(now, suspect.newest()));
+            .retain(|_, suspect| !is_expired(now, suspect.last_observed_at()));
     }
 
-    /// Whether a request is under quarantine at a moment.
+    /// Returns whether a request is under quarantine at `now`.
     pub fn is_quarantined(&self, now: TimeMs, request: RequestFingerprint) -> bool {
         let known = self.quarantined.get(&request);
-        known.is_some_and(|known| !is_over(now, known.since))
+        known.is_some_and(|known| !is_expired(now, known.since))
     }
 
-    /// Whether endpoints have ended under a request that isn't under quarantine.
+    /// Returns whether a request that isn't under quarantine has crashes.
     pub fn is_suspect(&self, request: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&request);
         suspect.is_some_and(|suspect| !suspect.crashes.is_empty())
     }
 
-    /// The requests under quarantine, and since when.
+    /// Returns the requests under quarantine with the times at which it began.
     pub fn quarantined(&self) -> impl Iterator<Item = (RequestFingerprint, TimeMs)> {
         let known = self.quarantined.iter();
         known.map(|(request, known)| (*request, known.since))
     }
 
-    /// The requests under which endpoints have ended, and which aren't under quarantine.
+    /// Returns the requests that have crashes and aren't under quarantine.
     pub fn suspects(&self) -> impl Iterator<Item = RequestFingerprint> {
         let suspects = self.suspects.iter();
         let counted = suspects.filter(|(_, suspect)| !suspect.crashes.is_empty());
         counted.map(|(request, _)| *request)
     }
 
-    /// Up to where there is news.
+    /// Returns the position of the newest observation.
     pub fn newest(&self) -> NewsCursor {
         self.newest
     }
 
-    /// The oldest `max` news after `cursor`, and up to where they go.
+    /// Returns the oldest `max` observations after `cursor`, and the position that they reach.
     pub fn news_after(&self, cursor: NewsCursor, max: usize) -> (Vec<CrashNews<E>>, NewsCursor) {
         if cursor == self.newest {
             return (Vec::new(), cursor);
         }
-        let mut news: Vec<(NewsCursor, CrashNews<E>)> = self.all_news().collect();
-        news.retain(|(at, _)| *at > cursor);
-        news.sort_unstable_by_key(|(at, _)| *at);
-        let is_cut = news.len() > max;
-        news.truncate(max);
-        let last = news.last().map_or(self.newest, |(at, _)| *at);
-        let told = if is_cut { last } else { self.newest };
-        (news.into_iter().map(|(_, news)| news).collect(), told)
+        let mut observations: Vec<(NewsCursor, CrashNews<E>)> = self.all_observations().collect();
+        observations.retain(|(at, _)| *at > cursor);
+        observations.sort_unstable_by_key(|(at, _)| *at);
+        let is_cut = observations.len() > max;
+        observations.truncate(max);
+        let last = observations.last().map_or(self.newest, |(at, _)| *at);
+        let up_to = if is_cut { last } else { self.newest };
+        (
+            observations
+                .into_iter()
+                .map(|(_, observation)| observation)
+                .collect(),
+            up_to,
+        )
     }
 
-    fn all_news(&self) -> impl Iterator<Item = (NewsCursor, CrashNews<E>)> {
+    fn all_observations(&self) -> impl Iterator<Item = (NewsCursor, CrashNews<E>)> {
         let crashes = self.suspects.iter().flat_map(|(request, suspect)| {
             let crashes = suspect.crashes.iter().map(|crash| {
                 let fact = CrashFact::Crashed(crash.endpoint);
-                let told = news(*request, crash.at, fact);
+                let observation = new_observation(*request, crash.at, fact);
                 let began_at = crash.began_at;
-                (crash.cursor, CrashNews { began_at, ..told })
+                (
+                    crash.cursor,
+                    CrashNews {
+                        began_at,
+                        ..observation
+                    },
+                )
             });
             let served = suspect.served.into_iter();
-            let served = served.map(|(at, cursor)| (cursor, news(*request, at, CrashFact::Served)));
+            let served = served
+                .map(|(at, cursor)| (cursor, new_observation(*request, at, CrashFact::Served)));
             crashes.chain(served)
         });
         let quarantined = self.quarantined.iter().map(|(request, known)| {
-            let told = news(*request, known.since, CrashFact::Quarantined);
-            (known.cursor, told)
+            let observation = new_observation(*request, known.since, CrashFact::Quarantined);
+            (known.cursor, observation)
         });
-        let explained = self.explained.iter().map(|(endpoint, known)| {
+        let attributed = self.attributed.iter().map(|(endpoint, known)| {
             let fact = CrashFact::Crashed(*endpoint);
-            (known.cursor, news(known.by, known.at, fact))
+            (
+                known.cursor,
+                new_observation(known.quarantined_request, known.at, fact),
+            )
         });
-        crashes.chain(quarantined).chain(explained)
+        crashes.chain(quarantined).chain(attributed)
     }
 }
 
-fn news<E>(request: RequestFingerprint, at: TimeMs, fact: CrashFact<E>) -> CrashNews<E> {
+fn new_observation<E>(request: RequestFingerprint, at: TimeMs, fact: CrashFact<E>) -> CrashNews<E> {
     CrashNews {
         request,
         at,
@@ -362,13 +386,13 @@
     }
 }
 
-fn is_over(now: TimeMs, at: TimeMs) -> bool {
+fn is_expired(now: TimeMs, at: TimeMs) -> bool {
     now.since(at) >= QUARANTINE
 }
 
-/// Keeps a map at `max` entries: where there are more, the least by rank go, an eighth of all at once,
-/// so that a flood of entries doesn't look for the least each time.
-fn bound<K: Copy + Eq + Hash, V, R: Ord + Copy>(
+/// Evicts the lowest-ranked entries of a map that exceeds `max`, an eighth of `max` at once, so
+/// that a flood of entries doesn't search for the lowest each time.
+fn evict_lowest_ranked<K: Copy + Eq + Hash, V, R: Ord + Copy>(
     map: &mut HashMap<K, V>,
     max: usize,
     rank: impl Fn(&V) -> R,
@@ -377,7 +401,7 @@
         return;
     }
     let mut ranks: Vec<(R, K)> = map.iter().map(|(key, value)| (rank(value), *key)).collect();
-    let dropped = ranks.len() - max + max / DROPPED_PART;
+    let dropped = ranks.len() - max + max / EVICTED_FRACTION;
     ranks.select_nth_unstable_by_key(dropped, |(rank, _)| *rank);
     for (_, key) in &ranks[..dropped] {
         map.remove(key);
--- a/crates/decisions/src/decision_log.rs
+++ b/crates/decisions/src/decision_log.rs
@@ -1,5 +1,5 @@
-//! The log of decisions, which `explain request` reads, and the checker of promises in tests and
-//! the demo.
+//! The log of decisions. `explain request` reads it, and so does the checker of guarantees in
+//! tests and in the demo.
 
 use crate::effect::CancelCause;
 use crate::index::{ClassIx, EndpointIx};
@@ -12,29 +12,29 @@
 /// One decision.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 pub enum Decision {
-    /// A request asked to be served.
+    /// A request was offered to the pool.
     #[display("{request} of class {class}, tier {tier}, asks to be served")]
     Offered {
         /// The request.
         request: RequestId,
-        /// Its class.
+        /// The request's class.
         class: ClassIx,
-        /// Its tier.
+        /// The tier of that class.
         tier: Tier,
-        /// Whether it may be sent again after an unknown outcome.
+        /// Whether the request may be sent again after an unknown outcome.
         is_repeatable: bool,
-        /// Whether it can be preempted.
+        /// Whether the request can be preempted.
         is_preemptible: bool,
     },
-    /// It waits.
+    /// The request waits in its queue.
     #[display("{request} waits, first token expected in {expected_ms} ms")]
     Queued {
         /// The request.
         request: RequestId,
-        /// Expected time to first token.
+        /// The expected time to first token.
         expected_ms: DurationMs,
     },
-    /// An attempt was sent.
+    /// An attempt was sent to an engine.
     #[display(
         "{request} attempt {attempt} goes to engine {engine}, {cached_tokens} tokens cached there"
     )]
@@ -45,65 +45,67 @@
         attempt: AttemptNumber,
         /// The engine.
         engine: EndpointIx,
-        /// Prompt tokens that are expected in its prefix cache.
+        /// The number of prompt tokens expected in the engine's prefix cache.
         cached_tokens: Tokens,
-        /// Whether it runs on its class's guaranteed part.
+        /// Whether the attempt can't be preempted: it uses its class's guaranteed share, or the
+        /// class's longest wait was reached.
         is_protected: bool,
     },
-    /// An attempt was taken back.
+    /// An attempt was cancelled at its engine.
     #[display("{request} attempt {attempt} is cancelled at its engine: {cause}")]
     Cancelled {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Why.
+        /// The reason.
         cause: CancelCause,
-        /// The tier that it made room for, when preempted.
+        /// The tier that gets the slot, if preempted.
         for_tier: Option<Tier>,
     },
-    /// An attempt ended without a whole answer.
+    /// An attempt ended without a complete answer.
     #[display("{request} attempt {attempt} was lost; may have run: {may_have_run}")]
     Lost {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Whether any of it may have run.
+        /// Whether the attempt may have run.
         may_have_run: bool,
     },
-    /// An engine's use changed: its slots count only while it is active and not drained.
+    /// An engine came into use or went out of use. Its slots count only while it is active and not
+    /// drained.
     #[display("engine {engine} is in use: {is_in_use}")]
     EngineUse {
         /// The engine.
         engine: EndpointIx,
-        /// Whether its slots can be given to other work.
+        /// Whether its slots can be given to requests.
         is_in_use: bool,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     #[display("{request} attempt {attempt} is done, {tokens} tokens")]
     Done {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// The answer's length.
+        /// The length of the answer.
         tokens: Tokens,
     },
-    /// The caller got its final answer.
+    /// The request was refused: this is its final answer.
     #[display("{request} is refused: {code}, {outcome}")]
     Refused {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         code: RefusalCode,
-        /// Whether it ran.
+        /// Whether the request ran.
         outcome: Outcome,
     },
 }
 
 impl Decision {
-    /// The request that it is about; none: it is about an engine.
+    /// Returns the request that the decision is about; `None` for decisions about engines.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             Self::EngineUse { .. } => None,
@@ -118,23 +120,23 @@
     }
 }
 
-/// A decision with its moment.
+/// A decision with its time.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 #[display("{at} ms: {decision}")]
 pub struct DecisionRecord {
-    /// When.
+    /// The time of the decision.
     pub at: TimeMs,
-    /// What.
+    /// The decision.
     pub decision: Decision,
 }
 
-/// Where decisions go.
+/// A sink for decisions.
 pub trait DecisionLog {
-    /// Takes a record.
+    /// Adds a record.
     fn record(&mut self, record: DecisionRecord);
 }
 
-/// Keeps nothing.
+/// A log that discards all records.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoLog;
 
@@ -142,7 +144,7 @@
     fn record(&mut self, _record: DecisionRecord) {}
 }
 
-/// Keeps the latest records, up to a bound.
+/// A log that keeps the latest records, up to a maximum.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     records: VecDeque<DecisionRecord>,
@@ -150,7 +152,7 @@
 }
 
 impl Recorder {
-    /// Keeps at most `max_records`.
+    /// Creates a log that keeps at most `max_records`.
     pub fn new(max_records: usize) -> Self {
         Self {
             records: VecDeque::new(),
@@ -158,12 +160,12 @@
         }
     }
 
-    /// The records, oldest first.
+    /// Returns the records, oldest first.
     pub fn records(&self) -> impl Iterator<Item = &DecisionRecord> {
         self.records.iter()
     }
 
-    /// The records about `request`.
+    /// Returns the records about `request`, oldest first.
     pub fn about(&self, request: RequestId) -> Vec<DecisionRecord> {
         self.records()
             .filter(|record| record.decision.request() == Some(request))
--- a/crates/decisions/src/effect.rs
+++ b/crates/decisions/src/effect.rs
@@ -1,19 +1,19 @@
-//! What a decision asks for.
+//! The effects of decisions.
 
 use crate::index::EndpointIx;
 use bridgevane_types::{AttemptNumber, DurationMs, Outcome, RefusalCode, RequestId, Tier, Tokens};
 use derive_more::Display;
 
-/// Why an attempt is taken from its engine.
+/// The reason for cancelling an attempt at its engine.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CancelCause {
-    /// Work of a higher tier needs the slot; the request goes back to its queue.
+    /// A request of a higher tier needs the slot; the cancelled one goes back to its queue.
     #[display("preempted")]
     Preempted,
     /// The engine is slow or silent; the request goes back to its queue.
     #[display("moved")]
     Moved,
-    /// The caller is gone; the request is over.
+    /// The caller disconnected; the request is over.
     #[display("caller_gone")]
     CallerGone,
 }
@@ -29,14 +29,14 @@
         attempt: AttemptNumber,
         /// The engine.
         engine: EndpointIx,
-        /// Priority inside the engine.
+        /// The priority inside the engine.
         priority: Tier,
-        /// Tokens that were delivered, as far as is known here.
+        /// The number of answer tokens known to be delivered, from which the answer resumes.
         resume_from: Tokens,
-        /// Prompt tokens that are expected in its prefix cache.
+        /// The number of prompt tokens expected in the engine's prefix cache.
         cached_tokens: Tokens,
     },
-    /// Cancel an attempt at its engine; its later pieces are dropped.
+    /// Cancel an attempt at its engine; later output of the attempt is dropped.
     Cancel {
         /// The request.
         request: RequestId,
@@ -44,18 +44,18 @@
         attempt: AttemptNumber,
         /// The engine.
         engine: EndpointIx,
-        /// Why.
+        /// The reason.
         cause: CancelCause,
     },
-    /// Give the caller its final answer now.
+    /// Refuse a request: this is its final answer.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         code: RefusalCode,
-        /// Whether it ran.
+        /// Whether the request ran.
         outcome: Outcome,
-        /// When coming back makes sense.
+        /// The time after which a retry makes sense; `None` advises against a retry.
         retry_after_ms: Option<DurationMs>,
     },
 }
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -1,69 +1,69 @@
-//! The events that a pool decides on.
+//! The events that a pool reacts to.
 
 use crate::context::PoolContext;
 use crate::decision_log::DecisionLog;
 use crate::index::{ClassIx, CustomerIx, EndpointIx, KindIx};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestFingerprint, RequestId, Tokens};
 
-/// A request that asks to be served.
+/// A request offered to a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// The request.
+    /// The request's id.
     pub request: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassIx,
-    /// Its customer.
+    /// The request's customer.
     pub customer: CustomerIx,
-    /// Its kind.
+    /// The request's kind.
     pub kind: KindIx,
-    /// Tokens of the prompt.
+    /// The number of prompt tokens.
     pub prompt_tokens: Tokens,
-    /// The longest answer.
+    /// The maximum length of the answer in tokens.
     pub max_tokens: Tokens,
-    /// Chained hashes of the prompt's blocks, shortest prefix first; may be thinned out.
+    /// Chained hashes of the prompt's blocks, shortest prefix first; some may be left out.
     pub blocks: Vec<u64>,
-    /// Prompt tokens that one entry of `blocks` stands for.
+    /// The number of prompt tokens per entry of `blocks`.
     pub block_tokens: u32,
-    /// What it has in common with equal requests; none: it isn't known.
+    /// The fingerprint that identical requests share; `None` if unknown.
     pub fingerprint: Option<RequestFingerprint>,
-    /// Whether an attempt may be sent again when its outcome isn't known.
+    /// Whether the request may be sent again when the outcome of an attempt is unknown.
     pub is_repeatable: bool,
-    /// Whether a running attempt may be cancelled and resumed.
+    /// Whether a running attempt may be cancelled and resumed elsewhere.
     pub is_preemptible: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The answer is whole, with this many tokens.
+    /// The answer is complete, with this many tokens.
     Done(Tokens),
-    /// The engine was not reached: nothing ran.
+    /// The engine could not be reached: nothing ran.
     NotReached,
-    /// The engine takes no work now: nothing ran.
+    /// The engine accepts no requests at the moment: nothing ran.
     Unavailable,
-    /// The engine finds fault with the request: nothing ran, and no engine would run it.
+    /// The engine rejected the request as invalid: nothing ran, and every engine would reject it.
     Rejected,
-    /// The attempt broke off; it may have run.
+    /// The attempt broke off before the answer was complete; it may have run.
     Lost {
-        /// Tokens that reached the caller.
+        /// The number of tokens that reached the caller.
         delivered: Tokens,
     },
-    /// The same, and the engine takes no connection any more: it has ended.
+    /// The attempt broke off, and the engine refuses connections: its process has crashed.
     EngineEnded {
-        /// Tokens that reached the caller.
+        /// The number of tokens that reached the caller.
         delivered: Tokens,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// A way to decide for a pool. The product has one, [`crate::Pool`]; benchmarks have others
-/// to compare it with.
+/// The decisions of a pool. The product's implementation is [`crate::Pool`]; benchmarks compare
+/// it with others.
 pub trait Policy {
-    /// A request asks to be served.
+    /// Handles a new request.
     fn offer<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer);
 
-    /// An attempt's first token came.
+    /// Handles the first token of an attempt.
     fn first_token<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -71,8 +71,8 @@
         attempt: AttemptNumber,
     );
 
-    /// An attempt has delivered this many tokens of the answer, the last one `gap_ms` after the
-    /// one before.
+    /// Handles progress: the answer has `delivered` tokens, the last one `gap_ms` after the one
+    /// before.
     fn progress<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -82,7 +82,7 @@
         gap_ms: DurationMs,
     );
 
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     fn finished<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -91,7 +91,7 @@
         end: AttemptEnd,
     );
 
-    /// An engine reported its load: requests that run or wait there, as of `age_ms` ago.
+    /// Handles a load report: `busy` requests ran or waited at the engine `age_ms` ago.
     fn load_report<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -100,6 +100,6 @@
         age_ms: DurationMs,
     );
 
-    /// Time has passed.
+    /// Handles the passing of time.
     fn tick<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>);
 }
--- a/crates/decisions/src/index.rs
+++ b/crates/decisions/src/index.rs
@@ -1,8 +1,8 @@
-//! Small indexes in place of names on the path of a request.
+//! Integer indexes that replace names while a request is processed.
 
 use derive_more::Display;
 
-/// Declares an index.
+/// Declares an index type.
 macro_rules! index {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
         $(#[$doc])*
@@ -10,7 +10,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// As an index of a vector.
+            /// Returns the position in a vector.
             pub fn at(self) -> usize {
                 self.0 as usize
             }
@@ -19,18 +19,18 @@
 }
 
 index!(
-    /// A class of a pool.
+    /// The index of a class of a pool.
     ClassIx, u16
 );
 index!(
-    /// A customer.
+    /// The index of a customer.
     CustomerIx, u32
 );
 index!(
-    /// An endpoint of a pool or a service.
+    /// The index of an endpoint of a pool or a service.
     EndpointIx, u32
 );
 index!(
-    /// A request kind.
+    /// The index of a request kind.
     KindIx, u16
 );
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,9 +1,9 @@
-//! Pure decisions: which engine serves a request, when it runs, whether it is refused.
+//! Pure decision logic: which engine serves a request, when it runs, and whether it is refused.
 //!
-//! Time, randomness and observations are passed in, effects are passed out, so that the
-//! daemon, the tests and the benchmarks run the same code. [`Pool`] decides for one service
-//! in one data centre; the parts that it is made of are in `modules`, each with its settings
-//! in `configs`.
+//! The caller passes in the time, the random seed and all observations, and carries out the
+//! returned effects, so that the daemon, the tests and the benchmarks run the same code. [`Pool`]
+//! decides for one service in one data centre. Its parts are in `modules`, their settings in
+//! `configs`.
 
 pub mod configs;
 mod context;
--- a/crates/decisions/src/modules/concurrency.rs
+++ b/crates/decisions/src/modules/concurrency.rs
@@ -1,13 +1,13 @@
-//! The concurrency limit of one engine, learnt from its time between tokens.
+//! The concurrency limit of one engine, which adapts to its time between tokens.
 //!
-//! Additive increase while the engine is full and fast enough, multiplicative decrease
-//! while it is slower than the target. The limit never falls below one slot, so that an
-//! engine always gets the work by which its return is noticed.
+//! The limit increases additively while the engine is full and fast enough, and decreases
+//! multiplicatively while it is slower than the target. It never falls below one slot, so that a
+//! recovery of the engine shows in its requests.
 
 use crate::configs::ConcurrencyConfig;
 use bridgevane_types::TimeMs;
 
-/// A limit that follows latency.
+/// A concurrency limit that adapts to latency.
 #[derive(Clone, Debug)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Slots that may be used now.
+    /// Returns the number of slots that may be used now.
     pub(crate) fn slots(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Follows a changed number of slots.
+    /// Applies a changed number of slots.
     pub(crate) fn set_max(&mut self, slots: u32) {
         let was_at_max = self.limit >= self.max;
         self.max = f64::from(slots);
@@ -42,12 +42,12 @@
         };
     }
 
-    /// Notes that every slot was in use: only then does the limit grow.
+    /// Records whether every slot is in use: only then does the limit grow.
     pub(crate) fn note_use(&mut self, in_flight: u32) {
         self.was_full |= in_flight >= self.slots();
     }
 
-    /// Moves the limit by the engine's mean time between tokens.
+    /// Adjusts the limit to the engine's mean time between tokens.
     pub(crate) fn adjust(
         &mut self,
         now: TimeMs,
--- a/crates/decisions/src/modules/customer_limits.rs
+++ b/crates/decisions/src/modules/customer_limits.rs
@@ -1,14 +1,14 @@
-//! Limits by customer: output tokens a second and requests in flight.
+//! Limits per customer: output tokens per second and requests in flight.
 
 use crate::index::CustomerIx;
 use crate::policy::CustomerPolicy;
 use bridgevane_types::{DurationMs, TimeMs};
 
-/// Seconds of its rate that a customer may use at once. From the document's rule: a rate holds over
-/// ten seconds (docs/CONFIGURATION.md).
-const BURST_S: f64 = 10.0;
-/// How long a caller waits when only the concurrency limit is reached. Not measured, chosen because
-/// answers take seconds; sooner would only be refused again.
+/// The burst of a customer, in seconds of its rate: a rate limit applies over ten seconds. See
+/// docs/CONFIGURATION.md.
+const BURST_SECONDS: f64 = 10.0;
+/// The `Retry-After` of a refusal by the concurrency limit (ms). Answers take seconds, so that an
+/// earlier retry would be refused again.
 const CONCURRENCY_RETRY_MS: u64 = 1_000;
 
 #[derive(Clone, Debug, Default)]
@@ -18,7 +18,7 @@
     updated_at: TimeMs,
 }
 
-/// What customers use now.
+/// The current usage of all customers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CustomerLimits {
     usage: Vec<Usage>,
@@ -32,7 +32,7 @@
         &mut self.usage[customer.at()]
     }
 
-    /// Takes a request in, or tells when to come back.
+    /// Admits a request, or returns the time after which to retry.
     pub(crate) fn admit(
         &mut self,
         now: TimeMs,
@@ -51,8 +51,8 @@
             let elapsed_s = now.since(usage.updated_at).0 as f64 / 1000.0;
             usage.spent_tokens = (usage.spent_tokens - elapsed_s * rate.0).max(0.0);
             usage.updated_at = now;
-            let excess = usage.spent_tokens + expected_tokens - BURST_S * rate.0;
-            // A single answer longer than the whole burst is let through when nothing is owed.
+            let excess = usage.spent_tokens + expected_tokens - BURST_SECONDS * rate.0;
+            // A single answer longer than the whole burst is admitted if no tokens are outstanding.
             if excess > 0.0 && usage.spent_tokens > 0.0 {
                 return Err(DurationMs((excess / rate.0.max(0.001) * 1000.0) as u64));
             }
@@ -62,14 +62,14 @@
         Ok(())
     }
 
-    /// Gives a request back, with the tokens that it really took.
+    /// Releases a request and corrects its expected tokens by the actual ones.
     pub(crate) fn release(&mut self, customer: CustomerIx, expected_tokens: f64, tokens: f64) {
         let usage = self.usage(customer);
         usage.in_flight = usage.in_flight.saturating_sub(1);
         usage.spent_tokens = (usage.spent_tokens + tokens - expected_tokens).max(0.0);
     }
 
-    /// Counts a request that was taken in elsewhere.
+    /// Counts a request that another daemon admitted.
     pub(crate) fn adopt(&mut self, customer: CustomerIx) {
         self.usage(customer).in_flight += 1;
     }
--- a/crates/decisions/src/modules/engine_health.rs
+++ b/crates/decisions/src/modules/engine_health.rs
@@ -1,8 +1,8 @@
-//! The health of one engine: in use, ejected for slowness or loss, on probation.
+//! The health of one engine: active, ejected for slowness or failure, or on probation.
 //!
-//! A slow engine does more harm than a dead one, since it still draws work. Ejection is by
-//! comparison with peers and by silence; return is by probation with a single slot. A load
-//! report, which lags, never changes the state.
+//! A slow engine does more harm than a dead one, since it still receives requests. An engine is
+//! ejected when it is slow compared with its peers, silent, unreachable or refuses requests. It
+//! returns through probation with a single slot. Load reports lag and never change the state.
 
 use crate::configs::EngineHealthConfig;
 use bridgevane_types::TimeMs;
@@ -12,53 +12,54 @@
 /// An observation that may change an engine's health.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum HealthEvent {
-    /// A check found it slow or silent; the flag tells whether it may be ejected, since only
-    /// a part of the pool may be.
+    /// A check found the engine slow or silent; `may_eject` is false when too many of the pool's
+    /// engines are out of use.
     Slow { may_eject: bool },
-    /// A check found it normal.
+    /// A check found the engine normal.
     Normal,
-    /// It could not be reached.
-    Lost,
-    /// It broke off a stream, or answered that it takes no work. An engine that refuses fast looks
-    /// idle and would draw ever more work.
+    /// The engine could not be reached, or crashed.
+    Unreachable,
+    /// The engine broke off a stream or refused a request. An engine that refuses fast looks idle
+    /// and would receive ever more requests.
     Unavailable,
-    /// It gave this many tokens at normal speed.
+    /// The engine produced this many tokens at normal speed.
     GoodTokens(u64),
     /// Time has passed.
     Tick,
 }
 
-/// What the machine's handlers get.
+/// The context of the state machine's handlers.
 pub(crate) struct HealthContext<'a> {
     pub(crate) now: TimeMs,
     pub(crate) config: &'a EngineHealthConfig,
 }
 
-/// The state, for views and logs.
+/// The health state of an engine, for views and logs.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum HealthState {
-    /// In use.
+    /// The engine is in use.
     #[display("active")]
     Active,
-    /// Gets no work.
+    /// The engine receives no requests.
     #[display("ejected")]
     Ejected,
-    /// Gets little work, to see whether it is well again.
+    /// The engine receives few requests, to find out whether it has recovered.
     #[display("probation")]
     Probation,
 }
 
-/// What the states share.
+/// The data shared by all states.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    /// Ejections in a row, without a whole probation between them.
+    /// The number of consecutive ejections without a completed probation between them.
     ejections: u32,
-    /// Refusals since it last gave tokens.
+    /// The number of refused requests and broken streams since the last tokens at normal speed.
     refusals: u32,
 }
 
 impl Health {
-    fn until(&mut self, context: &HealthContext<'_>) -> TimeMs {
+    /// Counts an ejection and returns its end.
+    fn start_ejection(&mut self, context: &HealthContext<'_>) -> TimeMs {
         let doublings = self.ejections.min(16);
         self.ejections += 1;
         self.refusals = 0;
@@ -77,18 +78,18 @@
         slow_checks: &mut u32,
     ) -> Outcome<State> {
         match event {
-            HealthEvent::Lost => Transition(State::ejected(self.until(context))),
+            HealthEvent::Unreachable => Transition(State::ejected(self.start_ejection(context))),
             HealthEvent::Slow { may_eject } => {
                 *slow_checks += 1;
                 if *may_eject && *slow_checks >= context.config.slow_checks {
-                    return Transition(State::ejected(self.until(context)));
+                    return Transition(State::ejected(self.start_ejection(context)));
                 }
                 Handled
             }
             HealthEvent::Unavailable => {
                 self.refusals += 1;
                 if self.refusals >= context.config.refusals {
-                    return Transition(State::ejected(self.until(context)));
+                    return Transition(State::ejected(self.start_ejection(context)));
                 }
                 Handled
             }
@@ -124,8 +125,8 @@
         good_tokens: &mut u64,
     ) -> Outcome<State> {
         match event {
-            HealthEvent::Lost | HealthEvent::Unavailable | HealthEvent::Slow { .. } => {
-                Transition(State::ejected(self.until(context)))
+            HealthEvent::Unreachable | HealthEvent::Unavailable | HealthEvent::Slow { .. } => {
+                Transition(State::ejected(self.start_ejection(context)))
             }
             HealthEvent::GoodTokens(tokens) => {
                 *good_tokens += tokens;
@@ -140,7 +141,7 @@
     }
 }
 
-/// The machine of one engine.
+/// The state machine of one engine.
 pub(crate) struct EngineHealth {
     machine: StateMachine<Health>,
 }
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Tells the machine; true when the engine was ejected by it.
+    /// Handles an event; returns whether it ejected the engine.
     pub(crate) fn handle(&mut self, context: &mut HealthContext<'_>, event: HealthEvent) -> bool {
         let before = self.state();
         self.machine.handle_with_context(&event, context);
--- a/crates/decisions/src/modules/estimates.rs
+++ b/crates/decisions/src/modules/estimates.rs
@@ -1,8 +1,8 @@
-//! Expected answer lengths and engine speeds.
+//! Estimates of answer lengths and engine speeds.
 //!
-//! Lengths come from quantile sketches (`hdrhistogram`) by kind, and by kind and customer
-//! once the customer has been seen often enough. What is left of an answer is conditioned
-//! on what has streamed: of a heavy-tailed length, the expected rest grows.
+//! Lengths come from histogram sketches (`hdrhistogram`) per kind, and per kind and customer
+//! once the customer has enough answers. The expected remainder of an answer is conditional on the
+//! tokens streamed so far: with heavy-tailed lengths it grows.
 
 use crate::configs::EstimatesConfig;
 use crate::index::{CustomerIx, KindIx};
@@ -10,13 +10,13 @@
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 
-/// The longest length that a sketch tells apart. Chosen because no model gives longer answers.
+/// The maximum length that a sketch records. No model gives longer answers.
 const MAX_LENGTH: u64 = 1 << 20;
-/// Significant digits of a sketch: one keeps it at some 2 KB. Chosen because a sketch then has 1.9
-/// KB (docs/CAPACITY.md), and an estimate needs no more.
-const DIGITS: u8 = 1;
+/// The significant digits of a sketch. With one digit a sketch takes 1.9 KB, and an estimate needs
+/// no more. See docs/CAPACITY.md.
+const SIGNIFICANT_DIGITS: u8 = 1;
 
-/// Lengths of two generations: the running one and the one before.
+/// The answer lengths of two generations: the current one and the previous one.
 #[derive(Clone, Debug)]
 struct LengthSketch {
     current: Histogram<u32>,
@@ -27,7 +27,8 @@
 
 fn new_histogram() -> Histogram<u32> {
     // The bounds are constants that the library accepts.
-    Histogram::new_with_bounds(1, MAX_LENGTH, DIGITS).expect("constant bounds are valid")
+    Histogram::new_with_bounds(1, MAX_LENGTH, SIGNIFICANT_DIGITS)
+        .expect("constant bounds are valid")
 }
 
 impl LengthSketch {
@@ -51,8 +52,9 @@
         }
     }
 
-    /// Mean of the lengths above `delivered`, less `delivered`; none: none was that long.
-    fn expected_rest(&self, delivered: u64) -> Option<f64> {
+    /// Returns the mean of the lengths above `delivered`, less `delivered`; `None` if there are
+    /// none.
+    fn expected_remaining_tokens(&self, delivered: u64) -> Option<f64> {
         let mut count = 0;
         let mut sum = 0.0;
         for sketch in [Some(&self.current), self.previous.as_ref()]
@@ -72,7 +74,7 @@
     }
 }
 
-/// Lengths and speeds of a pool.
+/// The length and speed estimates of a pool.
 #[derive(Clone, Debug)]
 pub(crate) struct Estimates {
     by_kind: Vec<LengthSketch>,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Follows the kinds of the configuration.
+    /// Adds kinds that are new in the configuration.
     pub(crate) fn set_kinds(&mut self, expected_tokens: impl Iterator<Item = f64>) {
         for (at, expected) in expected_tokens.enumerate() {
             if at >= self.by_kind.len() {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Answer tokens to expect of a new request.
+    /// Returns the expected number of answer tokens of a new request.
     pub(crate) fn expected_tokens(
         &self,
         kind: KindIx,
@@ -117,8 +119,8 @@
             .clamp(1.0, max_tokens.max(1) as f64)
     }
 
-    /// Answer tokens to expect after `delivered` of them.
-    pub(crate) fn expected_rest(
+    /// Returns the expected number of answer tokens after the first `delivered`.
+    pub(crate) fn expected_remaining_tokens(
         &self,
         kind: KindIx,
         customer: CustomerIx,
@@ -127,10 +129,10 @@
         config: &EstimatesConfig,
     ) -> f64 {
         let sketch = self.sketch(kind, customer, config);
-        let rest = sketch.and_then(|sketch| sketch.expected_rest(delivered));
-        // Longer than anything seen: as long again as it already is.
-        let rest = rest.unwrap_or(delivered.max(1) as f64);
-        rest.min(max_tokens.saturating_sub(delivered).max(1) as f64)
+        let remaining = sketch.and_then(|sketch| sketch.expected_remaining_tokens(delivered));
+        // The answer is longer than any recorded one: assume as many tokens again.
+        let remaining = remaining.unwrap_or(delivered.max(1) as f64);
+        remaining.min(max_tokens.saturating_sub(delivered).max(1) as f64)
     }
 
     fn sketch(
@@ -139,12 +141,13 @@
         customer: CustomerIx,
         config: &EstimatesConfig,
     ) -> Option<&LengthSketch> {
-        let own = self.by_customer.get(&(kind, customer));
-        own.filter(|sketch| sketch.count >= config.min_customer_answers)
+        let customer_sketch = self.by_customer.get(&(kind, customer));
+        customer_sketch
+            .filter(|sketch| sketch.count >= config.min_customer_answers)
             .or_else(|| self.by_kind.get(kind.at()))
     }
 
-    /// Learns from a whole answer.
+    /// Records the length of a complete answer.
     pub(crate) fn learn_length(
         &mut self,
         kind: KindIx,
@@ -152,31 +155,33 @@
         tokens: u64,
         config: &EstimatesConfig,
     ) {
-        let Some(shared) = self.by_kind.get_mut(kind.at()) else {
+        let Some(kind_sketch) = self.by_kind.get_mut(kind.at()) else {
             return;
         };
-        shared.add(tokens, config);
-        let mean = shared.mean;
+        kind_sketch.add(tokens, config);
+        let mean = kind_sketch.mean;
         let key = (kind, customer);
         let has_room = self.by_customer.len() < config.max_customer_sketches;
         if has_room || self.by_customer.contains_key(&key) {
-            let own = self.by_customer.entry(key);
-            own.or_insert_with(|| LengthSketch::new(mean))
+            let customer_sketch = self.by_customer.entry(key);
+            customer_sketch
+                .or_insert_with(|| LengthSketch::new(mean))
                 .add(tokens, config);
         }
     }
 
-    /// Learns from the gap between tokens of a well engine.
-    pub(crate) fn learn_between_tokens(&mut self, gap_ms: f64) {
+    /// Records the gap between tokens of an active engine.
+    pub(crate) fn learn_token_gap(&mut self, gap_ms: f64) {
         self.between_tokens_ms.add(gap_ms);
     }
 
-    /// Learns from a first token: the time that `uncached` prompt tokens took.
-    pub(crate) fn learn_prefill(&mut self, uncached: u64, took_ms: f64) {
-        /// Not measured, chosen because shorter observations are mostly noise.
+    /// Records the time that `uncached_tokens` prompt tokens took until the first token.
+    pub(crate) fn learn_prefill(&mut self, uncached_tokens: u64, took_ms: f64) {
+        /// Observations of shorter prompts are mostly noise.
         const MIN_TOKENS: u64 = 256;
-        if uncached >= MIN_TOKENS {
-            self.prefill_ms_per_token.add(took_ms / uncached as f64);
+        if uncached_tokens >= MIN_TOKENS {
+            self.prefill_ms_per_token
+                .add(took_ms / uncached_tokens as f64);
         }
     }
 
@@ -184,8 +189,8 @@
         self.between_tokens_ms.value()
     }
 
-    /// Time to process `uncached` prompt tokens.
-    pub(crate) fn prefill_ms(&self, uncached: u64) -> f64 {
-        self.prefill_ms_per_token.value() * uncached as f64
+    /// Returns the expected time to process `uncached_tokens` prompt tokens (ms).
+    pub(crate) fn prefill_ms(&self, uncached_tokens: u64) -> f64 {
+        self.prefill_ms_per_token.value() * uncached_tokens as f64
     }
 }
--- a/crates/decisions/src/modules/ewma.rs
+++ b/crates/decisions/src/modules/ewma.rs
@@ -1,6 +1,6 @@
-//! An exponentially weighted mean.
+//! An exponentially weighted moving average.
 
-/// A mean in which each new sample has the same weight.
+/// An exponentially weighted moving average with a constant weight of new samples.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ewma {
     value: f64,
--- a/crates/decisions/src/modules/fair_queue.rs
+++ b/crates/decisions/src/modules/fair_queue.rs
@@ -1,8 +1,8 @@
 //! The queue of one class, fair among its customers.
 //!
-//! Each customer has a virtual time that rises with the tokens it was served; the customer
-//! that is furthest behind goes next. Requests that come back after a preemption or a loss
-//! go before all others: their callers already wait for the rest.
+//! Each customer has a virtual time that advances with the work (ms) of its dequeued requests; the
+//! customer with the lowest virtual time goes next. Requests that are requeued after a preemption
+//! or a lost attempt go before all others: their callers already wait for the rest.
 
 use crate::index::CustomerIx;
 use bridgevane_types::RequestId;
@@ -15,12 +15,12 @@
     work_ms: f64,
 }
 
-/// A queue that is fair by work.
+/// A queue that shares work fairly among customers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
-    returned: VecDeque<(RequestId, f64)>,
+    requeued: VecDeque<(RequestId, f64)>,
     customers: HashMap<CustomerIx, CustomerQueue>,
-    order: BTreeSet<(u64, CustomerIx)>,
+    by_virtual_time: BTreeSet<(u64, CustomerIx)>,
     virtual_time: u64,
     len: usize,
     work_ms: f64,
@@ -35,18 +35,18 @@
         self.len == 0
     }
 
-    /// Work of a new request's customer and of the others that goes before it.
-    pub(crate) fn work_before_ms(&self, customer: CustomerIx) -> f64 {
+    /// Returns the expected work (ms) that goes before a new request of `customer`.
+    pub(crate) fn work_ahead_ms(&self, customer: CustomerIx) -> f64 {
         let own = self
             .customers
             .get(&customer)
             .map_or(0.0, |queue| queue.work_ms);
-        let active = self.order.len().max(1) as f64;
-        let returned: f64 = self.returned.iter().map(|(_, work_ms)| work_ms).sum();
-        (returned + own * active).min(self.work_ms)
+        let active = self.by_virtual_time.len().max(1) as f64;
+        let requeued: f64 = self.requeued.iter().map(|(_, work_ms)| work_ms).sum();
+        (requeued + own * active).min(self.work_ms)
     }
 
-    /// All queued work.
+    /// Returns the expected work of all queued requests (ms).
     pub(crate) fn work_ms(&self) -> f64 {
         self.work_ms
     }
@@ -55,7 +55,7 @@
         let queue = self.customers.entry(customer).or_default();
         if queue.requests.is_empty() {
             queue.virtual_time = queue.virtual_time.max(self.virtual_time);
-            self.order.insert((queue.virtual_time, customer));
+            self.by_virtual_time.insert((queue.virtual_time, customer));
         }
         queue.requests.push_back((request, work_ms));
         queue.work_ms += work_ms;
@@ -63,54 +63,54 @@
         self.work_ms += work_ms;
     }
 
-    /// Puts a request before all others.
-    pub(crate) fn push_returned(&mut self, request: RequestId, work_ms: f64) {
-        self.returned.push_back((request, work_ms));
+    /// Adds a requeued request, which goes before those that never ran.
+    pub(crate) fn push_requeued(&mut self, request: RequestId, work_ms: f64) {
+        self.requeued.push_back((request, work_ms));
         self.len += 1;
         self.work_ms += work_ms;
     }
 
-    /// Requests that ran before and came back, in their order.
-    pub(crate) fn returned(&self) -> impl Iterator<Item = RequestId> {
-        self.returned.iter().map(|(request, _)| *request)
+    /// Returns the requeued requests in their order.
+    pub(crate) fn requeued(&self) -> impl Iterator<Item = RequestId> {
+        self.requeued.iter().map(|(request, _)| *request)
     }
 
-    /// The request that goes next.
+    /// Returns the request that goes next.
     pub(crate) fn peek(&self) -> Option<RequestId> {
-        if let Some((request, _)) = self.returned.front() {
+        if let Some((request, _)) = self.requeued.front() {
             return Some(*request);
         }
-        let (_, customer) = self.order.first()?;
+        let (_, customer) = self.by_virtual_time.first()?;
         let queue = self.customers.get(customer)?;
         queue.requests.front().map(|(request, _)| *request)
     }
 
-    /// Takes the request that goes next.
+    /// Removes and returns the request that goes next.
     pub(crate) fn pop(&mut self) -> Option<RequestId> {
-        if let Some((request, work_ms)) = self.returned.pop_front() {
-            self.forget(work_ms);
+        if let Some((request, work_ms)) = self.requeued.pop_front() {
+            self.subtract_work(work_ms);
             return Some(request);
         }
-        let (virtual_time, customer) = self.order.pop_first()?;
+        let (virtual_time, customer) = self.by_virtual_time.pop_first()?;
         self.virtual_time = virtual_time;
         let queue = self.customers.get_mut(&customer)?;
         let (request, work_ms) = queue.requests.pop_front()?;
         queue.work_ms = (queue.work_ms - work_ms).max(0.0);
         queue.virtual_time = virtual_time + work_ms.max(1.0) as u64;
         if queue.requests.is_empty() {
-            self.drop_idle(customer);
+            self.remove_idle(customer);
         } else {
-            self.order.insert((queue.virtual_time, customer));
+            self.by_virtual_time.insert((queue.virtual_time, customer));
         }
-        self.forget(work_ms);
+        self.subtract_work(work_ms);
         Some(request)
     }
 
-    /// Takes out a request wherever it stands.
+    /// Removes a request at any position; returns whether it was queued.
     pub(crate) fn remove(&mut self, request: RequestId, customer: CustomerIx) -> bool {
-        if let Some(at) = self.returned.iter().position(|(id, _)| *id == request) {
-            if let Some((_, work_ms)) = self.returned.remove(at) {
-                self.forget(work_ms);
+        if let Some(at) = self.requeued.iter().position(|(id, _)| *id == request) {
+            if let Some((_, work_ms)) = self.requeued.remove(at) {
+                self.subtract_work(work_ms);
             }
             return true;
         }
@@ -125,15 +125,16 @@
         };
         queue.work_ms = (queue.work_ms - work_ms).max(0.0);
         if queue.requests.is_empty() {
-            self.order.remove(&(queue.virtual_time, customer));
-            self.drop_idle(customer);
+            self.by_virtual_time.remove(&(queue.virtual_time, customer));
+            self.remove_idle(customer);
         }
-        self.forget(work_ms);
+        self.subtract_work(work_ms);
         true
     }
 
-    /// The request that came last of the customer with the most work: the one to give up.
-    pub(crate) fn newest(&self) -> Option<RequestId> {
+    /// Returns the request to refuse first: the newest one of the customer with the most queued
+    /// work.
+    pub(crate) fn shed_candidate(&self) -> Option<RequestId> {
         let busiest = self
             .customers
             .values()
@@ -141,20 +142,21 @@
         busiest.requests.back().map(|(request, _)| *request)
     }
 
-    /// Forgets a customer without requests once its virtual time is no credit or debt.
-    fn drop_idle(&mut self, customer: CustomerIx) {
+    /// Removes a customer without requests unless its virtual time is ahead of the queue's.
+    fn remove_idle(&mut self, customer: CustomerIx) {
         let is_behind = |queue: &CustomerQueue| queue.virtual_time <= self.virtual_time;
         if self.customers.get(&customer).is_some_and(is_behind) {
             self.customers.remove(&customer);
         }
-        /// Not measured, chosen because it is well over the 1,100 customers to design for.
+        /// Well above the 1,100 customers that the design assumes.
         const MAX_IDLE: usize = 4_096;
         if self.customers.len() > MAX_IDLE {
             self.customers.retain(|_, queue| !queue.requests.is_empty());
         }
     }
 
-    fn forget(&mut self, work_ms: f64) {
+    /// Subtracts a removed request from the totals.
+    fn subtract_work(&mut self, work_ms: f64) {
         self.len -= 1;
         self.work_ms = if self.len == 0 {
             0.0
--- a/crates/decisions/src/modules/mod.rs
+++ b/crates/decisions/src/modules/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of a pool's decisions, one module each.
+//! The parts of a pool's decisions, one per module.
 
 pub(crate) mod concurrency;
 pub(crate) mod customer_limits;
--- a/crates/decisions/src/modules/prefix_cache.rs
+++ b/crates/decisions/src/modules/prefix_cache.rs
@@ -1,18 +1,19 @@
-//! What the engines' prefix caches hold, as far as their events say.
+//! The contents of the engines' prefix caches, as known from their events.
 //!
-//! The index goes from block to holders, so that a look-up costs the blocks of one prompt,
-//! not the fleet. Events may be late and have gaps: what is known is a hint that ages out.
+//! The index maps blocks to holders, so that the cost of a lookup depends on the blocks of one
+//! prompt and not on the size of the fleet. Events may be late or missing: entries are hints that
+//! expire.
 
 use crate::index::EndpointIx;
 use bridgevane_types::TimeMs;
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
-/// Holders that are remembered for a block. Not measured, chosen because a prefix is spread over
-/// few engines; each costs 16 bytes a block.
+/// The maximum number of holders remembered per block. A prefix is spread over few engines; each
+/// holder takes 16 bytes per block.
 const MAX_HOLDERS: usize = 4;
 
-/// Engines that may hold a prefix, with the blocks that each holds of it.
+/// The engines that may hold a prefix, each with the number of its blocks that the engine holds.
 pub type Holders = [Option<(EndpointIx, u32)>; MAX_HOLDERS];
 
 #[derive(Clone, Copy, Debug)]
@@ -21,15 +22,15 @@
     seen_at: TimeMs,
 }
 
-/// The index.
+/// An index from prompt blocks to the engines that hold them.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     holders: HashMap<u64, [Option<Holder>; MAX_HOLDERS]>,
-    order: VecDeque<u64>,
+    insertion_order: VecDeque<u64>,
 }
 
 impl PrefixCache {
-    /// Notes that `engine` holds `block`.
+    /// Records that `engine` holds `block`.
     pub fn stored(&mut self, now: TimeMs, block: u64, engine: EndpointIx, max_blocks: usize) {
         let holder = Holder {
             engine,
@@ -40,23 +41,23 @@
             let at = holders
                 .iter()
                 .position(same)
-                .unwrap_or_else(|| oldest(holders));
+                .unwrap_or_else(|| oldest_slot(holders));
             holders[at] = Some(holder);
             return;
         }
         let mut holders = [None; MAX_HOLDERS];
         holders[0] = Some(holder);
         self.holders.insert(block, holders);
-        self.order.push_back(block);
-        if self.order.len() > max_blocks
-            && let Some(first) = self.order.pop_front()
+        self.insertion_order.push_back(block);
+        if self.insertion_order.len() > max_blocks
+            && let Some(first) = self.insertion_order.pop_front()
         {
             self.holders.remove(&first);
         }
     }
 
-    /// Notes that `engine` dropped `block`.
-    pub(crate) fn evicted(&mut self, block: u64, engine: EndpointIx) {
+    /// Records that `engine` evicted `block`.
+    pub(crate) fn record_evicted(&mut self, block: u64, engine: EndpointIx) {
         if let Some(holders) = self.holders.get_mut(&block) {
             for slot in holders.iter_mut() {
                 if slot.is_some_and(|known| known.engine == engine) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The engines that hold the longest known prefixes of `blocks`.
+    /// Returns the engines that hold the longest known prefixes of `blocks`.
     pub fn holders_of(&self, now: TimeMs, blocks: &[u64], memory_ms: u64) -> Holders {
         let mut found: Holders = [None; MAX_HOLDERS];
         for (at, block) in blocks.iter().enumerate().rev() {
@@ -75,7 +76,7 @@
             };
             for holder in holders.iter().flatten() {
                 if now.since(holder.seen_at).0 <= memory_ms {
-                    add(&mut found, holder.engine, at as u32 + 1);
+                    add_holder(&mut found, holder.engine, at as u32 + 1);
                 }
             }
             if found.iter().all(Option::is_some) {
@@ -86,15 +87,15 @@
     }
 }
 
-fn oldest(holders: &[Option<Holder>; MAX_HOLDERS]) -> usize {
+fn oldest_slot(holders: &[Option<Holder>; MAX_HOLDERS]) -> usize {
     let seen_at = |slot: &Option<Holder>| slot.map_or(TimeMs(0), |holder| holder.seen_at);
-    let oldest = (0..MAX_HOLDERS).min_by_key(|at| seen_at(&holders[*at]));
-    // There is always an oldest: MAX_HOLDERS isn't 0.
-    oldest.unwrap_or(0)
+    let oldest_slot = (0..MAX_HOLDERS).min_by_key(|at| seen_at(&holders[*at]));
+    // There is always an oldest slot, since MAX_HOLDERS isn't 0.
+    oldest_slot.unwrap_or(0)
 }
 
-/// Adds an engine unless it is there with a longer prefix.
-fn add(found: &mut Holders, engine: EndpointIx, blocks: u32) {
+/// Adds an engine unless it is already present, with a longer prefix.
+fn add_holder(found: &mut Holders, engine: EndpointIx, blocks: u32) {
     for slot in found {
         match slot {
             Some((known, _)) if *known == engine => return,
--- a/crates/decisions/src/modules/request_life.rs
+++ b/crates/decisions/src/modules/request_life.rs
@@ -1,42 +1,42 @@
-//! The life of a request as a state machine: every other module asks it what may happen next.
+//! The lifecycle of a request as a state machine. Other modules check its state before they act.
 
 use bridgevane_types::AttemptNumber;
 use derive_more::Display;
 use statig::prelude::*;
 
-/// What happens to a request.
+/// An event in the lifecycle of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LifeEvent {
-    /// An attempt is sent.
+pub(crate) enum LifecycleEvent {
+    /// An attempt is sent to an engine.
     Dispatch,
-    /// The attempt's first token came.
+    /// The first token of the attempt arrived.
     FirstToken,
-    /// The attempt was taken back or lost; the request waits again.
+    /// The attempt was cancelled or lost; the request waits again.
     Return,
-    /// The request is over.
+    /// The request has its final answer, or its caller disconnected.
     End,
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub(crate) enum LifeState {
-    /// It waits for a slot.
+pub(crate) enum LifecycleState {
+    /// The request waits for a slot.
     #[display("queued")]
     Queued,
-    /// An attempt was sent and has given nothing yet.
+    /// An attempt was sent and has produced no token yet.
     #[display("started")]
     Started,
-    /// An attempt streams.
+    /// An attempt streams its answer.
     #[display("streaming")]
     Streaming,
-    /// It is over.
+    /// The request is over.
     #[display("over")]
     Over,
 }
 
-/// What the states share.
+/// The data shared by all states.
 #[derive(Debug, Default)]
-pub(crate) struct Life {
+pub(crate) struct Lifecycle {
     attempts: u64,
 }
 
@@ -44,11 +44,11 @@
     initial = "State::queued()",
     state(derive(Debug, Clone, Copy, PartialEq))
 )]
-impl Life {
+impl Lifecycle {
     #[state(superstate = "alive")]
-    fn queued(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn queued(&mut self, event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Dispatch => {
+            LifecycleEvent::Dispatch => {
                 self.attempts += 1;
                 Transition(State::started())
             }
@@ -57,9 +57,9 @@
     }
 
     #[state(superstate = "running")]
-    fn started(event: &LifeEvent) -> Outcome<State> {
+    fn started(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifeEvent::FirstToken => Transition(State::streaming()),
+            LifecycleEvent::FirstToken => Transition(State::streaming()),
             _ => Super,
         }
     }
@@ -70,17 +70,17 @@
     }
 
     #[superstate(superstate = "alive")]
-    fn running(event: &LifeEvent) -> Outcome<State> {
+    fn running(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Return => Transition(State::queued()),
+            LifecycleEvent::Return => Transition(State::queued()),
             _ => Super,
         }
     }
 
     #[superstate]
-    fn alive(event: &LifeEvent) -> Outcome<State> {
+    fn alive(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifeEvent::End => Transition(State::over()),
+            LifecycleEvent::End => Transition(State::over()),
             _ => Handled,
         }
     }
@@ -91,54 +91,57 @@
     }
 }
 
-/// The machine of one request.
-pub(crate) struct RequestLife {
-    machine: StateMachine<Life>,
+/// The state machine of one request.
+pub(crate) struct RequestLifecycle {
+    machine: StateMachine<Lifecycle>,
 }
 
-impl RequestLife {
+impl RequestLifecycle {
     pub(crate) fn new() -> Self {
         Self {
-            machine: Life::default().state_machine(),
+            machine: Lifecycle::default().state_machine(),
         }
     }
 
-    /// A request that another daemon had in flight under `attempt`.
+    /// Creates the lifecycle of a request that another daemon dispatched as `attempt`.
     pub(crate) fn adopted(attempt: AttemptNumber) -> Self {
         let mut life = Self {
-            machine: Life {
+            machine: Lifecycle {
                 attempts: attempt.0,
             }
             .state_machine(),
         };
-        life.handle(LifeEvent::Dispatch);
+        life.handle(LifecycleEvent::Dispatch);
         life
     }
 
-    pub(crate) fn handle(&mut self, event: LifeEvent) {
+    pub(crate) fn handle(&mut self, event: LifecycleEvent) {
         self.machine.handle(&event);
     }
 
-    pub(crate) fn state(&self) -> LifeState {
+    pub(crate) fn state(&self) -> LifecycleState {
         match self.machine.state() {
-            State::Queued {} => LifeState::Queued,
-            State::Started {} => LifeState::Started,
-            State::Streaming {} => LifeState::Streaming,
-            State::Over {} => LifeState::Over,
+            State::Queued {} => LifecycleState::Queued,
+            State::Started {} => LifecycleState::Started,
+            State::Streaming {} => LifecycleState::Streaming,
+            State::Over {} => LifecycleState::Over,
         }
     }
 
-    /// Attempts that were sent.
+    /// Returns the number of attempts that were sent.
     pub(crate) fn attempts(&self) -> u64 {
         self.machine.inner().attempts
     }
 
-    /// The running or latest attempt; the first is 0.
+    /// Returns the running or latest attempt; the first is 0.
     pub(crate) fn attempt(&self) -> AttemptNumber {
         AttemptNumber(self.attempts().saturating_sub(1))
     }
 
     pub(crate) fn is_running(&self) -> bool {
-        matches!(self.state(), LifeState::Started | LifeState::Streaming)
+        matches!(
+            self.state(),
+            LifecycleState::Started | LifecycleState::Streaming
+        )
     }
 }
--- a/crates/decisions/src/modules/victims.rs
+++ b/crates/decisions/src/modules/victims.rs
@@ -1,13 +1,13 @@
-//! The running requests that may be preempted, by tier, cheapest to resume first.
+//! The running requests that may be preempted, by tier and by the cost of resuming them.
 
 use bridgevane_types::{RequestId, Tier};
 use std::collections::BTreeSet;
 
-/// Tiers that have a list each; higher numbers share the last. Chosen because it is four times the
-/// eight tiers to design for.
+/// The number of tiers with a list of their own; higher numbers share the last list. Four times the
+/// eight tiers that the design assumes.
 const TIERS: usize = 32;
 
-/// Preemptible running requests.
+/// The running requests that may be preempted.
 #[derive(Clone, Debug)]
 pub(crate) struct Victims {
     by_tier: [BTreeSet<(u64, RequestId)>; TIERS],
@@ -20,30 +20,30 @@
         }
     }
 
-    /// Adds a request with the tokens that resuming it would cost.
+    /// Adds a request with the cost of resuming it, in tokens.
     pub(crate) fn insert(&mut self, tier: Tier, cost: u64, request: RequestId) {
-        self.by_tier[slot(tier)].insert((cost, request));
+        self.by_tier[tier_index(tier)].insert((cost, request));
     }
 
     pub(crate) fn remove(&mut self, tier: Tier, cost: u64, request: RequestId) {
-        self.by_tier[slot(tier)].remove(&(cost, request));
+        self.by_tier[tier_index(tier)].remove(&(cost, request));
     }
 
-    /// The cheapest of the lowest tier below `tier` whose slot is of use.
+    /// Returns the cheapest eligible request of the lowest tier below `tier`.
     pub(crate) fn cheapest_below(
         &self,
         tier: Tier,
-        is_of_use: impl Fn(RequestId) -> bool,
+        is_eligible: impl Fn(RequestId) -> bool,
     ) -> Option<RequestId> {
-        self.by_tier[slot(tier) + 1..]
+        self.by_tier[tier_index(tier) + 1..]
             .iter()
             .rev()
             .flatten()
             .map(|(_, request)| *request)
-            .find(|request| is_of_use(*request))
+            .find(|request| is_eligible(*request))
     }
 }
 
-fn slot(tier: Tier) -> usize {
+fn tier_index(tier: Tier) -> usize {
     (tier.0 as usize).min(TIERS - 1)
 }
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -1,4 +1,4 @@
-//! What the operators' configuration means for one pool.
+//! The part of the operators' configuration that applies to one pool.
 
 use crate::index::{ClassIx, CustomerIx, KindIx};
 use bridgevane_config::Document;
@@ -8,71 +8,72 @@
 };
 use std::collections::HashMap;
 
-/// A class as a pool sees it.
+/// The settings of a class in a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassPolicy {
-    /// Name.
+    /// The class's name.
     pub name: ClassName,
-    /// 0 is the most important.
+    /// The priority tier; 0 is the most important.
     pub tier: Tier,
-    /// The latest first token.
+    /// The target for the time to first token.
     pub first_token_target_ms: DurationMs,
-    /// The longest mean gap between tokens; none: no bound.
+    /// The target for the mean gap between tokens; `None` sets no bound.
     pub between_tokens_target_ms: Option<DurationMs>,
-    /// Guaranteed part of the pool.
+    /// The guaranteed share of the pool's slots.
     pub min_share: Share,
-    /// The longest wait before one request at a time is protected; none: by settings.
+    /// The wait after which the class may run a protected request; `None` derives it from the
+    /// first-token target.
     pub max_wait_ms: Option<DurationMs>,
 }
 
-/// A customer as a pool sees it.
+/// The limits of a customer in a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CustomerPolicy {
-    /// Name.
+    /// The customer's id.
     pub name: CustomerId,
-    /// Output tokens a second; none: no limit.
+    /// The maximum of output tokens per second; `None` sets no limit.
     pub rate_limit_tps: Option<TokensPerSecond>,
-    /// Requests in flight; none: no limit.
+    /// The maximum of requests in flight; `None` sets no limit.
     pub concurrency_limit: Option<Slots>,
 }
 
-/// An engine as a pool sees it.
+/// The settings of an engine in a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePolicy {
-    /// Name.
+    /// The engine's id.
     pub name: EndpointId,
-    /// Requests that it can run.
+    /// The number of requests that it can run at once.
     pub slots: Slots,
-    /// Whether it gets no new work.
+    /// Whether it receives no new requests.
     pub is_drained: bool,
 }
 
-/// The configuration of one pool. Names keep their place when the configuration changes:
-/// new ones are added at the end, so that indexes of requests in flight stay right.
+/// The configuration of one pool. Entries keep their position when the configuration changes,
+/// and new ones are appended, so that the indexes of requests in flight stay valid.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolPolicy {
-    /// Classes.
+    /// The classes, by [`ClassIx`].
     pub classes: Vec<ClassPolicy>,
-    /// Customers.
+    /// The customers, by [`CustomerIx`].
     pub customers: Vec<CustomerPolicy>,
-    /// Kinds with the output tokens to expect at first.
+    /// The request kinds, by [`KindIx`], with their initial estimate of output tokens.
     pub kinds: Vec<(KindName, Tokens)>,
-    /// Engines of the pool's data centre.
+    /// The engines in the pool's data centre.
     pub engines: Vec<EnginePolicy>,
-    /// Where each customer stands: there are many, and each request looks one up.
-    customer_of: HashMap<CustomerId, CustomerIx>,
+    /// The index of each customer: every request looks one up, and there are many.
+    customer_indexes: HashMap<CustomerId, CustomerIx>,
 }
 
 impl PoolPolicy {
-    /// A policy of these parts, for tests and benchmarks.
-    pub fn of(
+    /// Creates a policy from its parts, for tests and benchmarks.
+    pub fn from_parts(
         classes: Vec<ClassPolicy>,
         customers: Vec<CustomerPolicy>,
         kinds: Vec<(KindName, Tokens)>,
         engines: Vec<EnginePolicy>,
     ) -> Self {
         let names = customers.iter().enumerate();
-        let customer_of = names
+        let customer_indexes = names
             .map(|(at, customer)| (customer.name.clone(), CustomerIx(at as u32)))
             .collect();
         Self {
@@ -80,18 +81,18 @@
             customers,
             kinds,
             engines,
-            customer_of,
+            customer_indexes,
         }
     }
 
-    /// The policy of `service` in `data_centre`.
+    /// Creates the policy of `service` in `data_centre`.
     pub fn new(document: &Document, service: &ServiceName, data_centre: &DataCentreId) -> Self {
         let mut policy = Self::default();
         policy.update(document, service, data_centre);
         policy
     }
 
-    /// Follows a changed configuration.
+    /// Applies a changed configuration.
     pub fn update(
         &mut self,
         document: &Document,
@@ -107,7 +108,7 @@
                 min_share: class.min_share,
                 max_wait_ms: class.max_wait_ms,
             };
-            put(&mut self.classes, class, |known| known.name == *name);
+            replace_or_push(&mut self.classes, class, |known| known.name == *name);
         }
         for (name, customer) in &document.customer {
             let customer = CustomerPolicy {
@@ -115,18 +116,18 @@
                 rate_limit_tps: customer.rate_limit_tps,
                 concurrency_limit: customer.concurrency_limit,
             };
-            match self.customer_of.get(name) {
+            match self.customer_indexes.get(name) {
                 Some(known) => self.customers[known.at()] = customer,
                 None => {
                     let next = CustomerIx(self.customers.len() as u32);
-                    self.customer_of.insert(name.clone(), next);
+                    self.customer_indexes.insert(name.clone(), next);
                     self.customers.push(customer);
                 }
             }
         }
         for (name, kind) in &document.kind {
             let kind = (name.clone(), kind.expected_tokens);
-            put(&mut self.kinds, kind, |known| known.0 == *name);
+            replace_or_push(&mut self.kinds, kind, |known| known.0 == *name);
         }
         self.update_engines(document, service, data_centre);
     }
@@ -137,7 +138,7 @@
         service: &ServiceName,
         data_centre: &DataCentreId,
     ) {
-        // An engine that the configuration no longer names gets no new work.
+        // An engine that is no longer configured receives no new requests.
         for engine in &mut self.engines {
             engine.is_drained = true;
         }
@@ -153,30 +154,30 @@
                 slots: engine.slots,
                 is_drained: engine.drained,
             };
-            put(&mut self.engines, engine, |known| known.name == *name);
+            replace_or_push(&mut self.engines, engine, |known| known.name == *name);
         }
     }
 
-    /// The index of a class.
+    /// Returns the index of a class.
     pub fn class_ix(&self, name: &ClassName) -> Option<ClassIx> {
         let at = self.classes.iter().position(|class| class.name == *name)?;
         Some(ClassIx(at as u16))
     }
 
-    /// The index of a customer.
+    /// Returns the index of a customer.
     pub fn customer_ix(&self, name: &CustomerId) -> Option<CustomerIx> {
-        self.customer_of.get(name).copied()
+        self.customer_indexes.get(name).copied()
     }
 
-    /// The index of a kind.
+    /// Returns the index of a kind.
     pub fn kind_ix(&self, name: &KindName) -> Option<KindIx> {
         let at = self.kinds.iter().position(|kind| kind.0 == *name)?;
         Some(KindIx(at as u16))
     }
 }
 
-/// Replaces the entry that `is_same` knows, or adds a new one at the end.
-fn put<T>(entries: &mut Vec<T>, entry: T, is_same: impl Fn(&T) -> bool) {
+/// Replaces the entry that matches `is_same`, or appends a new one.
+fn replace_or_push<T>(entries: &mut Vec<T>, entry: T, is_same: impl Fn(&T) -> bool) {
     match entries.iter().position(is_same) {
         Some(at) => entries[at] = entry,
         None => entries.push(entry),
--- a/crates/decisions/src/pool/admit.rs
+++ b/crates/decisions/src/pool/admit.rs
@@ -7,12 +7,12 @@
 use crate::effect::Effect;
 use crate::event::Offer;
 use crate::index::{ClassIx, CustomerIx};
-use crate::modules::request_life::{LifeEvent, LifeState};
+use crate::modules::request_life::{LifecycleEvent, LifecycleState};
 use bridgevane_types::{DurationMs, Outcome, RefusalCode, RequestId};
 
 /// When to come back after no engine could serve. Not measured, chosen because a configuration
 /// changes within seconds.
-const NO_ENGINE_RETRY_MS: f64 = 1_000.0;
+const NO_CAPACITY_RETRY_MS: f64 = 1_000.0;
 
 impl Pool {
     pub(super) fn admit<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer) {
@@ -32,7 +32,7 @@
         });
         self.classes[class.at()]
             .retries
-            .earn(&context.settings.retry);
+            .deposit(&context.settings.retry);
         let expected_tokens = self.estimates.expected_tokens(
             offer.kind,
             offer.customer,
@@ -57,12 +57,22 @@
             return;
         }
         if !self.has_usable_engine() {
-            self.give_up(context, request, RefusalCode::NoEngine, NO_ENGINE_RETRY_MS);
+            self.give_up(
+                context,
+                request,
+                RefusalCode::NoEngine,
+                NO_CAPACITY_RETRY_MS,
+            );
             return;
         }
         if self.queued >= context.settings.admission.max_queued && !self.shed_below(context, class)
         {
-            self.give_up(context, request, RefusalCode::QueueFull, NO_ENGINE_RETRY_MS);
+            self.give_up(
+                context,
+                request,
+                RefusalCode::QueueFull,
+                NO_CAPACITY_RETRY_MS,
+            );
             return;
         }
         self.enqueue(request);
@@ -113,7 +123,7 @@
         let Some(entry) = self.requests.get(&request) else {
             return;
         };
-        if entry.life.state() != LifeState::Queued {
+        if entry.life.state() != LifecycleState::Queued {
             return;
         }
         let class = entry.offer.class;
@@ -155,7 +165,7 @@
         customer: CustomerIx,
     ) -> f64 {
         let tier = self.class_policy(class).tier;
-        let mut ahead_ms = self.classes[class.at()].queue.work_before_ms(customer);
+        let mut ahead_ms = self.classes[class.at()].queue.work_ahead_ms(customer);
         let mut taken_slots = 0.0;
         for other in &self.class_order {
             let other_tier = self.class_policy(*other).tier;
@@ -187,11 +197,16 @@
         let lowest = self.class_order.iter().rev().find(|other| {
             self.class_policy(**other).tier > tier && !self.classes[other.at()].queue.is_empty()
         });
-        let newest = lowest.and_then(|other| self.classes[other.at()].queue.newest());
+        let newest = lowest.and_then(|other| self.classes[other.at()].queue.shed_candidate());
         let Some(newest) = newest else {
             return false;
         };
-        self.give_up(context, newest, RefusalCode::QueueFull, NO_ENGINE_RETRY_MS);
+        self.give_up(
+            context,
+            newest,
+            RefusalCode::QueueFull,
+            NO_CAPACITY_RETRY_MS,
+        );
         true
     }
 
@@ -227,7 +242,7 @@
     pub(super) fn end_request(&mut self, request: RequestId) -> Option<Entry> {
         let mut entry = self.requests.remove(&request)?;
         self.unqueue(request, &entry);
-        entry.life.handle(LifeEvent::End);
+        entry.life.handle(LifecycleEvent::End);
         Some(entry)
     }
 
--- a/crates/decisions/src/pool/attempt.rs
+++ b/crates/decisions/src/pool/attempt.rs
@@ -8,7 +8,7 @@
 use crate::event::AttemptEnd;
 use crate::index::EndpointIx;
 use crate::modules::engine_health::{HealthContext, HealthEvent, HealthState};
-use crate::modules::request_life::{LifeEvent, LifeState};
+use crate::modules::request_life::{LifecycleEvent, LifecycleState};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Tokens};
 
 impl Pool {
@@ -29,10 +29,10 @@
         let Some(entry) = self.running_entry(request, attempt) else {
             return;
         };
-        if entry.life.state() != LifeState::Started {
+        if entry.life.state() != LifecycleState::Started {
             return;
         }
-        entry.life.handle(LifeEvent::FirstToken);
+        entry.life.handle(LifecycleEvent::FirstToken);
         entry.delivered += 1;
         let Some(running) = entry.running.as_mut() else {
             return;
@@ -129,7 +129,7 @@
             self.count_slots();
         }
         if state == HealthState::Active {
-            self.estimates.learn_between_tokens(mean_gap_ms);
+            self.estimates.learn_token_gap(mean_gap_ms);
         }
     }
 
@@ -259,7 +259,7 @@
         request: RequestId,
     ) -> Option<Running> {
         let entry = self.requests.get_mut(&request)?;
-        let was_started = entry.life.state() == LifeState::Started;
+        let was_started = entry.life.state() == LifecycleState::Started;
         let running = entry.running.take()?;
         let class_ix = entry.offer.class;
         let tier = self.policy.classes[class_ix.at()].tier;
--- a/crates/decisions/src/pool/crashes.rs
+++ b/crates/decisions/src/pool/crashes.rs
@@ -7,7 +7,7 @@
 use crate::crash_count::{CrashFact, CrashNews, NewsOutcome};
 use crate::decision_log::DecisionLog;
 use crate::index::EndpointIx;
-use crate::modules::request_life::LifeState;
+use crate::modules::request_life::LifecycleState;
 use bridgevane_types::{RefusalCode, RequestFingerprint, RequestId, TimeMs};
 
 /// One life of an engine: it may end, and start again.
@@ -86,7 +86,8 @@
     ) {
         let is_waiting = |request: &RequestId| {
             let entry = &self.requests[request];
-            entry.offer.fingerprint == Some(fingerprint) && entry.life.state() == LifeState::Queued
+            entry.offer.fingerprint == Some(fingerprint)
+                && entry.life.state() == LifecycleState::Queued
         };
         let waiting: Vec<RequestId> = self.requests.keys().copied().filter(is_waiting).collect();
         for request in waiting {
--- a/crates/decisions/src/pool/dispatch.rs
+++ b/crates/decisions/src/pool/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::event::Offer;
 use crate::index::{ClassIx, EndpointIx};
 use crate::modules::engine_health::HealthState;
-use crate::modules::request_life::LifeEvent;
+use crate::modules::request_life::LifecycleEvent;
 use bridgevane_types::{AttemptNumber, RequestId, Tier, TimeMs, Tokens};
 use rand::RngExt;
 
@@ -115,7 +115,7 @@
         }
         let is_owed = |class: &&ClassIx| {
             let waiting = &self.classes[class.at()];
-            !waiting.queue.is_empty() && waiting.share.is_owed()
+            !waiting.queue.is_empty() && waiting.share.has_credit()
         };
         if let Some(class) = self.class_order.iter().find(is_owed) {
             return Some(Turn {
@@ -142,7 +142,7 @@
     }
 
     fn aged_class<L: DecisionLog>(&self, context: &PoolContext<'_, L>) -> Option<ClassIx> {
-        if !context.settings.admission.is_ageing {
+        if !context.settings.admission.is_ageing_enabled {
             return None;
         }
         let aged_running: u32 = self.classes.iter().map(|class| class.aged_running).sum();
@@ -167,7 +167,7 @@
 
     /// Slots that may run requests which waited for their class's longest wait.
     fn aged_slots(&self, settings: &Settings) -> u32 {
-        let per_aged = f64::from(settings.admission.slots_per_aged);
+        let per_aged = f64::from(settings.admission.slots_per_aged_request);
         (self.total_slots / per_aged).max(1.0) as u32
     }
 
@@ -348,7 +348,7 @@
         let charged_ms = self.work_ms(self.requests.get(&request)?);
         let tier = self.policy.classes[turn.class.at()].tier;
         let entry = self.requests.get_mut(&request)?;
-        entry.life.handle(LifeEvent::Dispatch);
+        entry.life.handle(LifecycleEvent::Dispatch);
         entry.waited_ms = now.since(entry.waits_since).0;
         let is_protected = turn.is_aged || turn.is_owed;
         let can_be_victim = entry.offer.is_preemptible && !is_protected;
--- a/crates/decisions/src/pool/entry.rs
+++ b/crates/decisions/src/pool/entry.rs
@@ -2,7 +2,7 @@
 
 use crate::event::Offer;
 use crate::index::EndpointIx;
-use crate::modules::request_life::{LifeEvent, RequestLife};
+use crate::modules::request_life::{LifecycleEvent, RequestLifecycle};
 use bridgevane_types::TimeMs;
 
 /// A running attempt.
@@ -26,7 +26,7 @@
 /// A request.
 pub(super) struct Entry {
     pub(super) offer: Offer,
-    pub(super) life: RequestLife,
+    pub(super) life: RequestLifecycle,
     pub(super) arrived_at: TimeMs,
     /// When it began to wait, with the time that it ran taken out.
     pub(super) waits_since: TimeMs,
@@ -47,7 +47,7 @@
     pub(super) fn new(offer: Offer, now: TimeMs, deadline: TimeMs, expected_tokens: f64) -> Self {
         Self {
             offer,
-            life: RequestLife::new(),
+            life: RequestLifecycle::new(),
             arrived_at: now,
             waits_since: now,
             waited_ms: 0,
@@ -63,7 +63,7 @@
 
     /// Puts the request back to waiting.
     pub(super) fn return_to_queue(&mut self, now: TimeMs) {
-        self.life.handle(LifeEvent::Return);
+        self.life.handle(LifecycleEvent::Return);
         // All its waiting counts, and what gave no token was waiting too: else a request that
         // is preempted again and again never ages.
         self.waits_since = match self.delivered {
@@ -76,10 +76,10 @@
     /// Tokens that a resumption would have to process: prompt and what was delivered.
     pub(super) fn resume_cost(&self) -> u64 {
         // Each preemption makes the next one dearer, so that no request is cut for ever.
-        const COST_OF_PREEMPTION: u64 = 4_096;
+        const COST_PER_PREEMPTION: u64 = 4_096;
         /// Not measured, chosen because estimates of remaining tokens are no finer.
-        const COARSE: u64 = 64;
-        let tokens = self.offer.prompt_tokens.0 + self.delivered / COARSE * COARSE;
-        tokens + u64::from(self.preemptions) * COST_OF_PREEMPTION
+        const DELIVERED_STEP: u64 = 64;
+        let tokens = self.offer.prompt_tokens.0 + self.delivered / DELIVERED_STEP * DELIVERED_STEP;
+        tokens + u64::from(self.preemptions) * COST_PER_PREEMPTION
     }
 }
--- a/crates/decisions/src/pool/maintain.rs
+++ b/crates/decisions/src/pool/maintain.rs
@@ -7,7 +7,7 @@
 use crate::effect::CancelCause;
 use crate::index::{ClassIx, EndpointIx};
 use crate::modules::engine_health::{HealthContext, HealthEvent, HealthState};
-use crate::modules::request_life::LifeState;
+use crate::modules::request_life::LifecycleState;
 use bridgevane_types::{DurationMs, RefusalCode, RequestId};
 
 impl Pool {
@@ -165,7 +165,7 @@
         while let Some((request, attempt)) = self.started.front().copied() {
             let entry = self.requests.get(&request);
             let is_current = |entry: &&Entry| {
-                entry.life.state() == LifeState::Started && entry.life.attempt() == attempt
+                entry.life.state() == LifecycleState::Started && entry.life.attempt() == attempt
             };
             let Some(entry) = entry.filter(is_current) else {
                 self.started.pop_front();
@@ -296,7 +296,7 @@
         };
         let late: Vec<RequestId> = self.classes[class.at()]
             .queue
-            .returned()
+            .requeued()
             .filter(is_late)
             .collect();
         for request in late {
@@ -317,7 +317,7 @@
             if self.classes[class.at()].queue.len() <= 1 {
                 return;
             }
-            let Some(newest) = self.classes[class.at()].queue.newest() else {
+            let Some(newest) = self.classes[class.at()].queue.shed_candidate() else {
                 return;
             };
             let Some(entry) = self.requests.get(&newest) else {
--- a/crates/decisions/src/pool/mod.rs
+++ b/crates/decisions/src/pool/mod.rs
@@ -192,7 +192,7 @@
 
     /// Notes that `engine` dropped `block` from its prefix cache.
     pub fn cache_evicted(&mut self, engine: EndpointIx, block: u64) {
-        self.cache.evicted(block, engine);
+        self.cache.record_evicted(block, engine);
     }
 
     fn class_policy(&self, class: ClassIx) -> &ClassPolicy {
@@ -309,7 +309,7 @@
         age_ms: DurationMs,
     ) {
         if let Some(reported) = self.engines.get_mut(engine.at()) {
-            reported.load.report(context.now, busy, age_ms);
+            reported.load.apply_report(context.now, busy, age_ms);
             self.refresh_cost(context.settings, engine);
         }
         self.dispatch_all(context);
--- a/crates/decisions/src/pool/recover.rs
+++ b/crates/decisions/src/pool/recover.rs
@@ -7,7 +7,7 @@
 use crate::effect::CancelCause;
 use crate::index::EndpointIx;
 use crate::modules::engine_health::{HealthContext, HealthEvent};
-use crate::modules::request_life::LifeState;
+use crate::modules::request_life::LifecycleState;
 use bridgevane_types::{AttemptNumber, RefusalCode, RequestId, Tokens};
 
 /// When to come back after retries ran out. Not measured, chosen because engines that failed a
@@ -94,7 +94,7 @@
             self.give_up(context, request, RefusalCode::EndsEngines, 0.0);
             return;
         }
-        if has_attempts && self.classes[class.at()].retries.take() {
+        if has_attempts && self.classes[class.at()].retries.withdraw() {
             self.requeue(request);
             return;
         }
@@ -118,8 +118,8 @@
         context: &mut PoolContext<'_, L>,
         at: EndpointIx,
     ) {
-        self.engines[at.at()].load.forget_others();
-        self.tell_health(context, at, HealthEvent::Lost);
+        self.engines[at.at()].load.clear_others();
+        self.tell_health(context, at, HealthEvent::Unreachable);
     }
 
     /// Tells an engine's health; moves its work away when it was ejected by that.
@@ -168,7 +168,7 @@
             }
             let class = &self.policy.classes[entry.offer.class.at()];
             let is_patient = class.between_tokens_target_ms.is_none()
-                && entry.life.state() == LifeState::Streaming;
+                && entry.life.state() == LifecycleState::Streaming;
             if is_patient && !is_silent {
                 continue;
             }
--- a/crates/decisions/src/pool/room.rs
+++ b/crates/decisions/src/pool/room.rs
@@ -16,7 +16,7 @@
         context: &mut PoolContext<'_, L>,
         class: ClassIx,
     ) -> bool {
-        if !context.settings.admission.is_preempting {
+        if !context.settings.admission.is_preemption_enabled {
             return false;
         }
         let tier = self.class_policy(class).tier;
@@ -86,7 +86,7 @@
         let work_ms = self.work_ms(entry);
         self.classes[entry.offer.class.at()]
             .queue
-            .push_returned(request, work_ms);
+            .push_requeued(request, work_ms);
         self.queued += 1;
     }
 }
--- a/crates/decisions/src/pool/view.rs
+++ b/crates/decisions/src/pool/view.rs
@@ -6,7 +6,7 @@
 use crate::event::Offer;
 use crate::index::EndpointIx;
 use crate::modules::engine_health::HealthState;
-use crate::modules::request_life::{LifeState, RequestLife};
+use crate::modules::request_life::{LifecycleState, RequestLifecycle};
 use bridgevane_types::{
     AttemptNumber, ClassName, CustomerId, DurationMs, EndpointId, RequestId, Slots, Tier, TimeMs,
     Tokens,
@@ -127,7 +127,7 @@
     /// Tokens still to expect of a request, given what has streamed.
     fn expected_rest(&self, entry: &Entry, settings: &Settings) -> f64 {
         let offer = &entry.offer;
-        self.estimates.expected_rest(
+        self.estimates.expected_remaining_tokens(
             offer.kind,
             offer.customer,
             entry.delivered,
@@ -154,7 +154,7 @@
         self.customers.adopt(offer.customer);
         let tier = self.class_policy(offer.class).tier;
         let mut entry = Entry::new(offer, now, now, 1.0);
-        entry.life = RequestLife::adopted(attempt);
+        entry.life = RequestLifecycle::adopted(attempt);
         entry.delivered = delivered.0;
         entry.may_have_run = true;
         let victim_cost = entry.offer.is_preemptible.then(|| entry.resume_cost());
@@ -175,7 +175,7 @@
         let adopted = &mut self.engines[engine.at()];
         adopted.load.add(now);
         adopted.running.push(request);
-        adopted.prefilling += u32::from(state == LifeState::Started);
+        adopted.prefilling += u32::from(state == LifecycleState::Started);
         self.requests.insert(request, entry);
         self.refresh_cost(settings, engine);
     }
--- a/crates/decisions/tests/pool_sequences.rs
+++ b/crates/decisions/tests/pool_sequences.rs
@@ -37,7 +37,7 @@
         rate_limit_tps: None,
         concurrency_limit: (at == 1).then_some(Slots(3)),
     };
-    PoolPolicy::of(
+    PoolPolicy::from_parts(
         (0..CLASSES).map(class).collect(),
         (0..2).map(customer).collect(),
         vec![("kind".into(), Tokens(20))],
--- a/crates/decisions/tests/promises.rs
+++ b/crates/decisions/tests/promises.rs
@@ -36,7 +36,7 @@
 #[test]
 fn a_higher_tier_is_never_refused_while_a_lower_one_could_make_room() {
     let without = run(with_settings(setup(3.0, 1), |settings| {
-        settings.admission.is_preempting = false;
+        settings.admission.is_preemption_enabled = false;
     }));
     assert!(
         refused_above_lower(&without) > 0,
@@ -54,7 +54,7 @@
     flood.workload.classes[1].part = 0.39;
     flood.workload.classes[2].part = 0.01;
     let without = run(with_settings(flood.clone(), |settings| {
-        settings.admission.is_ageing = false;
+        settings.admission.is_ageing_enabled = false;
     }));
     let with = run(flood.clone());
     let served = |result: &RunResult| result.classes[2].in_target + result.classes[2].late;
--- a/crates/decisions/tests/support/workload.rs
+++ b/crates/decisions/tests/support/workload.rs
@@ -144,7 +144,7 @@
             slots: Slots(slots),
             is_drained: false,
         };
-        PoolPolicy::of(
+        PoolPolicy::from_parts(
             self.classes.iter().map(class).collect(),
             (0..CUSTOMERS).map(customer).collect(),
             self.classes
