--- a/crates/decisions/src/modules/request_life.rs
+++ b/crates/decisions/src/modules/request_life.rs
@@ -105,14 +105,14 @@
 
     /// Creates the lifecycle of a request that another daemon dispatched as `attempt`.
     pub(crate) fn adopted(attempt: AttemptNumber) -> Self {
-        let mut life = Self {
+        let mut lifecycle = Self {
             machine: Lifecycle {
                 attempts: attempt.0,
             }
             .state_machine(),
         };
-        life.handle(LifecycleEvent::Dispatch);
-        life
+        lifecycle.handle(LifecycleEvent::Dispatch);
+        lifecycle
     }
 
     pub(crate) fn handle(&mut self, event: LifecycleEvent) {
--- a/crates/decisions/src/pool/admit.rs
+++ b/crates/decisions/src/pool/admit.rs
@@ -1,7 +1,7 @@
-//! Admission: run, wait or be refused at once.
+//! Admission: a new request runs, waits or is refused at once.
 
 use super::Pool;
-use super::entry::Entry;
+use super::entry::RequestEntry;
 use crate::context::PoolContext;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::Effect;
@@ -10,8 +10,8 @@
 use crate::modules::request_life::{LifecycleEvent, LifecycleState};
 use bridgevane_types::{DurationMs, Outcome, RefusalCode, RequestId};
 
-/// When to come back after no engine could serve. Not measured, chosen because a configuration
-/// changes within seconds.
+/// The `Retry-After` (ms) of a refusal because no engine is usable or the queue is full. A
+/// configuration changes within seconds.
 const NO_CAPACITY_RETRY_MS: f64 = 1_000.0;
 
 impl Pool {
@@ -40,7 +40,7 @@
             &context.settings.estimates,
         );
         if let Err(retry_after_ms) = self.admit_customer(context, &offer, expected_tokens) {
-            refuse(
+            emit_refusal(
                 context,
                 request,
                 RefusalCode::CustomerLimit,
@@ -50,14 +50,14 @@
             return;
         }
         let deadline = context.now + target_ms;
-        let entry = Entry::new(offer, context.now, deadline, expected_tokens);
+        let entry = RequestEntry::new(offer, context.now, deadline, expected_tokens);
         self.requests.insert(request, entry);
-        if self.is_stopped(context.now, self.requests[&request].offer.fingerprint) {
-            self.give_up(context, request, RefusalCode::EndsEngines, 0.0);
+        if self.is_quarantined(context.now, self.requests[&request].offer.fingerprint) {
+            self.refuse(context, request, RefusalCode::EndsEngines, 0.0);
             return;
         }
         if !self.has_usable_engine() {
-            self.give_up(
+            self.refuse(
                 context,
                 request,
                 RefusalCode::NoEngine,
@@ -65,9 +65,10 @@
             );
             return;
         }
-        if self.queued >= context.settings.admission.max_queued && !self.shed_below(context, class)
+        if self.queued >= context.settings.admission.max_queued
+            && !self.shed_lower_tier(context, class)
         {
-            self.give_up(
+            self.refuse(
                 context,
                 request,
                 RefusalCode::QueueFull,
@@ -77,7 +78,7 @@
         }
         self.enqueue(request);
         self.dispatch_all(context);
-        self.keep_or_refuse(context, request);
+        self.queue_or_refuse(context, request);
     }
 
     fn admit_customer<L: DecisionLog>(
@@ -93,7 +94,7 @@
             .admit(context.now, offer.customer, customer, expected_tokens)
     }
 
-    /// Puts a new request at the end of its class's queue.
+    /// Adds a new request to its class's queue.
     fn enqueue(&mut self, request: RequestId) {
         let Some(entry) = self.requests.get(&request) else {
             return;
@@ -104,18 +105,18 @@
         self.queued += 1;
     }
 
-    /// Slot-milliseconds that the rest of a request is expected to take.
-    pub(super) fn work_ms(&self, entry: &Entry) -> f64 {
+    /// Returns the expected remaining work of a request, in slot-milliseconds.
+    pub(super) fn work_ms(&self, entry: &RequestEntry) -> f64 {
         let prefill_ms = self
             .estimates
             .prefill_ms(entry.offer.prompt_tokens.0 + entry.delivered);
-        let rest = (entry.expected_tokens - entry.delivered as f64).max(1.0);
-        prefill_ms + rest * self.estimates.between_tokens_ms()
+        let remaining = (entry.expected_tokens - entry.delivered as f64).max(1.0);
+        prefill_ms + remaining * self.estimates.between_tokens_ms()
     }
 
-    /// A request that could not start at once waits if it can make its target, makes room
-    /// for itself if lower tiers hold any, and is refused otherwise.
-    fn keep_or_refuse<L: DecisionLog>(
+    /// Handles a request that could not start at once: it waits if it can meet its target, else it
+    /// preempts a lower tier, else it is refused.
+    fn queue_or_refuse<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
@@ -123,7 +124,7 @@
         let Some(entry) = self.requests.get(&request) else {
             return;
         };
-        if entry.life.state() != LifecycleState::Queued {
+        if entry.lifecycle.state() != LifecycleState::Queued {
             return;
         }
         let class = entry.offer.class;
@@ -136,11 +137,11 @@
             return;
         }
         let refuse_at_ms = target_ms * (1.0 + context.settings.admission.refuse_margin_share);
-        // The only one that waits in its class is kept: the longest wait bounds its own.
+        // The only waiting request of its class is kept: the class's longest wait bounds its wait.
         let is_alone = self.classes[class.at()].queue.len() <= 1;
         if expected_ms > refuse_at_ms && !is_alone {
             let retry_after_ms = expected_ms - target_ms;
-            self.give_up(
+            self.refuse(
                 context,
                 request,
                 RefusalCode::CannotMeetTarget,
@@ -154,10 +155,10 @@
         });
     }
 
-    /// The wait that a new request of `customer` is to expect.
+    /// Returns the expected wait of a new request of `customer` (ms).
     ///
-    /// Work that goes before it drains over the slots that more important classes leave. A
-    /// class whose longest wait is reached gets one protected slot, which bounds the wait.
+    /// The work ahead of it runs on the slots that more important classes leave free. A class whose
+    /// longest wait is reached gets one protected slot, which bounds the wait.
     pub(super) fn expected_wait_ms<L: DecisionLog>(
         &self,
         context: &PoolContext<'_, L>,
@@ -178,17 +179,18 @@
             }
         }
         let guaranteed = self.class_policy(class).min_share.0 * self.total_slots;
-        let left_slots = (self.total_slots - taken_slots).max(guaranteed).max(0.01);
-        let by_leftover_ms = ahead_ms / left_slots;
+        let available_slots = (self.total_slots - taken_slots).max(guaranteed).max(0.01);
+        let by_work_ahead_ms = ahead_ms / available_slots;
         let waiting = self.classes[class.at()].queue.len().saturating_sub(1) as f64;
         let own_ms = self.classes[class.at()].queue.work_ms();
-        let by_longest_wait_ms =
+        let by_max_wait_ms =
             self.max_wait_ms(class, context.settings) as f64 + own_ms * waiting / (waiting + 1.0);
-        by_leftover_ms.min(by_longest_wait_ms)
+        by_work_ahead_ms.min(by_max_wait_ms)
     }
 
-    /// Gives up the newest waiting request of the lowest tier below `class`'s; false: none.
-    fn shed_below<L: DecisionLog>(
+    /// Refuses a waiting request of the lowest tier below that of `class`; returns false if there
+    /// is none.
+    fn shed_lower_tier<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         class: ClassIx,
@@ -201,7 +203,7 @@
         let Some(newest) = newest else {
             return false;
         };
-        self.give_up(
+        self.refuse(
             context,
             newest,
             RefusalCode::QueueFull,
@@ -210,8 +212,8 @@
         true
     }
 
-    /// Gives a waiting request its final answer.
-    pub(super) fn give_up<L: DecisionLog>(
+    /// Ends a request that isn't running, and refuses it with `code`.
+    pub(super) fn refuse<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
@@ -232,22 +234,22 @@
             (false, false) => Outcome::NotRun,
         };
         let admission = &context.settings.admission;
-        let least = admission.min_retry_after_ms;
-        let most = admission.max_retry_after_ms;
-        let retry_after_ms = DurationMs((retry_after_ms.max(0.0) as u64).clamp(least, most));
-        refuse(context, request, code, outcome, retry_after_ms);
+        let min_ms = admission.min_retry_after_ms;
+        let max_ms = admission.max_retry_after_ms;
+        let retry_after_ms = DurationMs((retry_after_ms.max(0.0) as u64).clamp(min_ms, max_ms));
+        emit_refusal(context, request, code, outcome, retry_after_ms);
     }
 
-    /// Forgets a request, wherever it stands.
-    pub(super) fn end_request(&mut self, request: RequestId) -> Option<Entry> {
+    /// Removes a request from the pool and its queue.
+    pub(super) fn end_request(&mut self, request: RequestId) -> Option<RequestEntry> {
         let mut entry = self.requests.remove(&request)?;
         self.unqueue(request, &entry);
-        entry.life.handle(LifecycleEvent::End);
+        entry.lifecycle.handle(LifecycleEvent::End);
         Some(entry)
     }
 
-    /// Takes a request out of its queue, if it stands there.
-    pub(super) fn unqueue(&mut self, request: RequestId, entry: &Entry) {
+    /// Removes a request from its queue, if it is there.
+    pub(super) fn unqueue(&mut self, request: RequestId, entry: &RequestEntry) {
         let class = &mut self.classes[entry.offer.class.at()];
         if class.queue.remove(request, entry.offer.customer) {
             self.queued -= 1;
@@ -255,7 +257,7 @@
     }
 }
 
-fn refuse<L: DecisionLog>(
+fn emit_refusal<L: DecisionLog>(
     context: &mut PoolContext<'_, L>,
     request: RequestId,
     code: RefusalCode,
@@ -267,8 +269,8 @@
         code,
         outcome,
     });
-    // A call whose outcome isn't known must not be invited to run again, and one that engines
-    // reject, or that ends them, would be refused again.
+    // A request with an unknown outcome must not be encouraged to run again. A request that engines
+    // reject, or that crashes them, would be refused again.
     let is_final = matches!(code, RefusalCode::Rejected | RefusalCode::EndsEngines);
     let may_come_back = outcome != Outcome::Unknown && !is_final;
     let retry_after_ms = may_come_back.then_some(retry_after_ms);
--- a/crates/decisions/src/pool/crashes.rs
+++ b/crates/decisions/src/pool/crashes.rs
@@ -1,8 +1,7 @@
-//! Requests that end the engines that run them, as the pool sees them. The rule is
-//! [`crate::crash_count`].
+//! Detection of requests that crash the engines of a pool. The rule is [`crate::crash_count`].
 
 use super::Pool;
-use super::entry::Running;
+use super::entry::RunningAttempt;
 use crate::context::PoolContext;
 use crate::crash_count::{CrashFact, CrashNews, NewsOutcome};
 use crate::decision_log::DecisionLog;
@@ -10,31 +9,31 @@
 use crate::modules::request_life::LifecycleState;
 use bridgevane_types::{RefusalCode, RequestFingerprint, RequestId, TimeMs};
 
-/// One life of an engine: it may end, and start again.
+/// One incarnation of an engine, which may crash and start again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct EngineLife {
+pub(super) struct EngineIncarnation {
     engine: EndpointIx,
-    life: u32,
+    incarnation: u32,
 }
 
 impl Pool {
-    /// An engine ended while this request ran there. If that proves the request to be the cause, all
-    /// equal ones that wait are given up.
-    pub(super) fn note_ended<L: DecisionLog>(
+    /// Records that an engine crashed while it ran this request. If that puts the request under
+    /// quarantine, all identical waiting requests are refused.
+    pub(super) fn record_crash<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
-        running: Running,
+        running: RunningAttempt,
     ) {
-        let at = running.engine;
-        let engine = &mut self.engines[at.at()];
-        // Of those that ran there each reports the end.
-        if !std::mem::replace(&mut engine.has_ended, true) {
-            engine.life += 1;
+        let engine_ix = running.engine;
+        let engine = &mut self.engines[engine_ix.at()];
+        // Each request that ran there reports the crash; the first report counts.
+        if !std::mem::replace(&mut engine.has_crashed, true) {
+            engine.incarnation += 1;
         }
-        let life = EngineLife {
-            engine: at,
-            life: engine.life,
+        let incarnation = EngineIncarnation {
+            engine: engine_ix,
+            incarnation: engine.incarnation,
         };
         let Some(fingerprint) = self.fingerprint(request) else {
             return;
@@ -43,21 +42,21 @@
         let news = CrashNews {
             request: fingerprint,
             at: context.now,
-            began_at: Some(running.since),
-            fact: CrashFact::Crashed(life),
+            began_at: Some(running.started_at),
+            fact: CrashFact::Crashed(incarnation),
         };
         if self.crashes.take(context.now, news) == NewsOutcome::Quarantines {
-            self.give_up_equal(context, fingerprint);
+            self.refuse_identical(context, fingerprint);
         }
     }
 
-    /// An engine gave a sign of life.
-    pub(super) fn note_alive(&mut self, at: EndpointIx) {
-        self.engines[at.at()].has_ended = false;
+    /// Marks an engine as alive after a first token or a complete answer.
+    pub(super) fn mark_alive(&mut self, engine_ix: EndpointIx) {
+        self.engines[engine_ix.at()].has_crashed = false;
     }
 
-    /// A request was answered well.
-    pub(super) fn note_served(&mut self, now: TimeMs, fingerprint: Option<RequestFingerprint>) {
+    /// Records a successful answer, which clears the request of earlier crashes.
+    pub(super) fn record_served(&mut self, now: TimeMs, fingerprint: Option<RequestFingerprint>) {
         let suspect = fingerprint.filter(|request| self.crashes.is_suspect(*request));
         if let Some(request) = suspect {
             let news = CrashNews {
@@ -70,8 +69,12 @@
         }
     }
 
-    /// Whether a request ends the engines that run it.
-    pub(super) fn is_stopped(&self, now: TimeMs, fingerprint: Option<RequestFingerprint>) -> bool {
+    /// Returns whether a request is under quarantine because it crashes engines.
+    pub(super) fn is_quarantined(
+        &self,
+        now: TimeMs,
+        fingerprint: Option<RequestFingerprint>,
+    ) -> bool {
         fingerprint.is_some_and(|request| self.crashes.is_quarantined(now, request))
     }
 
@@ -79,7 +82,8 @@
         self.requests.get(&request)?.offer.fingerprint
     }
 
-    fn give_up_equal<L: DecisionLog>(
+    /// Refuses all waiting requests with the same fingerprint.
+    fn refuse_identical<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         fingerprint: RequestFingerprint,
@@ -87,11 +91,11 @@
         let is_waiting = |request: &RequestId| {
             let entry = &self.requests[request];
             entry.offer.fingerprint == Some(fingerprint)
-                && entry.life.state() == LifecycleState::Queued
+                && entry.lifecycle.state() == LifecycleState::Queued
         };
         let waiting: Vec<RequestId> = self.requests.keys().copied().filter(is_waiting).collect();
         for request in waiting {
-            self.give_up(context, request, RefusalCode::EndsEngines, 0.0);
+            self.refuse(context, request, RefusalCode::EndsEngines, 0.0);
         }
     }
 }
--- a/crates/decisions/src/pool/dispatch.rs
+++ b/crates/decisions/src/pool/dispatch.rs
@@ -1,6 +1,6 @@
-//! Which waiting request goes next, and to which engine.
+//! Dispatch: which waiting request goes next, and to which engine.
 
-use super::entry::Running;
+use super::entry::RunningAttempt;
 use super::{Pool, PoolEngine};
 use crate::configs::Settings;
 use crate::context::PoolContext;
@@ -13,81 +13,83 @@
 use bridgevane_types::{AttemptNumber, RequestId, Tier, TimeMs, Tokens};
 use rand::RngExt;
 
-/// The class that goes next, and on what ground.
+/// The class that goes next, and the reason for its choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Turn {
+struct ClassSelection {
     class: ClassIx,
+    /// Whether the class's longest wait was reached.
     is_aged: bool,
-    is_owed: bool,
+    /// Whether the class has credit of its guaranteed share.
+    is_guaranteed: bool,
 }
 
-impl Turn {
-    /// A turn by the tiers' order alone: neither by age nor by an owed share.
+impl ClassSelection {
+    /// Selects a class by the order of the tiers alone.
     fn by_tier(class: ClassIx) -> Self {
         Self {
             class,
             is_aged: false,
-            is_owed: false,
+            is_guaranteed: false,
         }
     }
 }
 
-/// An engine with what it would have to process.
+/// An engine with the cost of running a request there.
 #[derive(Clone, Copy, Debug)]
-struct Choice {
+struct EngineChoice {
     engine: EndpointIx,
     cached_tokens: u64,
     cost_ms: f64,
 }
 
 impl Pool {
-    /// Sends waiting requests while there is room.
+    /// Dispatches waiting requests while there are free slots.
     pub(super) fn dispatch_all<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         while self.queued > 0 {
-            let Some(turn) = self.next_turn(context) else {
+            let Some(selection) = self.select_class(context) else {
                 return;
             };
-            let Some(request) = self.classes[turn.class.at()].queue.peek() else {
+            let Some(request) = self.classes[selection.class.at()].queue.peek() else {
                 return;
             };
             let Some(choice) = self.choose_engine(context, request) else {
                 break;
             };
-            self.send(context, turn, request, choice);
+            self.dispatch_head(context, selection, request, choice);
         }
-        if self.is_probing {
+        if self.has_engine_on_probation {
             self.probe(context);
         }
     }
 
-    /// Gives engines on probation the least important waiting work: a slow engine must not
-    /// cost an important request its target.
+    /// Dispatches the least important waiting requests to engines on probation: a slow engine must
+    /// not make an important request miss its target.
     fn probe<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
-        for at in 0..self.engines.len() as u32 {
-            let engine = &self.engines[at as usize];
-            let is_probed = engine.health.state() == HealthState::Probation;
-            if !is_probed || self.free_slots(context.settings, engine) == 0 {
+        for index in 0..self.engines.len() as u32 {
+            let engine = &self.engines[index as usize];
+            let is_on_probation = engine.health.state() == HealthState::Probation;
+            if !is_on_probation || self.free_slots(context.settings, engine) == 0 {
                 continue;
             }
-            let Some(class) = self.class_to_probe_with() else {
+            let Some(class) = self.class_to_probe() else {
                 return;
             };
             let Some(request) = self.classes[class.at()].queue.peek() else {
                 return;
             };
-            let turn = Turn::by_tier(class);
-            let choice = Choice {
-                engine: EndpointIx(at),
+            let selection = ClassSelection::by_tier(class);
+            let choice = EngineChoice {
+                engine: EndpointIx(index),
                 cached_tokens: 0,
                 cost_ms: 0.0,
             };
-            self.send(context, turn, request, choice);
+            self.dispatch_head(context, selection, request, choice);
         }
     }
 
-    /// The least important class that waits; the most important one only when nothing else
-    /// runs, or there is no engine but those on probation.
-    fn class_to_probe_with(&self) -> Option<ClassIx> {
+    /// Returns the least important class with waiting requests. A class of the top tier qualifies
+    /// only if no lower tier runs preemptible requests or no engine is active.
+    fn class_to_probe(&self) -> Option<ClassIx> {
         let is_waiting = |class: &&ClassIx| !self.classes[class.at()].queue.is_empty();
         let class = self.class_order.iter().rev().find(is_waiting).copied()?;
         let tier = self.class_policy(class).tier;
@@ -103,25 +105,25 @@
         (!is_top || !has_lower || !has_others).then_some(class)
     }
 
-    /// The class that goes next: one whose longest wait is reached, else one that is owed
-    /// its guaranteed part, else the most important; within a tier the earliest deadline.
-    fn next_turn<L: DecisionLog>(&self, context: &PoolContext<'_, L>) -> Option<Turn> {
+    /// Returns the class that goes next: one whose longest wait is reached, else one with credit of
+    /// its guaranteed share, else the most important one; within a tier, the earliest deadline.
+    fn select_class<L: DecisionLog>(&self, context: &PoolContext<'_, L>) -> Option<ClassSelection> {
         if let Some(class) = self.aged_class(context) {
-            return Some(Turn {
+            return Some(ClassSelection {
                 class,
                 is_aged: true,
-                is_owed: false,
+                is_guaranteed: false,
             });
         }
-        let is_owed = |class: &&ClassIx| {
+        let is_guaranteed = |class: &&ClassIx| {
             let waiting = &self.classes[class.at()];
             !waiting.queue.is_empty() && waiting.share.has_credit()
         };
-        if let Some(class) = self.class_order.iter().find(is_owed) {
-            return Some(Turn {
+        if let Some(class) = self.class_order.iter().find(is_guaranteed) {
+            return Some(ClassSelection {
                 class: *class,
                 is_aged: false,
-                is_owed: true,
+                is_guaranteed: true,
             });
         }
         let mut best: Option<(ClassIx, u64)> = None;
@@ -138,9 +140,11 @@
                 best = Some((*class, deadline));
             }
         }
-        best.map(|(class, _)| Turn::by_tier(class))
+        best.map(|(class, _)| ClassSelection::by_tier(class))
     }
 
+    /// Returns the most important class whose longest wait is reached and that has a free aged
+    /// slot.
     fn aged_class<L: DecisionLog>(&self, context: &PoolContext<'_, L>) -> Option<ClassIx> {
         if !context.settings.admission.is_ageing_enabled {
             return None;
@@ -149,7 +153,7 @@
         if aged_running >= self.aged_slots(context.settings) {
             return None;
         }
-        let of_class = self.aged_slots_of_class(context.settings);
+        let per_class = self.aged_slots_per_class(context.settings);
         let is_aged = |class: &&ClassIx| {
             let Some(head) = self.classes[class.at()].queue.peek() else {
                 return false;
@@ -157,35 +161,36 @@
             let Some(entry) = self.requests.get(&head) else {
                 return false;
             };
-            let waited_ms = context.now.since(entry.waits_since).0;
-            let has_slot = self.classes[class.at()].aged_running < of_class;
+            let waited_ms = context.now.since(entry.waiting_since).0;
+            let has_slot = self.classes[class.at()].aged_running < per_class;
             has_slot && waited_ms >= self.max_wait_ms(**class, context.settings)
         };
-        // The most important class never needs it: it goes first by its tier.
+        // The most important class is skipped: it goes first by its tier.
         self.class_order.iter().skip(1).find(is_aged).copied()
     }
 
-    /// Slots that may run requests which waited for their class's longest wait.
+    /// Returns the number of aged slots: those for requests that have reached their class's longest
+    /// wait.
     fn aged_slots(&self, settings: &Settings) -> u32 {
         let per_aged = f64::from(settings.admission.slots_per_aged_request);
         (self.total_slots / per_aged).max(1.0) as u32
     }
 
-    /// What one class may have of them.
-    pub(super) fn aged_slots_of_class(&self, settings: &Settings) -> u32 {
+    /// Returns the number of aged slots that one class may use.
+    pub(super) fn aged_slots_per_class(&self, settings: &Settings) -> u32 {
         (self.aged_slots(settings) / self.classes.len().max(1) as u32).max(1)
     }
 
-    /// The cheapest engine with room: prompt tokens to process, then load.
+    /// Returns the cheapest engine with a free slot, by prompt tokens to process and load.
     fn choose_engine<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
-    ) -> Option<Choice> {
+    ) -> Option<EngineChoice> {
         let entry = self.requests.get(&request)?;
-        let avoid = entry.avoid;
+        let avoided_engine = entry.avoided_engine;
         let tokens = entry.offer.prompt_tokens.0 + entry.delivered;
-        let mut best: Option<Choice> = None;
+        let mut best: Option<EngineChoice> = None;
         if context.settings.routing.is_cache_aware {
             let memory_ms = context.settings.routing.block_memory_ms;
             let holders = self
@@ -193,98 +198,104 @@
                 .holders_of(context.now, &entry.offer.blocks, memory_ms);
             for (engine, blocks) in holders.into_iter().flatten() {
                 let cached_tokens = cached_tokens(&entry.offer, blocks);
-                let choice = self.price(engine, tokens, cached_tokens, avoid);
+                let choice = self.cost_at(engine, tokens, cached_tokens, avoided_engine);
                 best = cheaper(best, choice);
             }
         }
         let uncached = match context.settings.routing.choices {
-            None => self.least_loaded(avoid),
-            Some(choices) => self.least_loaded_of(choices, avoid),
+            None => self.least_loaded(avoided_engine),
+            Some(choices) => self.least_loaded_of_sample(choices, avoided_engine),
         };
-        let choice = uncached.and_then(|at| self.price(at, tokens, 0, avoid));
+        let choice =
+            uncached.and_then(|engine_ix| self.cost_at(engine_ix, tokens, 0, avoided_engine));
         cheaper(best, choice)
     }
 
-    /// The engine whose load costs least; ties go to the first one seen, so each look starts
-    /// elsewhere.
-    fn least_loaded(&mut self, avoid: Option<EndpointIx>) -> Option<EndpointIx> {
+    /// Returns the engine with the lowest load cost. The first of several equal ones wins;
+    /// to avoid a bias, each search starts at a random engine.
+    fn least_loaded(&mut self, avoided_engine: Option<EndpointIx>) -> Option<EndpointIx> {
         let count = self.load_costs_ms.len();
         if count == 0 {
             return None;
         }
         let start = self.rng.random_range(0..count);
         let mut least = (f64::INFINITY, None);
-        for at in (start..count).chain(0..start) {
-            let cost_ms = self.load_costs_ms[at];
-            if cost_ms < least.0 && avoid != Some(EndpointIx(at as u32)) {
-                least = (cost_ms, Some(EndpointIx(at as u32)));
+        for index in (start..count).chain(0..start) {
+            let cost_ms = self.load_costs_ms[index];
+            if cost_ms < least.0 && avoided_engine != Some(EndpointIx(index as u32)) {
+                least = (cost_ms, Some(EndpointIx(index as u32)));
             }
         }
-        // The engine to avoid is better than none.
-        least.1.or(avoid)
+        // The engine to avoid is better than no engine.
+        least.1.or(avoided_engine)
     }
 
-    /// The least loaded of a few engines drawn at random, or of all when those are full.
-    fn least_loaded_of(&mut self, choices: u32, avoid: Option<EndpointIx>) -> Option<EndpointIx> {
+    /// Returns the least loaded of `choices` random engines, or of all engines if those are full.
+    fn least_loaded_of_sample(
+        &mut self,
+        choices: u32,
+        avoided_engine: Option<EndpointIx>,
+    ) -> Option<EndpointIx> {
         let count = self.load_costs_ms.len();
         let mut least = (f64::INFINITY, None);
         for _ in 0..choices.min(count as u32) {
-            let at = self.rng.random_range(0..count);
-            let cost_ms = self.load_costs_ms[at];
-            if cost_ms < least.0 && avoid != Some(EndpointIx(at as u32)) {
-                least = (cost_ms, Some(EndpointIx(at as u32)));
+            let index = self.rng.random_range(0..count);
+            let cost_ms = self.load_costs_ms[index];
+            if cost_ms < least.0 && avoided_engine != Some(EndpointIx(index as u32)) {
+                least = (cost_ms, Some(EndpointIx(index as u32)));
             }
         }
         match least.1 {
-            Some(at) => Some(at),
-            None => self.least_loaded(avoid),
+            Some(engine_ix) => Some(engine_ix),
+            None => self.least_loaded(avoided_engine),
         }
     }
 
-    /// What serving `tokens` costs at an engine, of which `cached_tokens` are there already.
-    fn price(
+    /// Returns the cost of serving `tokens` at an engine that has cached `cached_tokens` of them;
+    /// `None` if it has no free slot.
+    fn cost_at(
         &self,
-        at: EndpointIx,
+        engine_ix: EndpointIx,
         tokens: u64,
         cached_tokens: u64,
-        avoid: Option<EndpointIx>,
-    ) -> Option<Choice> {
-        /// Not measured, chosen because it must exceed any queue: such an engine gets work only
-        /// when all are avoided.
+        avoided_engine: Option<EndpointIx>,
+    ) -> Option<EngineChoice> {
+        /// Exceeds the cost of any queue, so that an avoided engine is chosen only if there is no
+        /// other.
         const COST_OF_AVOIDED_MS: f64 = 100_000.0;
-        let load_cost_ms = *self.load_costs_ms.get(at.at())?;
+        let load_cost_ms = *self.load_costs_ms.get(engine_ix.at())?;
         if !load_cost_ms.is_finite() {
             return None;
         }
         let uncached = tokens.saturating_sub(cached_tokens);
-        let avoided_ms = if avoid == Some(at) {
+        let avoided_ms = if avoided_engine == Some(engine_ix) {
             COST_OF_AVOIDED_MS
         } else {
             0.0
         };
-        Some(Choice {
-            engine: at,
+        Some(EngineChoice {
+            engine: engine_ix,
             cached_tokens,
             cost_ms: self.estimates.prefill_ms(uncached) + load_cost_ms + avoided_ms,
         })
     }
 
-    /// Sends `request`, the head of its class's queue, to the chosen engine.
-    fn send<L: DecisionLog>(
+    /// Dispatches `request`, the head of its class's queue, to the chosen engine.
+    fn dispatch_head<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
-        turn: Turn,
+        selection: ClassSelection,
         request: RequestId,
-        choice: Choice,
+        choice: EngineChoice,
     ) {
-        let class = &mut self.classes[turn.class.at()];
+        let class = &mut self.classes[selection.class.at()];
         class.queue.pop();
         self.queued -= 1;
-        self.start(context, turn, request, choice);
+        self.dispatch(context, selection, request, choice);
     }
 
-    /// Sends `request`, which stands in no queue, to an engine whose slot was just cleared.
-    pub(super) fn send_to<L: DecisionLog>(
+    /// Dispatches `request`, which is in no queue, to an engine with a slot that was just freed.
+    pub(super) fn dispatch_to<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
@@ -293,32 +304,33 @@
         let Some(class) = self.requests.get(&request).map(|entry| entry.offer.class) else {
             return;
         };
-        let turn = Turn::by_tier(class);
-        let choice = Choice {
+        let selection = ClassSelection::by_tier(class);
+        let choice = EngineChoice {
             engine,
             cached_tokens: 0,
             cost_ms: 0.0,
         };
-        self.start(context, turn, request, choice);
+        self.dispatch(context, selection, request, choice);
     }
 
-    /// Starts a request on an engine: books it there and with its class, logs it, and gives the
-    /// order.
-    fn start<L: DecisionLog>(
+    /// Dispatches a request to an engine: records it with the engine and the class, logs it, and
+    /// emits the effect.
+    fn dispatch<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
-        turn: Turn,
+        selection: ClassSelection,
         request: RequestId,
-        choice: Choice,
+        choice: EngineChoice,
     ) {
-        let Some(started) = self.mark_running(context.now, &turn, request, &choice) else {
+        let Some(started) = self.mark_running(context.now, &selection, request, &choice) else {
             return;
         };
-        self.charge_class(&turn, started.charged_ms);
+        self.charge_class(&selection, started.charged_ms);
         let engine = choice.engine;
-        occupy(&mut self.engines[engine.at()], context.now, request);
+        occupy_slot(&mut self.engines[engine.at()], context.now, request);
         self.refresh_cost(context.settings, engine);
-        self.started.push_back((request, started.attempt));
+        self.awaiting_first_token
+            .push_back((request, started.attempt));
         let cached_tokens = Tokens(choice.cached_tokens);
         context.record(Decision::Dispatched {
             request,
@@ -337,55 +349,55 @@
         });
     }
 
-    /// Books a request on its engine, and as a possible victim of higher tiers.
+    /// Marks a request as running on its engine, and lists it for preemption if it isn't protected.
     fn mark_running(
         &mut self,
         now: TimeMs,
-        turn: &Turn,
+        selection: &ClassSelection,
         request: RequestId,
-        choice: &Choice,
-    ) -> Option<Started> {
+        choice: &EngineChoice,
+    ) -> Option<StartedAttempt> {
         let charged_ms = self.work_ms(self.requests.get(&request)?);
-        let tier = self.policy.classes[turn.class.at()].tier;
+        let tier = self.policy.classes[selection.class.at()].tier;
         let entry = self.requests.get_mut(&request)?;
-        entry.life.handle(LifecycleEvent::Dispatch);
-        entry.waited_ms = now.since(entry.waits_since).0;
-        let is_protected = turn.is_aged || turn.is_owed;
+        entry.lifecycle.handle(LifecycleEvent::Dispatch);
+        entry.waited_ms = now.since(entry.waiting_since).0;
+        let is_protected = selection.is_aged || selection.is_guaranteed;
         let can_be_victim = entry.offer.is_preemptible && !is_protected;
         let victim_cost = can_be_victim.then(|| entry.resume_cost());
         let tokens = entry.offer.prompt_tokens.0 + entry.delivered;
         let uncached_tokens = tokens.saturating_sub(choice.cached_tokens);
         let engine = &mut self.engines[choice.engine.at()];
         engine.prefill_tokens += uncached_tokens;
-        entry.running = Some(Running {
+        entry.running = Some(RunningAttempt {
             engine: choice.engine,
-            since: now,
+            started_at: now,
             uncached_tokens,
             engine_tokens: engine.prefill_tokens,
-            is_aged: turn.is_aged,
+            is_aged: selection.is_aged,
             victim_cost,
-            heard_at: now,
+            last_progress_at: now,
             charged_ms,
         });
         if let Some(cost) = victim_cost {
             self.victims.insert(tier, cost, request);
         }
-        Some(Started {
-            attempt: entry.life.attempt(),
+        Some(StartedAttempt {
+            attempt: entry.lifecycle.attempt(),
             is_protected,
-            // Inside the engine, too, nothing may keep it waiting: a low priority would starve
-            // its prompt behind those of higher tiers.
+            // A protected request gets the top priority inside the engine, too: with a low one its
+            // prompt would starve behind those of higher tiers.
             engine_priority: if is_protected { Tier(0) } else { tier },
             delivered: Tokens(entry.delivered),
             charged_ms,
         })
     }
 
-    /// Charges the work of a request to its class.
-    fn charge_class(&mut self, turn: &Turn, charged_ms: f64) {
-        let min_share = self.policy.classes[turn.class.at()].min_share;
-        let class = &mut self.classes[turn.class.at()];
-        class.aged_running += u32::from(turn.is_aged);
+    /// Charges the expected work of a request to its class.
+    fn charge_class(&mut self, selection: &ClassSelection, charged_ms: f64) {
+        let min_share = self.policy.classes[selection.class.at()].min_share;
+        let class = &mut self.classes[selection.class.at()];
+        class.aged_running += u32::from(selection.is_aged);
         class.used_since_tick_ms += charged_ms;
         if min_share.0 > 0.0 {
             class.share.charge(charged_ms);
@@ -393,20 +405,22 @@
     }
 }
 
-/// A request that was booked on an engine.
-struct Started {
+/// A request that was marked as running.
+struct StartedAttempt {
     attempt: AttemptNumber,
-    /// It waited for its class's longest wait, or its class is owed its part: it isn't preempted.
+    /// Whether it can't be preempted: its class's longest wait was reached, or it runs on the
+    /// class's guaranteed share.
     is_protected: bool,
     engine_priority: Tier,
-    /// Tokens that the caller has already.
+    /// The number of tokens that the caller already has.
     delivered: Tokens,
     charged_ms: f64,
 }
 
-fn occupy(engine: &mut PoolEngine, now: bridgevane_types::TimeMs, request: RequestId) {
+/// Adds an attempt to the state of its engine.
+fn occupy_slot(engine: &mut PoolEngine, now: bridgevane_types::TimeMs, request: RequestId) {
     if engine.load.in_flight() == 0 {
-        engine.heard_at = now;
+        engine.last_activity_at = now;
     }
     engine.load.add(now);
     engine.limit.note_use(engine.load.total());
@@ -414,11 +428,13 @@
     engine.running.push(request);
 }
 
+/// Returns the number of prompt tokens in `blocks` blocks.
 fn cached_tokens(offer: &Offer, blocks: u32) -> u64 {
     (u64::from(blocks) * u64::from(offer.block_tokens)).min(offer.prompt_tokens.0)
 }
 
-fn cheaper(best: Option<Choice>, choice: Option<Choice>) -> Option<Choice> {
+/// Returns the cheaper choice; `best` wins a tie.
+fn cheaper(best: Option<EngineChoice>, choice: Option<EngineChoice>) -> Option<EngineChoice> {
     match (best, choice) {
         (Some(best), Some(choice)) if best.cost_ms <= choice.cost_ms => Some(best),
         (best, None) => best,
--- a/crates/decisions/src/pool/entry.rs
+++ b/crates/decisions/src/pool/entry.rs
@@ -1,4 +1,4 @@
-//! A request inside a pool.
+//! The state of a request in a pool.
 
 use crate::event::Offer;
 use crate::index::EndpointIx;
@@ -7,77 +7,80 @@
 
 /// A running attempt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Running {
+pub(super) struct RunningAttempt {
     pub(super) engine: EndpointIx,
-    pub(super) since: TimeMs,
-    /// Prompt and delivered tokens that the engine had to process first.
+    /// The time of the dispatch.
+    pub(super) started_at: TimeMs,
+    /// The number of prompt and delivered tokens that the engine had to process first.
     pub(super) uncached_tokens: u64,
-    /// What its engine had to process when it came, this attempt included.
+    /// The number of tokens that the engine had to process at the dispatch, this attempt included.
     pub(super) engine_tokens: u64,
-    /// Runs because its class's longest wait was reached.
+    /// Whether it runs because its class's longest wait was reached.
     pub(super) is_aged: bool,
-    /// The cost under which it stands among the preemptible; none: it isn't there.
+    /// The cost under which it is listed for preemption; `None` if it isn't listed.
     pub(super) victim_cost: Option<u64>,
-    pub(super) heard_at: TimeMs,
-    /// Slot-milliseconds that were charged for it.
+    /// The time of the last reported token, or of the dispatch.
+    pub(super) last_progress_at: TimeMs,
+    /// The slot-milliseconds charged for it at the dispatch.
     pub(super) charged_ms: f64,
 }
 
-/// A request.
-pub(super) struct Entry {
+/// A request in a pool.
+pub(super) struct RequestEntry {
     pub(super) offer: Offer,
-    pub(super) life: RequestLifecycle,
+    pub(super) lifecycle: RequestLifecycle,
     pub(super) arrived_at: TimeMs,
-    /// When it began to wait, with the time that it ran taken out.
-    pub(super) waits_since: TimeMs,
-    /// Time that it had waited when it was last sent.
+    /// The start of its wait, moved forward by the time for which it ran.
+    pub(super) waiting_since: TimeMs,
+    /// The time for which it had waited at its last dispatch (ms).
     pub(super) waited_ms: u64,
     pub(super) deadline: TimeMs,
     pub(super) delivered: u64,
     pub(super) expected_tokens: f64,
-    pub(super) running: Option<Running>,
-    /// The engine that failed it last: another one is preferred.
-    pub(super) avoid: Option<EndpointIx>,
-    /// Some attempt may have run.
+    pub(super) running: Option<RunningAttempt>,
+    /// The engine on which it failed last: another one is preferred.
+    pub(super) avoided_engine: Option<EndpointIx>,
+    /// Whether any attempt may have run.
     pub(super) may_have_run: bool,
     pub(super) preemptions: u32,
 }
 
-impl Entry {
+impl RequestEntry {
     pub(super) fn new(offer: Offer, now: TimeMs, deadline: TimeMs, expected_tokens: f64) -> Self {
         Self {
             offer,
-            life: RequestLifecycle::new(),
+            lifecycle: RequestLifecycle::new(),
             arrived_at: now,
-            waits_since: now,
+            waiting_since: now,
             waited_ms: 0,
             deadline,
             delivered: 0,
             expected_tokens,
             running: None,
-            avoid: None,
+            avoided_engine: None,
             may_have_run: false,
             preemptions: 0,
         }
     }
 
-    /// Puts the request back to waiting.
+    /// Marks the request as waiting again.
     pub(super) fn return_to_queue(&mut self, now: TimeMs) {
-        self.life.handle(LifecycleEvent::Return);
-        // All its waiting counts, and what gave no token was waiting too: else a request that
-        // is preempted again and again never ages.
-        self.waits_since = match self.delivered {
+        self.lifecycle.handle(LifecycleEvent::Return);
+        // All its waiting time counts, and so does the time of attempts without a token.
+        // Otherwise a request that is preempted again and again never reaches the longest wait.
+        self.waiting_since = match self.delivered {
             0 => self.arrived_at,
             _ => TimeMs(now.0.saturating_sub(self.waited_ms)),
         };
         self.running = None;
     }
 
-    /// Tokens that a resumption would have to process: prompt and what was delivered.
+    /// Returns the cost of resuming the request, in tokens: its prompt, the delivered tokens, and a
+    /// surcharge per preemption.
     pub(super) fn resume_cost(&self) -> u64 {
-        // Each preemption makes the next one dearer, so that no request is cut for ever.
+        // Each preemption raises the cost of the next one, so that no request is preempted forever.
         const COST_PER_PREEMPTION: u64 = 4_096;
-        /// Not measured, chosen because estimates of remaining tokens are no finer.
+        /// Estimates of the remaining tokens are no finer.
         const DELIVERED_STEP: u64 = 64;
         let tokens = self.offer.prompt_tokens.0 + self.delivered / DELIVERED_STEP * DELIVERED_STEP;
         tokens + u64::from(self.preemptions) * COST_PER_PREEMPTION
--- a/crates/decisions/src/pool/maintain.rs
+++ b/crates/decisions/src/pool/maintain.rs
@@ -1,7 +1,7 @@
-//! What happens as time passes: credits, health checks, limits, late requests.
+//! Periodic maintenance: credits, health checks, limits, late requests.
 
 use super::Pool;
-use super::entry::Entry;
+use super::entry::RequestEntry;
 use crate::context::PoolContext;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::CancelCause;
@@ -12,14 +12,14 @@
 
 impl Pool {
     pub(super) fn maintain<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
-        let elapsed_ms = context.now.since(self.ticked_at).0;
-        self.ticked_at = context.now;
+        let elapsed_ms = context.now.since(self.last_tick_at).0;
+        self.last_tick_at = context.now;
         self.accrue_shares(context);
         self.measure_use(elapsed_ms);
         self.check_engines(context);
-        self.check_started(context);
+        self.check_awaiting_first_token(context);
         self.dispatch_all(context);
-        self.rescue_waiting(context);
+        self.check_queued(context);
     }
 
     fn accrue_shares<L: DecisionLog>(&mut self, context: &PoolContext<'_, L>) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Follows how many slots each class uses, for the estimate of what it leaves.
+    /// Updates the number of slots that each class uses, from which expected waits are estimated.
     fn measure_use(&mut self, elapsed_ms: u64) {
         if elapsed_ms == 0 {
             return;
@@ -47,17 +47,17 @@
 
     fn check_engines<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         let check_every_ms = context.settings.engine_health.check_every_ms;
-        if context.now.since(self.checked_at).0 < check_every_ms {
+        if context.now.since(self.last_check_at).0 < check_every_ms {
             return;
         }
-        self.checked_at = context.now;
+        self.last_check_at = context.now;
         let median_ms = self.median_between_tokens_ms();
-        for at in 0..self.engines.len() as u32 {
-            self.check_engine(context, EndpointIx(at), median_ms);
+        for index in 0..self.engines.len() as u32 {
+            self.check_engine(context, EndpointIx(index), median_ms);
         }
         self.adjust_limits(context);
         self.record_use(context);
-        self.count_slots();
+        self.update_slot_totals();
         self.refresh_all_costs(context.settings);
     }
 
@@ -78,11 +78,11 @@
     fn check_engine<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
-        at: EndpointIx,
+        engine_ix: EndpointIx,
         median_ms: f64,
     ) {
         let config = &context.settings.engine_health;
-        let engine = &mut self.engines[at.at()];
+        let engine = &mut self.engines[engine_ix.at()];
         engine.load.sample(context.now);
         engine.load.expire(context.now);
         let mut health_context = HealthContext {
@@ -93,7 +93,7 @@
         if engine.running.is_empty() {
             return;
         }
-        let silent_ms = context.now.since(engine.heard_at).0 as f64;
+        let silent_ms = context.now.since(engine.last_activity_at).0 as f64;
         let streaming = engine
             .running
             .len()
@@ -103,7 +103,7 @@
         let silence_ms = (usual_ms * config.silence_factor).max(config.min_silence_ms as f64);
         let is_silent = silent_ms > silence_ms && streaming > 0;
         if is_silent && engine.health.state() == HealthState::Ejected {
-            self.move_work_from(context, at, true);
+            self.move_requests_off(context, engine_ix, true);
             return;
         }
         let is_slow = engine.between_tokens_ms.value() > median_ms * config.slow_factor;
@@ -114,10 +114,10 @@
         } else {
             HealthEvent::Normal
         };
-        self.tell_health(context, at, event);
+        self.report_health_event(context, engine_ix, event);
     }
 
-    /// Whether one more engine may be out.
+    /// Returns whether one more engine may be ejected for slowness.
     fn may_eject(&self, max_ejected_share: f64) -> bool {
         let is_out = |health: HealthState| health != HealthState::Active;
         let out = self
@@ -130,14 +130,14 @@
             && self.engines.len() > 1
     }
 
-    /// Notes in the log which engines came into use or fell out of it.
+    /// Logs the engines that came into use or went out of use.
     pub(super) fn record_use<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
-        for (at, engine) in self.engines.iter_mut().enumerate() {
+        for (index, engine) in self.engines.iter_mut().enumerate() {
             let is_in_use = engine.health.state() == HealthState::Active && !engine.is_drained;
             if is_in_use != engine.was_in_use {
                 engine.was_in_use = is_in_use;
                 context.record(Decision::EngineUse {
-                    engine: EndpointIx(at as u32),
+                    engine: EndpointIx(index as u32),
                     is_in_use,
                 });
             }
@@ -158,40 +158,41 @@
         }
     }
 
-    /// Attempts whose first token is overdue count against their engine, when it has given
-    /// nothing else either: an engine that works on prompts of higher tiers isn't slow.
-    fn check_started<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
-        let mut later = Vec::new();
-        while let Some((request, attempt)) = self.started.front().copied() {
+    /// Reports an engine as slow if a first token is overdue and it produces no other tokens
+    /// either. An engine that processes the prompts of higher tiers isn't slow.
+    fn check_awaiting_first_token<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
+        let mut still_waiting = Vec::new();
+        while let Some((request, attempt)) = self.awaiting_first_token.front().copied() {
             let entry = self.requests.get(&request);
-            let is_current = |entry: &&Entry| {
-                entry.life.state() == LifecycleState::Started && entry.life.attempt() == attempt
+            let is_current = |entry: &&RequestEntry| {
+                entry.lifecycle.state() == LifecycleState::Started
+                    && entry.lifecycle.attempt() == attempt
             };
             let Some(entry) = entry.filter(is_current) else {
-                self.started.pop_front();
+                self.awaiting_first_token.pop_front();
                 continue;
             };
             let Some(running) = entry.running else {
-                self.started.pop_front();
+                self.awaiting_first_token.pop_front();
                 continue;
             };
             let config = &context.settings.engine_health;
             let usual_ms = self.estimates.prefill_ms(running.engine_tokens)
                 + self.estimates.between_tokens_ms();
             let overdue_ms = (usual_ms * config.silence_factor).max(config.min_silence_ms as f64);
-            if (context.now.since(running.since).0 as f64) < overdue_ms {
+            if (context.now.since(running.started_at).0 as f64) < overdue_ms {
                 break;
             }
-            self.started.pop_front();
+            self.awaiting_first_token.pop_front();
             let silent_ms = context
                 .now
-                .since(self.engines[running.engine.at()].heard_at)
+                .since(self.engines[running.engine.at()].last_activity_at)
                 .0;
             if (silent_ms as f64) < overdue_ms {
-                if self.is_starved_inside(context, entry) {
-                    self.take_back(context, request, CancelCause::Moved, None);
+                if self.is_starved_in_engine(context, entry) {
+                    self.cancel_and_requeue(context, request, CancelCause::Moved, None);
                 } else {
-                    later.push((request, attempt));
+                    still_waiting.push((request, attempt));
                 }
                 continue;
             }
@@ -199,39 +200,39 @@
             if !entry.offer.is_preemptible {
                 continue;
             }
-            self.tell_health(context, running.engine, HealthEvent::Slow { may_eject });
+            self.report_health_event(context, running.engine, HealthEvent::Slow { may_eject });
         }
-        self.started.extend(later);
+        self.awaiting_first_token.extend(still_waiting);
     }
 
-    /// Whether a request has a slot but its engine works on others' prompts for so long that
-    /// its class's longest wait is reached: sent again, it goes before them.
-    fn is_starved_inside<L: DecisionLog>(
+    /// Returns whether a request has a slot but waits inside its engine for the prompts of others,
+    /// and its class's longest wait is reached. Dispatched again, it goes before them.
+    fn is_starved_in_engine<L: DecisionLog>(
         &self,
         context: &PoolContext<'_, L>,
-        entry: &Entry,
+        entry: &RequestEntry,
     ) -> bool {
         let class = entry.offer.class;
         let is_aged = entry.running.is_some_and(|running| running.is_aged);
         let waited_ms = context.now.since(entry.arrived_at).0;
-        let is_next = self.is_next_aged(context, class) && !is_aged && entry.delivered == 0;
+        let is_next = self.can_use_aged_slot(context, class) && !is_aged && entry.delivered == 0;
         is_next
             && entry.offer.is_preemptible
             && waited_ms >= self.max_wait_ms(class, context.settings)
     }
 
-    /// Waiting requests that run out of time make room or are given up, at once.
-    fn rescue_waiting<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
-        for at in 0..self.class_order.len() {
-            let class = self.class_order[at];
-            while self.rescue_head(context, class) {}
-            self.give_up_returned(context, class);
-            self.give_up_hopeless(context, class);
+    /// Checks waiting requests: those that run out of time preempt a lower tier or are refused.
+    fn check_queued<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
+        for index in 0..self.class_order.len() {
+            let class = self.class_order[index];
+            while self.check_queue_head(context, class) {}
+            self.refuse_late_requeued(context, class);
+            self.refuse_unmeetable(context, class);
         }
     }
 
-    /// Acts on the head of a class's queue; true when it left the queue.
-    fn rescue_head<L: DecisionLog>(
+    /// Handles the head of a class's queue; returns whether it left the queue.
+    fn check_queue_head<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         class: ClassIx,
@@ -245,13 +246,13 @@
             return true;
         };
         let target_ms = self.class_policy(class).first_token_target_ms.0 as f64;
-        let waited_ms = context.now.since(entry.waits_since).0 as f64;
+        let waited_ms = context.now.since(entry.waiting_since).0 as f64;
         let delivered = entry.delivered;
         let prefill_ms = self
             .estimates
             .prefill_ms(entry.offer.prompt_tokens.0 + delivered);
         let admission = &context.settings.admission;
-        // A stream that broke off makes its caller wait between tokens.
+        // The caller of an interrupted stream waits between two tokens.
         let is_mid_stream =
             delivered > 0 && self.class_policy(class).between_tokens_target_ms.is_some();
         let is_at_risk =
@@ -259,29 +260,33 @@
         if is_at_risk && self.preempt_for(context, class) {
             return true;
         }
-        // A request that ran before is never given up: its caller has part of the answer.
+        // A request with delivered tokens is never refused: its caller has part of the answer.
         let mut latest_ms = target_ms * (1.0 + admission.late_grace_share);
-        if self.is_next_aged(context, class) {
-            // The slot that its longest wait gives it may take as long again to come free.
+        if self.can_use_aged_slot(context, class) {
+            // The aged slot that it gets by the longest wait may take as long again to become free.
             latest_ms += target_ms;
         }
         if waited_ms > latest_ms && delivered == 0 {
-            self.give_up(context, head, RefusalCode::CannotMeetTarget, target_ms);
+            self.refuse(context, head, RefusalCode::CannotMeetTarget, target_ms);
             return true;
         }
         false
     }
 
-    /// Whether the head of the class's queue is the one that its longest wait protects.
-    fn is_next_aged<L: DecisionLog>(&self, context: &PoolContext<'_, L>, class: ClassIx) -> bool {
+    /// Returns whether the head of the class's queue may use an aged slot.
+    fn can_use_aged_slot<L: DecisionLog>(
+        &self,
+        context: &PoolContext<'_, L>,
+        class: ClassIx,
+    ) -> bool {
         let is_lower = self.class_order.first() != Some(&class);
-        let of_class = self.aged_slots_of_class(context.settings);
-        is_lower && self.classes[class.at()].aged_running < of_class
+        let per_class = self.aged_slots_per_class(context.settings);
+        is_lower && self.classes[class.at()].aged_running < per_class
     }
 
-    /// Requests that were sent and came back without a token are given up like others; they
-    /// stand behind streams that broke off, which never are.
-    fn give_up_returned<L: DecisionLog>(
+    /// Refuses late requeued requests without a token. They may be queued behind interrupted
+    /// streams, which are never refused.
+    fn refuse_late_requeued<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         class: ClassIx,
@@ -290,7 +295,7 @@
         let latest_ms = target_ms * (2.0 + context.settings.admission.late_grace_share);
         let is_late = |request: &RequestId| {
             self.requests.get(request).is_some_and(|entry| {
-                let waited_ms = context.now.since(entry.waits_since).0 as f64;
+                let waited_ms = context.now.since(entry.waiting_since).0 as f64;
                 entry.delivered == 0 && waited_ms > latest_ms
             })
         };
@@ -300,18 +305,18 @@
             .filter(is_late)
             .collect();
         for request in late {
-            self.give_up(context, request, RefusalCode::CannotMeetTarget, target_ms);
+            self.refuse(context, request, RefusalCode::CannotMeetTarget, target_ms);
         }
     }
 
-    /// The newest waiting requests are given up while those before them take all the time.
-    fn give_up_hopeless<L: DecisionLog>(
+    /// Refuses the newest waiting requests while the work ahead of them makes them miss their
+    /// target.
+    fn refuse_unmeetable<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         class: ClassIx,
     ) {
-        /// Not measured, chosen because a tick comes every 20 ms: more would stop other decisions
-        /// for longer.
+        /// Ticks come every 20 ms; handling more at once would delay other decisions.
         const MAX_AT_ONCE: usize = 8;
         for _ in 0..MAX_AT_ONCE {
             if self.classes[class.at()].queue.len() <= 1 {
@@ -327,7 +332,7 @@
             let target_ms = self.class_policy(class).first_token_target_ms.0 as f64;
             let latest_ms = target_ms * (1.0 + admission.late_grace_share);
             let customer = entry.offer.customer;
-            let waited_ms = context.now.since(entry.waits_since).0 as f64;
+            let waited_ms = context.now.since(entry.waiting_since).0 as f64;
             let expected_ms = waited_ms + self.expected_wait_ms(context, class, customer);
             if expected_ms <= latest_ms {
                 return;
@@ -337,7 +342,7 @@
             }
             let retry_after = DurationMs((expected_ms - target_ms) as u64);
             let code = RefusalCode::CannotMeetTarget;
-            self.give_up(context, newest, code, retry_after.0 as f64);
+            self.refuse(context, newest, code, retry_after.0 as f64);
         }
     }
 }
--- a/crates/decisions/src/pool/mod.rs
+++ b/crates/decisions/src/pool/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions of one pool: the engines of one service in one data centre.
+//! The decisions of one pool, which consists of the engines of one service in one data centre.
 
 mod admit;
 mod attempt;
@@ -31,8 +31,8 @@
 use crate::modules::victims::Victims;
 use crate::policy::{ClassPolicy, PoolPolicy};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, TimeMs, Tokens};
-use crashes::EngineLife;
-use entry::Entry;
+use crashes::EngineIncarnation;
+use entry::RequestEntry;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{HashMap, VecDeque};
 
@@ -42,21 +42,21 @@
     health: EngineHealth,
     load: EngineLoad,
     is_drained: bool,
-    /// Whether it was in use when the log last recorded it.
+    /// Whether the engine was in use according to the last record in the log.
     was_in_use: bool,
     between_tokens_ms: Ewma,
-    /// Attempts that have given no token yet.
+    /// The number of attempts without a first token.
     prefilling: u32,
-    /// Tokens that those attempts have to process.
+    /// The number of tokens that those attempts have to process.
     prefill_tokens: u64,
-    /// When the engine last gave a token or got its first work.
-    heard_at: TimeMs,
-    /// Requests that run on it by this pool's decision.
+    /// The time of the last token, or of the first attempt on an idle engine.
+    last_activity_at: TimeMs,
+    /// The requests that this pool runs on the engine.
     running: Vec<RequestId>,
-    /// Counts its starts, as far as they were seen.
-    life: u32,
-    /// It has ended, and was not heard since.
-    has_ended: bool,
+    /// The number of observed crashes, which tells the engine's incarnations apart.
+    incarnation: u32,
+    /// Whether the engine has crashed and given no sign of life since.
+    has_crashed: bool,
 }
 
 /// A class of the pool.
@@ -64,43 +64,44 @@
     queue: FairQueue,
     share: GuaranteedShare,
     retries: RetryBudget,
-    /// Requests that run because the class's longest wait was reached.
+    /// The number of requests that run because the class's longest wait was reached.
     aged_running: u32,
-    /// Slot-milliseconds dispatched a millisecond: the class's use of the pool.
+    /// The slots that the class uses, on average: slot-milliseconds per millisecond.
     use_rate: Ewma,
+    /// The slot-milliseconds used since the last tick.
     used_since_tick_ms: f64,
 }
 
-/// Decides for one pool.
+/// The state of one pool, and its decisions.
 pub struct Pool {
     policy: PoolPolicy,
     engines: Vec<PoolEngine>,
-    /// What each engine's load adds to the cost of a request, in milliseconds; infinite
-    /// without a free slot. Kept beside the engines so that a decision reads little memory.
+    /// The cost that each engine's load adds to a request, in milliseconds; infinite without a free
+    /// slot. Stored apart from the engines so that a decision reads little memory.
     load_costs_ms: Vec<f64>,
     classes: Vec<Class>,
-    /// Classes by tier, the most important first.
+    /// The classes by tier, the most important first.
     class_order: Vec<ClassIx>,
-    requests: HashMap<RequestId, Entry>,
+    requests: HashMap<RequestId, RequestEntry>,
     customers: CustomerLimits,
     estimates: Estimates,
     cache: PrefixCache,
     victims: Victims,
-    /// Running attempts without a first token, oldest first.
-    started: VecDeque<(RequestId, AttemptNumber)>,
-    /// Requests under which engines have ended.
-    crashes: CrashCount<EngineLife>,
+    /// The running attempts without a first token, oldest first.
+    awaiting_first_token: VecDeque<(RequestId, AttemptNumber)>,
+    /// The counts of engine crashes by request.
+    crashes: CrashCount<EngineIncarnation>,
     rng: Pcg64Mcg,
     queued: usize,
-    ticked_at: TimeMs,
-    checked_at: TimeMs,
+    last_tick_at: TimeMs,
+    last_check_at: TimeMs,
     total_slots: f64,
-    /// Whether some engine is on probation.
-    is_probing: bool,
+    /// Whether any engine is on probation.
+    has_engine_on_probation: bool,
 }
 
 impl Pool {
-    /// An idle pool; `seed` drives the choice among equal engines.
+    /// Creates an idle pool; `seed` determines the choice among equal engines.
     pub fn new(policy: PoolPolicy, settings: &Settings, seed: u64) -> Self {
         let mut pool = Self {
             policy: PoolPolicy::default(),
@@ -113,23 +114,23 @@
             estimates: Estimates::new(&settings.estimates),
             cache: PrefixCache::default(),
             victims: Victims::new(),
-            started: VecDeque::new(),
+            awaiting_first_token: VecDeque::new(),
             crashes: CrashCount::default(),
             rng: Pcg64Mcg::new(u128::from(seed) << 64 | 0xcafe_f00d),
             queued: 0,
-            ticked_at: TimeMs(0),
-            checked_at: TimeMs(0),
+            last_tick_at: TimeMs(0),
+            last_check_at: TimeMs(0),
             total_slots: 0.0,
-            is_probing: false,
+            has_engine_on_probation: false,
         };
         pool.set_policy(policy, settings);
         pool
     }
 
-    /// Follows a changed configuration. Requests in flight keep their class and engine.
+    /// Applies a changed configuration. Requests in flight keep their class and engine.
     pub fn set_policy(&mut self, policy: PoolPolicy, settings: &Settings) {
-        for (at, engine) in policy.engines.iter().enumerate() {
-            match self.engines.get_mut(at) {
+        for (index, engine) in policy.engines.iter().enumerate() {
+            match self.engines.get_mut(index) {
                 Some(known) => {
                     known.limit.set_max(engine.slots.0);
                     known.is_drained = engine.is_drained;
@@ -146,10 +147,10 @@
                     ),
                     prefilling: 0,
                     prefill_tokens: 0,
-                    heard_at: TimeMs(0),
+                    last_activity_at: TimeMs(0),
                     running: Vec::new(),
-                    life: 0,
-                    has_ended: false,
+                    incarnation: 0,
+                    has_crashed: false,
                 }),
             }
         }
@@ -169,16 +170,16 @@
         self.class_order
             .sort_by_key(|class| policy.classes[class.at()].tier);
         self.policy = policy;
-        self.count_slots();
+        self.update_slot_totals();
         self.refresh_all_costs(settings);
     }
 
-    /// The policy in force.
+    /// Returns the current policy.
     pub fn policy(&self) -> &PoolPolicy {
         &self.policy
     }
 
-    /// Notes that `engine` holds `block` in its prefix cache.
+    /// Records that `engine` holds `block` in its prefix cache.
     pub fn cache_stored(
         &mut self,
         now: TimeMs,
@@ -190,7 +191,7 @@
             .stored(now, block, engine, settings.routing.max_blocks);
     }
 
-    /// Notes that `engine` dropped `block` from its prefix cache.
+    /// Records that `engine` evicted `block` from its prefix cache.
     pub fn cache_evicted(&mut self, engine: EndpointIx, block: u64) {
         self.cache.record_evicted(block, engine);
     }
@@ -199,7 +200,7 @@
         &self.policy.classes[class.at()]
     }
 
-    /// The wait after which a class counts as starving.
+    /// Returns the longest wait of a class (ms), after which it counts as starved.
     fn max_wait_ms(&self, class: ClassIx, settings: &Settings) -> u64 {
         let policy = self.class_policy(class);
         let by_target =
@@ -209,7 +210,7 @@
             .map_or(by_target as u64, |max_wait| max_wait.0)
     }
 
-    /// Slots of `engine` that are free for new work.
+    /// Returns the number of slots of `engine` that are free for new requests.
     fn free_slots(&self, settings: &Settings, engine: &PoolEngine) -> u32 {
         if engine.is_drained {
             return 0;
@@ -222,36 +223,38 @@
         limit.saturating_sub(engine.load.total())
     }
 
+    /// Returns the cost that the load of `engine` adds to a request (ms).
     fn load_cost_ms(&self, settings: &Settings, engine: &PoolEngine) -> f64 {
-        // An engine on probation gets its work by `probe` alone.
-        let is_probed = engine.health.state() == HealthState::Probation;
-        if is_probed || self.free_slots(settings, engine) == 0 {
+        // An engine on probation receives requests only through `probe`.
+        let is_on_probation = engine.health.state() == HealthState::Probation;
+        if is_on_probation || self.free_slots(settings, engine) == 0 {
             return f64::INFINITY;
         }
         let load = f64::from(engine.load.total()) / f64::from(engine.limit.slots().max(1));
         load * settings.routing.load_cost_ms + self.estimates.prefill_ms(engine.prefill_tokens)
     }
 
-    /// Follows a change of one engine.
-    fn refresh_cost(&mut self, settings: &Settings, at: EndpointIx) {
-        let cost_ms = self.load_cost_ms(settings, &self.engines[at.at()]);
-        self.load_costs_ms[at.at()] = cost_ms;
+    /// Updates the load cost of one engine after a change.
+    fn refresh_cost(&mut self, settings: &Settings, engine_ix: EndpointIx) {
+        let cost_ms = self.load_cost_ms(settings, &self.engines[engine_ix.at()]);
+        self.load_costs_ms[engine_ix.at()] = cost_ms;
     }
 
     fn refresh_all_costs(&mut self, settings: &Settings) {
         self.load_costs_ms.resize(self.engines.len(), f64::INFINITY);
-        for at in 0..self.engines.len() as u32 {
-            self.refresh_cost(settings, EndpointIx(at));
+        for index in 0..self.engines.len() as u32 {
+            self.refresh_cost(settings, EndpointIx(index));
         }
     }
 
-    fn count_slots(&mut self) {
+    /// Recomputes the total of usable slots and whether any engine is on probation.
+    fn update_slot_totals(&mut self) {
         let usable = |engine: &&PoolEngine| {
             !engine.is_drained && engine.health.state() != HealthState::Ejected
         };
         let slots = |engine: &PoolEngine| f64::from(engine.limit.slots());
         self.total_slots = self.engines.iter().filter(usable).map(slots).sum();
-        self.is_probing = self
+        self.has_engine_on_probation = self
             .engines
             .iter()
             .any(|engine| engine.health.state() == HealthState::Probation);
@@ -277,7 +280,7 @@
         request: RequestId,
         attempt: AttemptNumber,
     ) {
-        self.note_first_token(context, request, attempt);
+        self.on_first_token(context, request, attempt);
     }
 
     fn progress<L: DecisionLog>(
@@ -288,7 +291,7 @@
         delivered: Tokens,
         gap_ms: DurationMs,
     ) {
-        self.note_progress(context, request, attempt, delivered, gap_ms);
+        self.on_progress(context, request, attempt, delivered, gap_ms);
     }
 
     fn finished<L: DecisionLog>(
@@ -298,7 +301,7 @@
         attempt: AttemptNumber,
         end: AttemptEnd,
     ) {
-        self.end_attempt(context, request, attempt, end);
+        self.on_attempt_end(context, request, attempt, end);
     }
 
     fn load_report<L: DecisionLog>(
--- a/crates/decisions/src/pool/recover.rs
+++ b/crates/decisions/src/pool/recover.rs
@@ -1,7 +1,7 @@
-//! Recovery: lost attempts, retries, engines that are slow, silent or gone.
+//! Recovery from lost attempts and from engines that are slow, silent or unreachable.
 
 use super::Pool;
-use super::entry::Running;
+use super::entry::RunningAttempt;
 use crate::context::PoolContext;
 use crate::decision_log::{Decision, DecisionLog};
 use crate::effect::CancelCause;
@@ -10,18 +10,18 @@
 use crate::modules::request_life::LifecycleState;
 use bridgevane_types::{AttemptNumber, RefusalCode, RequestId, Tokens};
 
-/// When to come back after retries ran out. Not measured, chosen because engines that failed a
-/// request several times need a while.
+/// The `Retry-After` (ms) of a refusal after the retries ran out. Engines that failed a request
+/// several times need some time to recover.
 const EXHAUSTED_RETRY_MS: f64 = 1_000.0;
 
 impl Pool {
-    /// An attempt that surely did not run: any request may be sent again.
-    pub(super) fn retry_unrun<L: DecisionLog>(
+    /// Handles an attempt that certainly didn't run: every request may be sent again.
+    pub(super) fn retry_not_run<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
-        running: Running,
+        running: RunningAttempt,
     ) {
         context.record(Decision::Lost {
             request,
@@ -31,8 +31,8 @@
         self.retry(context, request, running.engine);
     }
 
-    /// A request that engines find fault with: trying others would only spread it.
-    pub(super) fn reject<L: DecisionLog>(
+    /// Refuses a request that an engine rejected: the other engines would reject it, too.
+    pub(super) fn refuse_rejected<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
@@ -46,16 +46,16 @@
         if let Some(entry) = self.requests.get_mut(&request) {
             entry.return_to_queue(context.now);
         }
-        self.give_up(context, request, RefusalCode::Rejected, 0.0);
+        self.refuse(context, request, RefusalCode::Rejected, 0.0);
     }
 
-    /// An attempt that may have run: only a repeatable request is sent again.
+    /// Handles an attempt that may have run: only a repeatable request is sent again.
     pub(super) fn retry_lost<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
         attempt: AttemptNumber,
-        running: Running,
+        running: RunningAttempt,
         delivered: Tokens,
     ) {
         context.record(Decision::Lost {
@@ -73,9 +73,11 @@
             return;
         }
         entry.return_to_queue(context.now);
-        self.give_up(context, request, RefusalCode::OutcomeUnknown, 0.0);
+        self.refuse(context, request, RefusalCode::OutcomeUnknown, 0.0);
     }
 
+    /// Requeues a request after a failed attempt, or refuses it if it is under quarantine or has no
+    /// retries left.
     fn retry<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -86,12 +88,12 @@
             return;
         };
         entry.return_to_queue(context.now);
-        entry.avoid = Some(failed);
+        entry.avoided_engine = Some(failed);
         let fingerprint = entry.offer.fingerprint;
-        let has_attempts = entry.life.attempts() < context.settings.retry.max_attempts;
+        let has_attempts = entry.lifecycle.attempts() < context.settings.retry.max_attempts;
         let class = entry.offer.class;
-        if self.is_stopped(context.now, fingerprint) {
-            self.give_up(context, request, RefusalCode::EndsEngines, 0.0);
+        if self.is_quarantined(context.now, fingerprint) {
+            self.refuse(context, request, RefusalCode::EndsEngines, 0.0);
             return;
         }
         if has_attempts && self.classes[class.at()].retries.withdraw() {
@@ -99,66 +101,67 @@
             return;
         }
         let code = RefusalCode::RetriesExhausted;
-        self.give_up(context, request, code, EXHAUSTED_RETRY_MS);
+        self.refuse(context, request, code, EXHAUSTED_RETRY_MS);
     }
 
-    /// An engine broke off a stream. One broken stream doesn't take it out: in a pool of two,
-    /// one fault on each would leave none. A second one with no token between does.
-    pub(super) fn stream_lost<L: DecisionLog>(
+    /// Handles a stream that an engine broke off. One broken stream doesn't eject the engine: in a
+    /// pool of two, one fault on each would leave none. A second one without a token in between
+    /// does.
+    pub(super) fn on_stream_lost<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
-        at: EndpointIx,
+        engine_ix: EndpointIx,
     ) {
-        self.tell_health(context, at, HealthEvent::Unavailable);
+        self.report_health_event(context, engine_ix, HealthEvent::Unavailable);
     }
 
-    /// An engine could not be reached.
-    pub(super) fn engine_lost<L: DecisionLog>(
+    /// Handles an engine that can't be reached or has crashed.
+    pub(super) fn on_engine_unreachable<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
-        at: EndpointIx,
+        engine_ix: EndpointIx,
     ) {
-        self.engines[at.at()].load.clear_others();
-        self.tell_health(context, at, HealthEvent::Unreachable);
+        self.engines[engine_ix.at()].load.clear_others();
+        self.report_health_event(context, engine_ix, HealthEvent::Unreachable);
     }
 
-    /// Tells an engine's health; moves its work away when it was ejected by that.
-    pub(super) fn tell_health<L: DecisionLog>(
+    /// Passes an event to an engine's health; if it ejects a slow engine, moves its requests off.
+    pub(super) fn report_health_event<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
-        at: EndpointIx,
+        engine_ix: EndpointIx,
         event: HealthEvent,
     ) {
         let mut health_context = HealthContext {
             now: context.now,
             config: &context.settings.engine_health,
         };
-        let engine = &mut self.engines[at.at()];
+        let engine = &mut self.engines[engine_ix.at()];
         let is_ejected = engine.health.handle(&mut health_context, event);
-        self.refresh_cost(context.settings, at);
+        self.refresh_cost(context.settings, engine_ix);
         if !is_ejected {
             return;
         }
-        self.engines[at.at()]
+        self.engines[engine_ix.at()]
             .between_tokens_ms
             .set(self.estimates.between_tokens_ms());
-        self.count_slots();
+        self.update_slot_totals();
         self.record_use(context);
         if matches!(event, HealthEvent::Slow { .. }) {
-            self.move_work_from(context, at, false);
+            self.move_requests_off(context, engine_ix, false);
         }
     }
 
-    /// Takes repeatable work back from a slow engine; it resumes elsewhere. Answers that stream
-    /// and have no bound on their gaps stay, unless the engine is silent: moving them would
+    /// Cancels and requeues the repeatable, preemptible requests of a slow engine. Streaming
+    /// answers without a target for their gaps stay unless the engine is silent: moving them would
     /// waste what the engine has computed.
-    pub(super) fn move_work_from<L: DecisionLog>(
+    pub(super) fn move_requests_off<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
-        at: EndpointIx,
+        engine_ix: EndpointIx,
         is_silent: bool,
     ) {
-        let running = self.engines[at.at()].running.clone();
+        let running = self.engines[engine_ix.at()].running.clone();
         for request in running {
             let Some(entry) = self.requests.get_mut(&request) else {
                 continue;
@@ -167,13 +170,13 @@
                 continue;
             }
             let class = &self.policy.classes[entry.offer.class.at()];
-            let is_patient = class.between_tokens_target_ms.is_none()
-                && entry.life.state() == LifecycleState::Streaming;
-            if is_patient && !is_silent {
+            let is_gap_tolerant = class.between_tokens_target_ms.is_none()
+                && entry.lifecycle.state() == LifecycleState::Streaming;
+            if is_gap_tolerant && !is_silent {
                 continue;
             }
-            entry.avoid = Some(at);
-            self.take_back(context, request, CancelCause::Moved, None);
+            entry.avoided_engine = Some(engine_ix);
+            self.cancel_and_requeue(context, request, CancelCause::Moved, None);
         }
     }
 }
--- a/crates/decisions/src/pool/room.rs
+++ b/crates/decisions/src/pool/room.rs
@@ -1,4 +1,4 @@
-//! Making room for higher tiers by preempting lower ones.
+//! Preemption of lower tiers by higher ones.
 
 use super::Pool;
 use crate::context::PoolContext;
@@ -9,8 +9,8 @@
 use bridgevane_types::{RequestId, Tier};
 
 impl Pool {
-    /// Takes the slot of the cheapest work of the lowest tier below `class`'s and gives it to
-    /// the head of `class`'s queue; false when there is no such work.
+    /// Preempts the cheapest request of the lowest tier below that of `class`, and dispatches the
+    /// head of `class`'s queue to its slot. Returns false if there is no such request.
     pub(super) fn preempt_for<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -23,7 +23,8 @@
         let Some(victim) = self.cheapest_victim(tier) else {
             return false;
         };
-        let Some(engine) = self.take_back(context, victim, CancelCause::Preempted, Some(tier))
+        let Some(engine) =
+            self.cancel_and_requeue(context, victim, CancelCause::Preempted, Some(tier))
         else {
             return false;
         };
@@ -31,11 +32,12 @@
             return false;
         };
         self.queued -= 1;
-        self.send_to(context, request, engine);
+        self.dispatch_to(context, request, engine);
         true
     }
 
-    /// The cheapest work below `tier` on an engine in use: the slots of others are of no use.
+    /// Returns the cheapest preemptible request below `tier` on an engine in use; other engines
+    /// accept no requests.
     pub(super) fn cheapest_victim(&self, tier: Tier) -> Option<RequestId> {
         self.victims.cheapest_below(tier, |request| {
             let running = self.requests.get(&request).and_then(|entry| entry.running);
@@ -46,9 +48,8 @@
         })
     }
 
-    /// Cancels a running attempt and puts its request back before its class's queue; gives
-    /// the engine whose slot is free now.
-    pub(super) fn take_back<L: DecisionLog>(
+    /// Cancels a running attempt and requeues its request; returns the engine with the freed slot.
+    pub(super) fn cancel_and_requeue<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
@@ -57,9 +58,9 @@
     ) -> Option<EndpointIx> {
         let running = self.release_slot(context, request)?;
         let entry = self.requests.get_mut(&request)?;
-        let attempt = entry.life.attempt();
+        let attempt = entry.lifecycle.attempt();
         entry.return_to_queue(context.now);
-        // Some of it ran: only a repeatable request is ever taken back.
+        // The attempt may have run: only repeatable requests are cancelled and requeued.
         entry.may_have_run = true;
         entry.preemptions += u32::from(cause == CancelCause::Preempted);
         context.record(Decision::Cancelled {
@@ -78,7 +79,7 @@
         Some(running.engine)
     }
 
-    /// Puts a request that ran before back, ahead of those that never did.
+    /// Adds a request that ran before to its queue, ahead of those that never ran.
     pub(super) fn requeue(&mut self, request: RequestId) {
         let Some(entry) = self.requests.get(&request) else {
             return;
--- a/crates/decisions/src/pool/view.rs
+++ b/crates/decisions/src/pool/view.rs
@@ -1,7 +1,7 @@
-//! What operators see of a pool, and requests taken over from another daemon.
+//! Views of a pool for operators, and the takeover of requests from another daemon.
 
 use super::Pool;
-use super::entry::{Entry, Running};
+use super::entry::{RequestEntry, RunningAttempt};
 use crate::configs::Settings;
 use crate::event::Offer;
 use crate::index::EndpointIx;
@@ -12,81 +12,81 @@
     Tokens,
 };
 
-/// A request as operators see it.
+/// A view of a request for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestView {
-    /// The request.
+    /// The request's id.
     pub request: RequestId,
-    /// Class.
+    /// The request's class.
     pub class: ClassName,
-    /// Customer, if the configuration names it.
+    /// The customer, if it is configured.
     pub customer: Option<CustomerId>,
-    /// Where it stands.
+    /// The state of the request.
     pub state: String,
-    /// Its engine, while it runs.
+    /// The engine on which it runs; `None` while it waits.
     pub engine: Option<EndpointId>,
-    /// Time since it arrived.
+    /// The time since it arrived.
     pub age_ms: DurationMs,
-    /// Attempts so far.
+    /// The number of attempts so far.
     pub attempts: u64,
-    /// Tokens delivered.
+    /// The number of delivered tokens.
     pub delivered: Tokens,
-    /// Tokens that are still to be expected.
+    /// The expected number of remaining tokens.
     pub expected_rest: Tokens,
 }
 
-/// An engine as operators see it.
+/// A view of an engine for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineView {
-    /// Name.
+    /// The engine's id.
     pub engine: EndpointId,
-    /// Health.
+    /// The health state.
     pub health: HealthState,
-    /// Whether it gets no new work.
+    /// Whether it receives no new requests.
     pub is_drained: bool,
-    /// Own requests in flight.
+    /// The number of this pool's requests in flight.
     pub in_flight: Slots,
-    /// The limit now.
+    /// The current concurrency limit.
     pub limit: Slots,
-    /// Mean time between tokens.
+    /// The mean time between tokens (ms).
     pub between_tokens_ms: f64,
 }
 
-/// A class as operators see it.
+/// A view of a class for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassView {
-    /// Name.
+    /// The class's name.
     pub class: ClassName,
-    /// Tier.
+    /// The priority tier.
     pub tier: Tier,
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub queued: usize,
-    /// Slots that it used lately.
+    /// The number of slots used recently, on average.
     pub used_slots: f64,
 }
 
 impl Pool {
-    /// Requests in flight.
+    /// Returns a view of each request that waits or runs.
     pub fn request_views(&self, now: TimeMs, settings: &Settings) -> Vec<RequestView> {
-        let view = |(request, entry): (&RequestId, &Entry)| RequestView {
+        let view = |(request, entry): (&RequestId, &RequestEntry)| RequestView {
             request: *request,
             class: self.class_policy(entry.offer.class).name.clone(),
             customer: self
                 .customer_policy(entry.offer.customer)
                 .map(|c| c.name.clone()),
-            state: entry.life.state().to_string(),
+            state: entry.lifecycle.state().to_string(),
             engine: entry
                 .running
                 .map(|running| self.engine_name(running.engine)),
             age_ms: now.since(entry.arrived_at),
-            attempts: entry.life.attempts(),
+            attempts: entry.lifecycle.attempts(),
             delivered: Tokens(entry.delivered),
-            expected_rest: Tokens(self.expected_rest(entry, settings) as u64),
+            expected_rest: Tokens(self.expected_remaining_tokens(entry, settings) as u64),
         };
         self.requests.iter().map(view).collect()
     }
 
-    /// Engines.
+    /// Returns a view of each engine.
     pub fn engine_views(&self) -> Vec<EngineView> {
         let view = |(engine, policy): (&super::PoolEngine, &crate::EnginePolicy)| EngineView {
             engine: policy.name.clone(),
@@ -103,7 +103,7 @@
             .collect()
     }
 
-    /// Classes, the most important first.
+    /// Returns a view of each class, the most important first.
     pub fn class_views(&self) -> Vec<ClassView> {
         let view = |class: &crate::ClassIx| ClassView {
             class: self.class_policy(*class).name.clone(),
@@ -114,18 +114,18 @@
         self.class_order.iter().map(view).collect()
     }
 
-    /// An engine's name.
+    /// Returns the id of an engine.
     pub fn engine_name(&self, engine: EndpointIx) -> EndpointId {
         self.policy.engines[engine.at()].name.clone()
     }
 
-    /// Requests that wait or run.
+    /// Returns the number of requests that wait or run.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Tokens still to expect of a request, given what has streamed.
-    fn expected_rest(&self, entry: &Entry, settings: &Settings) -> f64 {
+    /// Returns the expected number of remaining tokens of a request.
+    fn expected_remaining_tokens(&self, entry: &RequestEntry, settings: &Settings) -> f64 {
         let offer = &entry.offer;
         self.estimates.expected_remaining_tokens(
             offer.kind,
@@ -136,7 +136,8 @@
         )
     }
 
-    /// Takes over a request that runs already, as after the former home of the pool was lost.
+    /// Takes over a request that already runs, for example after the pool's former home daemon was
+    /// lost.
     pub fn adopt(
         &mut self,
         now: TimeMs,
@@ -153,25 +154,25 @@
         }
         self.customers.adopt(offer.customer);
         let tier = self.class_policy(offer.class).tier;
-        let mut entry = Entry::new(offer, now, now, 1.0);
-        entry.life = RequestLifecycle::adopted(attempt);
+        let mut entry = RequestEntry::new(offer, now, now, 1.0);
+        entry.lifecycle = RequestLifecycle::adopted(attempt);
         entry.delivered = delivered.0;
         entry.may_have_run = true;
         let victim_cost = entry.offer.is_preemptible.then(|| entry.resume_cost());
         if let Some(cost) = victim_cost {
             self.victims.insert(tier, cost, request);
         }
-        entry.running = Some(Running {
+        entry.running = Some(RunningAttempt {
             engine,
-            since: now,
+            started_at: now,
             uncached_tokens: 0,
             engine_tokens: 0,
             is_aged: false,
             victim_cost,
-            heard_at: now,
+            last_progress_at: now,
             charged_ms: 0.0,
         });
-        let state = entry.life.state();
+        let state = entry.lifecycle.state();
         let adopted = &mut self.engines[engine.at()];
         adopted.load.add(now);
         adopted.running.push(request);
