--- a/crates/decisions/benches/decision.rs
+++ b/crates/decisions/benches/decision.rs
@@ -1,4 +1,4 @@
-//! The cost of one decision at several sizes of a pool.
+//! The time of one decision at several sizes of a pool.
 #![allow(missing_docs)]
 
 #[path = "support/sized_policy.rs"]
@@ -37,7 +37,7 @@
 }
 
 impl Bench {
-    /// A pool with `in_flight` requests that run.
+    /// Creates a pool with `in_flight` running requests.
     fn new(engines: u32, in_flight: u64) -> Self {
         let settings = Settings::default();
         let slots = (in_flight as u32).div_ceil(engines) + 1;
@@ -78,8 +78,9 @@
         self.decide(|pool, context| pool.offer(context, offer));
     }
 
-    /// One request comes, and the oldest one ends: the state stays as large as it was.
-    fn turn(&mut self) {
+    /// Offers one request and finishes the oldest one, so that the size of the state stays the
+    /// same.
+    fn offer_and_finish(&mut self) {
         self.offer_next();
         if let Some((request, attempt)) = self.running.pop_front() {
             let end = AttemptEnd::Done(Tokens(150));
@@ -98,7 +99,7 @@
         };
         let mut bench = Bench::new(engines, in_flight);
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
-            bencher.iter(|| bench.turn());
+            bencher.iter(|| bench.offer_and_finish());
         });
     }
     group.finish();
@@ -124,31 +125,31 @@
     group.finish();
 }
 
-/// The slowest of a hundred decisions, since the mean hides a tail.
-fn tail(criterion: &mut Criterion) {
+/// Measures high percentiles of the decision time, which the mean hides.
+fn tail_latency(criterion: &mut Criterion) {
     let mut bench = Bench::new(850, 10_000);
     let mut times_ns: Vec<u64> = Vec::new();
     criterion.bench_function("offer_and_finish/850/p99_sampled", |bencher| {
         bencher.iter_custom(|iterations| {
-            let begun = std::time::Instant::now();
+            let started = std::time::Instant::now();
             for _ in 0..iterations {
-                let one = std::time::Instant::now();
-                bench.turn();
-                times_ns.push(one.elapsed().as_nanos() as u64);
+                let decision_started = std::time::Instant::now();
+                bench.offer_and_finish();
+                times_ns.push(decision_started.elapsed().as_nanos() as u64);
             }
-            begun.elapsed()
+            started.elapsed()
         });
     });
     times_ns.sort_unstable();
-    let at = |part: f64| times_ns[((times_ns.len() - 1) as f64 * part) as usize];
+    let percentile = |fraction: f64| times_ns[((times_ns.len() - 1) as f64 * fraction) as usize];
     println!(
         "offer_and_finish/850: {} samples, p50 {} ns, p99 {} ns, p99.9 {} ns",
         times_ns.len(),
-        at(0.5),
-        at(0.99),
-        at(0.999),
+        percentile(0.5),
+        percentile(0.99),
+        percentile(0.999),
     );
 }
 
-criterion_group!(benches, decisions, tail);
+criterion_group!(benches, decisions, tail_latency);
 criterion_main!(benches);
--- a/crates/decisions/benches/memory.rs
+++ b/crates/decisions/benches/memory.rs
@@ -1,4 +1,4 @@
-//! What a pool's state takes: resident memory at several sizes.
+//! The resident memory of a pool's state at several sizes.
 //!
 //! `cargo bench -p bridgevane-decisions --bench memory` prints the table of docs/CAPACITY.md.
 
@@ -22,13 +22,13 @@
     number.and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
-struct Filled {
+struct PoolFixture {
     pool: Pool,
     settings: Settings,
     effects: Vec<Effect>,
 }
 
-impl Filled {
+impl PoolFixture {
     fn new(engines: u32, slots: u32) -> Self {
         let settings = Settings::default();
         Self {
@@ -79,7 +79,7 @@
     }
 }
 
-fn row(name: &str, before_kb: u64, count: u64) {
+fn print_row(name: &str, before_kb: u64, count: u64) {
     let kb = resident_kb().saturating_sub(before_kb);
     println!(
         "| {name} | {count} | {kb} | {:.0} |",
@@ -90,39 +90,39 @@
 fn main() {
     println!("| state | count | KB resident | bytes each |");
     println!("|---|---|---|---|");
-    // Kinds and customers of these requests meet in 2,200 pairs. Memory that was freed is used
-    // again, so what is small comes first.
+    // These requests have 2,200 pairs of kind and customer. Freed memory is reused, so that small
+    // states have to be measured first.
     for count in [1_100u64, 2_200] {
-        let mut filled = Filled::new(121, 64);
+        let mut fixture = PoolFixture::new(121, 64);
         let before = resident_kb();
         for id in 0..count {
-            filled.offer(id);
-            filled.finish_all();
+            fixture.offer(id);
+            fixture.finish_all();
         }
-        row("length sketches by kind and customer", before, count);
-        std::mem::forget(filled);
+        print_row("length sketches by kind and customer", before, count);
+        std::mem::forget(fixture);
     }
     for engines in [121u64, 850] {
         let before = resident_kb();
-        let filled = Filled::new(engines as u32, 64);
-        row("engines of a pool, with 1,100 customers", before, engines);
-        drop(filled);
+        let fixture = PoolFixture::new(engines as u32, 64);
+        print_row("engines of a pool, with 1,100 customers", before, engines);
+        drop(fixture);
     }
     for count in [2_500u64, 5_000, 10_000] {
-        let mut filled = Filled::new(121, 128);
+        let mut fixture = PoolFixture::new(121, 128);
         let before = resident_kb();
-        (0..count).for_each(|id| filled.offer(id));
-        row("requests in flight, 64 blocks each", before, count);
+        (0..count).for_each(|id| fixture.offer(id));
+        print_row("requests in flight, 64 blocks each", before, count);
     }
     for count in [50_000u64, 200_000] {
-        let mut filled = Filled::new(121, 64);
+        let mut fixture = PoolFixture::new(121, 64);
         let before = resident_kb();
         for block in 0..count {
             let engine = EndpointIx((block % 121) as u32);
-            filled
+            fixture
                 .pool
-                .cache_stored(TimeMs(1), &filled.settings, engine, block);
+                .cache_stored(TimeMs(1), &fixture.settings, engine, block);
         }
-        row("cached blocks known", before, count);
+        print_row("cached blocks known", before, count);
     }
 }
--- a/crates/decisions/benches/policies/main.rs
+++ b/crates/decisions/benches/policies/main.rs
@@ -16,22 +16,22 @@
 const SEEDS: [u64; 5] = [11, 23, 37, 41, 59];
 const LOADS: [f64; 5] = [0.7, 1.0, 1.5, 2.0, 3.0];
 
-/// A way to decide.
+/// A scheduler to compare.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Decider {
-    /// The product: one home decides for the pool.
+enum SchedulerKind {
+    /// The product with one home daemon that decides for the pool.
     Home,
-    /// The product without a home: each of so many daemons decides alone.
-    Alone(usize),
-    /// A baseline in each of so many daemons.
+    /// The product without a home: each of this many daemons decides independently.
+    Independent(usize),
+    /// A baseline in each of this many daemons.
     Base(Chooser, usize),
 }
 
-impl Decider {
+impl SchedulerKind {
     fn name(self) -> String {
         match self {
             Self::Home => "bridgevane, home".into(),
-            Self::Alone(daemons) => format!("bridgevane, {daemons} alone"),
+            Self::Independent(daemons) => format!("bridgevane, {daemons} alone"),
             Self::Base(chooser, daemons) => format!("{chooser:?}, {daemons}"),
         }
     }
@@ -39,12 +39,12 @@
     fn run(self, setup: Setup) -> RunResult {
         match self {
             Self::Home => pools(setup, 1, None),
-            Self::Alone(daemons) => pools(setup, daemons, Some(2)),
+            Self::Independent(daemons) => pools(setup, daemons, Some(2)),
             Self::Base(chooser, daemons) => {
-                let deciders = (0..daemons as u64)
+                let schedulers = (0..daemons as u64)
                     .map(|seed| Baseline::new(chooser, setup.engines, setup.slots, seed))
                     .collect();
-                drive(setup, deciders)
+                drive(setup, schedulers)
             }
         }
     }
@@ -53,14 +53,14 @@
 fn pools(mut setup: Setup, count: usize, choices: Option<u32>) -> RunResult {
     setup.settings.routing.choices = choices;
     let policy = setup.workload.policy(setup.engines, setup.slots);
-    let deciders = (0..count as u64)
+    let schedulers = (0..count as u64)
         .map(|seed| Pool::new(policy.clone(), &setup.settings, seed))
         .collect();
-    drive(setup, deciders)
+    drive(setup, schedulers)
 }
 
-fn drive<P: Policy>(setup: Setup, deciders: Vec<P>) -> RunResult {
-    Driver::new(setup, deciders).run()
+fn drive<P: Policy>(setup: Setup, schedulers: Vec<P>) -> RunResult {
+    Driver::new(setup, schedulers).run()
 }
 
 fn faults() -> Vec<Fault> {
@@ -79,20 +79,20 @@
     ]
 }
 
-/// Mean and half the span of a figure over seeds.
+/// Returns the mean of a figure over all seeds, and half of its range.
 fn spread(figures: &[f64]) -> (f64, f64) {
     let mean = figures.iter().sum::<f64>() / figures.len() as f64;
-    let least = figures.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = figures.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    (mean, (most - least) / 2.0)
+    let min = figures.iter().copied().fold(f64::INFINITY, f64::min);
+    let max = figures.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    (mean, (max - min) / 2.0)
 }
 
-/// One row of the table.
+/// A row of the table.
 struct Case {
     workload: Workload,
     load: f64,
     with_faults: bool,
-    decider: Decider,
+    scheduler: SchedulerKind,
 }
 
 fn row(case: &Case, seeds: &[u64]) -> Vec<String> {
@@ -100,18 +100,18 @@
         workload,
         load,
         with_faults,
-        decider,
+        scheduler,
     } = case;
     let run = |seed: &u64| {
         let mut setup = Setup::new(workload.clone(), *load, *seed);
         if *with_faults {
             setup.faults = faults();
         }
-        decider.run(setup)
+        scheduler.run(setup)
     };
     let results: Vec<RunResult> = seeds.iter().map(run).collect();
-    let figure = |of: &dyn Fn(&RunResult) -> f64| {
-        let figures: Vec<f64> = results.iter().map(of).collect();
+    let figure = |metric: &dyn Fn(&RunResult) -> f64| {
+        let figures: Vec<f64> = results.iter().map(metric).collect();
         spread(&figures)
     };
     let percent = |(mean, span): (f64, f64)| format!("{:.1} ±{:.1}", mean * 100.0, span * 100.0);
@@ -123,14 +123,14 @@
         } else {
             "no".into()
         },
-        decider.name(),
+        scheduler.name(),
     ];
     for class in 0..workload.classes.len() {
         cells.push(percent(figure(&|r| r.classes[class].attainment())));
     }
     cells.push(percent(figure(&|r| r.goodput_tps / r.bound_tps)));
     cells.push(format!("{:.0}", figure(&|r| r.goodput_tps).0));
-    cells.push(percent(figure(&|r| r.wasted)));
+    cells.push(percent(figure(&|r| r.wasted_share)));
     let worst = |class: usize| {
         let worst = results
             .iter()
@@ -156,12 +156,12 @@
     let causes =
         ["for tier 0", "preempted", "moved", "lost"].map(|cause| interrupted(cause).to_string());
     cells.push(causes.join("/"));
-    let broken: usize = results.iter().map(|r| r.broken.len()).sum();
-    cells.push(broken.to_string());
-    if broken > 0 && std::env::args().any(|argument| argument == "explain") {
+    let violations: usize = results.iter().map(|r| r.violations.len()).sum();
+    cells.push(violations.to_string());
+    if violations > 0 && std::env::args().any(|argument| argument == "explain") {
         for result in &results {
             result
-                .broken
+                .violations
                 .iter()
                 .take(5)
                 .for_each(|broken| eprintln!("{broken}"));
@@ -178,14 +178,14 @@
     } else {
         &LOADS[..]
     };
-    let deciders = [
-        Decider::Home,
-        Decider::Alone(3),
-        Decider::Alone(7),
-        Decider::Base(Chooser::RoundRobin, 1),
-        Decider::Base(Chooser::LeastInFlight, 1),
-        Decider::Base(Chooser::PowerOfTwo, 1),
-        Decider::Base(Chooser::PowerOfTwo, 7),
+    let schedulers = [
+        SchedulerKind::Home,
+        SchedulerKind::Independent(3),
+        SchedulerKind::Independent(7),
+        SchedulerKind::Base(Chooser::RoundRobin, 1),
+        SchedulerKind::Base(Chooser::LeastInFlight, 1),
+        SchedulerKind::Base(Chooser::PowerOfTwo, 1),
+        SchedulerKind::Base(Chooser::PowerOfTwo, 7),
     ];
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
@@ -209,12 +209,12 @@
     for workload in [ravaton(), solcata()] {
         for load in loads {
             for with_faults in [false, true] {
-                for decider in deciders {
+                for scheduler in schedulers {
                     cases.push(Case {
                         workload: workload.clone(),
                         load: *load,
                         with_faults,
-                        decider,
+                        scheduler,
                     });
                 }
             }
@@ -226,7 +226,7 @@
     println!("{table}");
 }
 
-/// All rows, worked out on several threads; the order is that of the cases.
+/// Computes all rows on several threads, in the order of the cases.
 fn rows(cases: &[Case], seeds: &[u64]) -> Vec<Vec<String>> {
     const THREADS: usize = 4;
     let next = AtomicUsize::new(0);
--- a/crates/decisions/benches/support/sized_policy.rs
+++ b/crates/decisions/benches/support/sized_policy.rs
@@ -1,14 +1,14 @@
-//! A pool's policy of the design size, but for the engines.
+//! The policy of a pool with the number of customers and tiers that the design assumes.
 
 use bridgevane_decisions::{ClassPolicy, CustomerPolicy, EnginePolicy, PoolPolicy};
 use bridgevane_types::{DurationMs, Share, Slots, Tier, Tokens};
 
-/// Customers in steady use.
+/// The number of customers in steady use.
 pub const CUSTOMERS: u32 = 1_100;
-/// Service tiers.
+/// The number of service tiers.
 pub const TIERS: u8 = 8;
 
-/// A pool of so many engines.
+/// Returns the policy of a pool with `engines` engines of `slots` slots each.
 pub fn policy(engines: u32, slots: u32) -> PoolPolicy {
     let class = |tier: u8| ClassPolicy {
         name: format!("class-{tier}").as_str().into(),
--- a/crates/decisions/tests/checker.rs
+++ b/crates/decisions/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker finds each kind of broken promise in a log made by hand.
+//! The checker of guarantees finds each kind of violation in a hand-written decision log.
 
 use bridgevane_decisions::{CancelCause, ClassIx, Decision, DecisionRecord, EndpointIx};
 use bridgevane_standins::{BrokenPromise, check_promises};
@@ -61,8 +61,9 @@
     check_promises(&records)
 }
 
+// Each violation has a similar log without one, so that a checker that reports too much fails, too.
 #[test]
-fn each_broken_promise_is_found_and_its_sound_twin_is_not() {
+fn each_violation_is_reported_and_a_similar_correct_log_is_not() {
     let refused_above = BrokenPromise::RefusedAboveLower {
         request: HIGH,
         tier: Tier(0),
--- a/crates/decisions/tests/crash_count.rs
+++ b/crates/decisions/tests/crash_count.rs
@@ -1,4 +1,4 @@
-//! The rule that tells requests that end endpoints from those that were only there.
+//! The rule that tells requests that crash endpoints from those that merely ran there.
 
 use bridgevane_decisions::crash_count::{
     CrashCount as Count, CrashFact, CrashNews as News, NewsCursor, NewsOutcome, QUARANTINE,
@@ -6,12 +6,12 @@
 use bridgevane_types::{RequestFingerprint, TimeMs};
 use proptest::prelude::*;
 
-/// Endpoints are numbers here.
+/// Endpoint incarnations are plain numbers in these tests.
 type CrashCount = Count<u32>;
 type CrashNews = News<u32>;
 
-const DEADLY: RequestFingerprint = request(1);
-const INNOCENT: RequestFingerprint = request(2);
+const CRASHING: RequestFingerprint = request(1);
+const BYSTANDER: RequestFingerprint = request(2);
 
 const fn request(content: u64) -> RequestFingerprint {
     RequestFingerprint {
@@ -42,210 +42,227 @@
     }
 }
 
-fn take_all(count: &mut CrashCount, news: &[CrashNews]) -> Vec<NewsOutcome> {
-    let taken = news.iter().map(|news| count.take(news.at, *news));
-    taken.collect()
+fn record_all(count: &mut CrashCount, observations: &[CrashNews]) -> Vec<NewsOutcome> {
+    let outcomes = observations
+        .iter()
+        .map(|observation| count.take(observation.at, *observation));
+    outcomes.collect()
 }
 
-fn stopped(count: &CrashCount) -> Vec<RequestFingerprint> {
-    let mut stopped: Vec<_> = count.quarantined().map(|(request, _)| request).collect();
-    stopped.sort();
-    stopped
+fn quarantined(count: &CrashCount) -> Vec<RequestFingerprint> {
+    let mut requests: Vec<_> = count.quarantined().map(|(request, _)| request).collect();
+    requests.sort();
+    requests
 }
 
+// Retries and several daemons report the same crash more than once.
 #[test]
-fn the_third_endpoint_that_ends_proves_it_and_one_end_counts_once() {
+fn a_request_is_quarantined_at_the_third_crash_and_duplicates_do_not_count() {
     use NewsOutcome::{Known, New, Quarantines};
     let mut count = CrashCount::default();
-    let news = [
-        crashed(DEADLY, 1, 0),
-        // The same end, as a hedge or another daemon saw it.
-        crashed(DEADLY, 1, 0),
-        crashed(DEADLY, 2, 1),
-        crashed(DEADLY, 2, 2),
-        crashed(DEADLY, 3, 3),
-        crashed(DEADLY, 3, 3),
+    let observations = [
+        crashed(CRASHING, 1, 0),
+        // The same crash, reported by a hedge or another daemon.
+        crashed(CRASHING, 1, 0),
+        crashed(CRASHING, 2, 1),
+        crashed(CRASHING, 2, 2),
+        crashed(CRASHING, 3, 3),
+        crashed(CRASHING, 3, 3),
     ];
-    let outcomes = take_all(&mut count, &news);
+    let outcomes = record_all(&mut count, &observations);
     assert_eq!(outcomes, [New, Known, New, Known, Quarantines, Known]);
-    assert_eq!(stopped(&count), [DEADLY]);
+    assert_eq!(quarantined(&count), [CRASHING]);
 }
 
+// A client that polls with identical requests is often running where an endpoint crashes.
 #[test]
-fn a_good_answer_clears_a_request_of_the_ends_before_it() {
+fn a_successful_answer_clears_a_request_of_earlier_crashes() {
     let mut count = CrashCount::default();
-    let news = [
-        crashed(INNOCENT, 1, 0),
-        crashed(INNOCENT, 2, 1),
-        served(INNOCENT, 2),
-        crashed(INNOCENT, 3, 3),
-        crashed(INNOCENT, 4, 4),
-        // Told late by another daemon.
-        crashed(INNOCENT, 5, 1),
+    let observations = [
+        crashed(BYSTANDER, 1, 0),
+        crashed(BYSTANDER, 2, 1),
+        served(BYSTANDER, 2),
+        crashed(BYSTANDER, 3, 3),
+        crashed(BYSTANDER, 4, 4),
+        // A late observation of another daemon.
+        crashed(BYSTANDER, 5, 1),
     ];
-    take_all(&mut count, &news);
-    assert_eq!(stopped(&count), []);
-    assert_eq!(count.suspects().collect::<Vec<_>>(), [INNOCENT]);
+    record_all(&mut count, &observations);
+    assert_eq!(quarantined(&count), []);
+    assert_eq!(count.suspects().collect::<Vec<_>>(), [BYSTANDER]);
 }
 
+// A request under quarantine can still be running somewhere, and its crashes would count for the
+// requests beside it.
 #[test]
-fn an_end_that_a_stopped_request_explains_counts_for_no_other() {
+fn a_crash_under_a_quarantined_request_counts_for_no_other_request() {
     let mut count = CrashCount::default();
-    let proof = [
-        crashed(DEADLY, 1, 0),
-        crashed(DEADLY, 2, 1),
-        crashed(DEADLY, 3, 2),
+    let first_three_crashes = [
+        crashed(CRASHING, 1, 0),
+        crashed(CRASHING, 2, 1),
+        crashed(CRASHING, 3, 2),
     ];
-    take_all(&mut count, &proof);
-    // A try that was under way when the third end became known, told before and after.
-    take_all(
+    record_all(&mut count, &first_three_crashes);
+    // Runs that had started before the quarantine; their crashes are observed before and after
+    // those of the other request.
+    record_all(
         &mut count,
         &[
-            crashed(INNOCENT, 4, 3),
-            crashed(DEADLY, 4, 3),
-            crashed(DEADLY, 5, 4),
-            crashed(INNOCENT, 5, 4),
-            crashed(INNOCENT, 6, 5),
-            crashed(INNOCENT, 7, 6),
+            crashed(BYSTANDER, 4, 3),
+            crashed(CRASHING, 4, 3),
+            crashed(CRASHING, 5, 4),
+            crashed(BYSTANDER, 5, 4),
+            crashed(BYSTANDER, 6, 5),
+            crashed(BYSTANDER, 7, 6),
         ],
     );
-    assert_eq!(stopped(&count), [DEADLY]);
+    assert_eq!(quarantined(&count), [CRASHING]);
 }
 
-/// Two requests that end engines, always sent together: each has ended those three.
+// Two requests that crash engines always run together: the crashes that put one under quarantine
+// must count for the other, too.
 #[test]
-fn ends_that_prove_one_request_count_for_another_that_was_there() {
+fn crashes_that_lead_to_a_quarantine_count_for_every_request_that_ran_there() {
     let mut count = CrashCount::default();
     for endpoint in 1..=3 {
         let second = u64::from(endpoint);
-        take_all(
+        record_all(
             &mut count,
             &[
-                crashed(DEADLY, endpoint, second),
-                crashed(INNOCENT, endpoint, second),
+                crashed(CRASHING, endpoint, second),
+                crashed(BYSTANDER, endpoint, second),
             ],
         );
     }
-    assert_eq!(stopped(&count), [DEADLY, INNOCENT]);
+    assert_eq!(quarantined(&count), [CRASHING, BYSTANDER]);
 }
 
-/// All processes of a host are killed together, and equal requests of somebody who polls were on each.
+// All processes of a host are killed together while each runs an identical request of a client that
+// polls.
 #[test]
-fn ends_at_the_same_moment_count_once() {
+fn crashes_within_one_window_count_once() {
     let mut count = CrashCount::default();
-    let news = |endpoint: u32, ms: u64| CrashNews {
+    let observation = |endpoint: u32, ms: u64| CrashNews {
         at: TimeMs(at(0).0 + ms),
-        ..crashed(INNOCENT, endpoint, 0)
+        ..crashed(BYSTANDER, endpoint, 0)
     };
     for endpoint in 0..9 {
-        take_all(&mut count, &[news(endpoint, 5 * u64::from(endpoint))]);
+        record_all(
+            &mut count,
+            &[observation(endpoint, 5 * u64::from(endpoint))],
+        );
     }
-    assert_eq!(stopped(&count), []);
-    take_all(&mut count, &[news(20, 700)]);
-    assert_eq!(stopped(&count), []);
-    take_all(&mut count, &[news(21, 1_400)]);
-    assert_eq!(stopped(&count), [INNOCENT], "the third moment");
+    assert_eq!(quarantined(&count), []);
+    record_all(&mut count, &[observation(20, 700)]);
+    assert_eq!(quarantined(&count), []);
+    record_all(&mut count, &[observation(21, 1_400)]);
+    assert_eq!(quarantined(&count), [BYSTANDER], "the third distinct crash");
 }
 
-/// One request goes on from engine to engine, each of which ends at once.
+// A request is retried from engine to engine and crashes each at once, all within one window.
 #[test]
-fn ends_of_runs_that_followed_each_other_count_each() {
+fn crashes_of_consecutive_runs_count_separately() {
     let mut count = CrashCount::default();
     for endpoint in 0..3u32 {
         let end = TimeMs(at(0).0 + 2 * u64::from(endpoint + 1));
-        let news = CrashNews {
+        let observation = CrashNews {
             at: end,
             began_at: Some(TimeMs(end.0 - 2)),
-            ..crashed(DEADLY, endpoint, 0)
+            ..crashed(CRASHING, endpoint, 0)
         };
-        take_all(&mut count, &[news]);
+        record_all(&mut count, &[observation]);
     }
-    assert_eq!(stopped(&count), [DEADLY]);
+    assert_eq!(quarantined(&count), [CRASHING]);
 }
 
+// The engines may be fixed in the meantime, and a late observation must not renew the quarantine.
 #[test]
-fn a_quarantine_ends_by_itself() {
+fn a_quarantine_expires() {
     let mut count = CrashCount::default();
-    let news = [1, 2, 3].map(|endpoint| crashed(DEADLY, endpoint, u64::from(endpoint)));
-    take_all(&mut count, &news);
-    let over = at(3) + QUARANTINE;
-    count.expire(TimeMs(over.0 - 1));
-    assert_eq!(stopped(&count), [DEADLY]);
-    count.expire(over);
-    assert_eq!(stopped(&count), []);
-    let late = crashed(DEADLY, 9, 3);
-    assert_eq!(count.take(over, late), NewsOutcome::Known);
-}
-
-/// Hundreds of different requests a second, each of which ends an engine: what is kept is bounded,
-/// and one that has ended two is not forgotten for one that has ended one.
+    let observations = [1, 2, 3].map(|endpoint| crashed(CRASHING, endpoint, u64::from(endpoint)));
+    record_all(&mut count, &observations);
+    let expires_at = at(3) + QUARANTINE;
+    count.expire(TimeMs(expires_at.0 - 1));
+    assert_eq!(quarantined(&count), [CRASHING]);
+    count.expire(expires_at);
+    assert_eq!(quarantined(&count), []);
+    let late = crashed(CRASHING, 9, 3);
+    assert_eq!(count.take(expires_at, late), NewsOutcome::Known);
+}
+
+// Hundreds of different requests per second each crash an engine: the state must stay bounded, and
+// a suspect with two crashes must not be evicted in favour of one with a single crash.
 #[test]
-fn what_is_kept_is_bounded_under_abuse() {
+fn state_is_bounded_under_a_flood_of_crashes() {
     let mut count = CrashCount::default();
-    take_all(&mut count, &[crashed(DEADLY, 1, 0), crashed(DEADLY, 2, 1)]);
+    record_all(
+        &mut count,
+        &[crashed(CRASHING, 1, 0), crashed(CRASHING, 2, 1)],
+    );
     for n in 0..20_000u32 {
         let second = u64::from(n / 400);
         let other = request(100 + u64::from(n));
-        take_all(&mut count, &[crashed(other, 10 + n, second)]);
+        record_all(&mut count, &[crashed(other, 10 + n, second)]);
     }
     assert!(count.suspects().count() <= 1_024);
-    let (news, _) = count.news_after(NewsCursor::default(), usize::MAX);
-    assert!(news.len() <= 1_100, "{}", news.len());
+    let (observations, _) = count.news_after(NewsCursor::default(), usize::MAX);
+    assert!(observations.len() <= 1_100, "{}", observations.len());
     assert_eq!(
-        take_all(&mut count, &[crashed(DEADLY, 3, 50)]),
+        record_all(&mut count, &[crashed(CRASHING, 3, 50)]),
         [NewsOutcome::Quarantines]
     );
     for n in 0..15_000u32 {
         let other = request(1_000_000 + u64::from(n / 3));
         let second = 60 + u64::from(n % 3);
-        take_all(&mut count, &[crashed(other, 100_000 + n, second)]);
+        record_all(&mut count, &[crashed(other, 100_000 + n, second)]);
     }
     assert!(count.quarantined().count() <= 4_096);
 }
 
+// Daemons exchange observations in batches and continue at the cursor of the last one.
 #[test]
-fn news_are_told_in_parts_and_once() {
+fn observations_are_returned_in_batches_and_only_once() {
     let mut count = CrashCount::default();
     for n in 0..10 {
-        take_all(&mut count, &[crashed(request(n), n as u32, n)]);
+        record_all(&mut count, &[crashed(request(n), n as u32, n)]);
     }
     let (first, cursor) = count.news_after(NewsCursor::default(), 6);
     let (second, cursor) = count.news_after(cursor, 6);
     assert_eq!((first.len(), second.len()), (6, 4));
     assert_eq!(count.news_after(cursor, 6), (Vec::new(), cursor));
-    take_all(&mut count, &[crashed(request(0), 99, 11)]);
+    record_all(&mut count, &[crashed(request(0), 99, 11)]);
     let (third, _) = count.news_after(cursor, 6);
     assert_eq!(third, [crashed(request(0), 99, 11)]);
 }
 
-fn any_crash() -> impl Strategy<Value = CrashNews> {
-    // Each end has its moment. There is none after the third, so that none is explained by a request
-    // that was stopped before: which ones are depends on the order.
+fn arbitrary_crash() -> impl Strategy<Value = CrashNews> {
+    // Each crash has its own time. There is none after the third one, so that no crash is
+    // attributed to a request under quarantine: which ones are attributed depends on the order.
     (0..3u64, 0..3u32)
         .prop_map(|(content, endpoint)| crashed(request(content), endpoint, u64::from(endpoint)))
 }
 
 proptest! {
-    /// Two daemons that tell each other all they have stop the same requests, in whatever order they saw
-    /// the ends, as long as none of them is explained.
+    // Two daemons that exchange all observations quarantine the same requests in whatever order
+    // they observed the crashes, unless some are attributed.
     #[test]
-    fn two_daemons_that_tell_each_other_all_agree(
-        seen in prop::collection::vec(any_crash(), 0..16),
+    fn two_daemons_that_exchange_all_observations_agree(
+        crashes in prop::collection::vec(arbitrary_crash(), 0..16),
         split in 0..16usize,
     ) {
-        let split = split.min(seen.len());
+        let split = split.min(crashes.len());
         let mut daemons = [CrashCount::default(), CrashCount::default()];
-        take_all(&mut daemons[0], &seen[..split]);
-        take_all(&mut daemons[1], &seen[split..]);
+        record_all(&mut daemons[0], &crashes[..split]);
+        record_all(&mut daemons[1], &crashes[split..]);
         for _ in 0..2 {
-            let (of_first, _) = daemons[0].news_after(NewsCursor::default(), usize::MAX);
-            let (of_second, _) = daemons[1].news_after(NewsCursor::default(), usize::MAX);
-            take_all(&mut daemons[0], &of_second);
-            take_all(&mut daemons[1], &of_first);
+            let (from_first, _) = daemons[0].news_after(NewsCursor::default(), usize::MAX);
+            let (from_second, _) = daemons[1].news_after(NewsCursor::default(), usize::MAX);
+            record_all(&mut daemons[0], &from_second);
+            record_all(&mut daemons[1], &from_first);
         }
-        prop_assert_eq!(stopped(&daemons[0]), stopped(&daemons[1]));
-        let mut alone = CrashCount::default();
-        take_all(&mut alone, &seen);
-        prop_assert_eq!(stopped(&alone), stopped(&daemons[0]));
+        prop_assert_eq!(quarantined(&daemons[0]), quarantined(&daemons[1]));
+        let mut single = CrashCount::default();
+        record_all(&mut single, &crashes);
+        prop_assert_eq!(quarantined(&single), quarantined(&daemons[0]));
     }
 }
--- a/crates/decisions/tests/crashing_requests.rs
+++ b/crates/decisions/tests/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! What a pool does with requests under which engines end.
+//! The handling of requests under which engines crash.
 
 #[path = "../benches/support/sized_policy.rs"]
 mod sized_policy;
@@ -13,15 +13,15 @@
 };
 use sized_policy::policy;
 
-const DEADLY: u64 = 1;
+const CRASHING: u64 = 1;
 
-struct Stage {
+struct TestPool {
     pool: Pool,
     settings: Settings,
     now: TimeMs,
 }
 
-impl Stage {
+impl TestPool {
     fn new(engines: u32, slots: u32) -> Self {
         let settings = Settings::default();
         Self {
@@ -66,51 +66,52 @@
         self.decide(|pool, context| pool.offer(context, offer))
     }
 
-    fn end(&mut self, sent: Sent, end: AttemptEnd) -> Vec<Effect> {
+    fn end_attempt(&mut self, sent: Dispatched, end: AttemptEnd) -> Vec<Effect> {
         self.now = TimeMs(self.now.0 + 200);
         self.decide(|pool, context| pool.finished(context, sent.request, sent.attempt, end))
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Sent {
+struct Dispatched {
     request: RequestId,
     attempt: AttemptNumber,
     engine: EndpointIx,
 }
 
-fn sent(effects: &[Effect]) -> Vec<Sent> {
-    let sent = effects.iter().filter_map(|effect| match effect {
+fn dispatches(effects: &[Effect]) -> Vec<Dispatched> {
+    let dispatched = effects.iter().filter_map(|effect| match effect {
         Effect::Dispatch {
             request,
             attempt,
             engine,
             ..
-        } => Some(Sent {
+        } => Some(Dispatched {
             request: *request,
             attempt: *attempt,
             engine: *engine,
         }),
         _ => None,
     });
-    sent.collect()
+    dispatched.collect()
 }
 
-const ENDED: AttemptEnd = AttemptEnd::EngineEnded {
+const CRASHED: AttemptEnd = AttemptEnd::EngineEnded {
     delivered: Tokens(0),
 };
 
+// Retries of such a request would crash one engine after the other.
 #[test]
-fn a_request_under_which_three_engines_have_ended_is_given_up_and_so_are_equal_ones() {
-    let mut stage = Stage::new(8, 4);
-    let mut effects = stage.offer(1, DEADLY);
+fn a_request_that_crashed_three_engines_is_refused_and_so_are_identical_ones() {
+    let mut test_pool = TestPool::new(8, 4);
+    let mut effects = test_pool.offer(1, CRASHING);
     for _ in 0..2 {
-        let running = sent(&effects)[0];
-        effects = stage.end(running, ENDED);
+        let running = dispatches(&effects)[0];
+        effects = test_pool.end_attempt(running, CRASHED);
     }
-    let third = sent(&effects)[0];
-    let refused = stage.end(third, ENDED);
-    assert_eq!(sent(&refused), []);
+    let third = dispatches(&effects)[0];
+    let refused = test_pool.end_attempt(third, CRASHED);
+    assert_eq!(dispatches(&refused), []);
     let Some(Effect::Refuse {
         code,
         outcome,
@@ -118,12 +119,12 @@
         ..
     }) = refused.first()
     else {
-        panic!("it is given up: {refused:?}");
+        panic!("no refusal: {refused:?}");
     };
     let got = (*code, *outcome, *retry_after_ms);
     assert_eq!(got, (RefusalCode::EndsEngines, Outcome::Unknown, None));
-    // The same again, as another request.
-    let again = stage.offer(2, DEADLY);
+    // An identical request with another id.
+    let again = test_pool.offer(2, CRASHING);
     let is_refused = |effect: &Effect| {
         matches!(
             effect,
@@ -136,26 +137,31 @@
         )
     };
     assert!(again.iter().any(is_refused), "{again:?}");
-    assert_eq!(sent(&stage.offer(3, 77)).len(), 1, "another one runs");
+    assert_eq!(
+        dispatches(&test_pool.offer(3, 77)).len(),
+        1,
+        "a different request runs"
+    );
 }
 
+// A crash ends all requests of an engine, most of which aren't its cause.
 #[test]
-fn requests_that_were_only_there_go_on_elsewhere() {
-    let mut stage = Stage::new(2, 64);
+fn requests_that_ran_beside_the_cause_of_a_crash_are_retried_on_another_engine() {
+    let mut test_pool = TestPool::new(2, 64);
     let mut running = Vec::new();
     for id in 0..20u64 {
-        running.extend(sent(&stage.offer(u128::from(id), 100 + id)));
+        running.extend(dispatches(&test_pool.offer(u128::from(id), 100 + id)));
     }
-    let ended = running[0].engine;
-    let lost: Vec<Sent> = running
+    let crashed = running[0].engine;
+    let lost: Vec<Dispatched> = running
         .into_iter()
-        .filter(|sent| sent.engine == ended)
+        .filter(|dispatched| dispatched.engine == crashed)
         .collect();
     assert!(lost.len() > 3);
-    for sent_before in lost {
-        let effects = stage.end(sent_before, ENDED);
-        let moved = sent(&effects);
-        assert_eq!(moved.len(), 1, "{effects:?}");
-        assert_ne!(moved[0].engine, ended);
+    for attempt in lost {
+        let effects = test_pool.end_attempt(attempt, CRASHED);
+        let retried = dispatches(&effects);
+        assert_eq!(retried.len(), 1, "{effects:?}");
+        assert_ne!(retried[0].engine, crashed);
     }
 }
--- a/crates/decisions/tests/pool_sequences.rs
+++ b/crates/decisions/tests/pool_sequences.rs
@@ -1,5 +1,4 @@
-//! Random sequences of events: whatever happens, the pool stays consistent and its promises
-//! hold.
+//! Random sequences of events: the pool stays consistent and keeps its guarantees.
 
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
@@ -66,7 +65,7 @@
     Lost {
         pick: usize,
     },
-    /// The same, and the engine has ended.
+    /// The attempt is lost because the engine crashed.
     EngineEnded {
         pick: usize,
     },
@@ -82,8 +81,8 @@
     CallerGone {
         pick: usize,
     },
-    /// An end of an attempt that is long over.
-    Stale {
+    /// Reports of an attempt that ended earlier.
+    StaleReports {
         pick: usize,
     },
     Report {
@@ -110,26 +109,26 @@
         1 => pick().prop_map(|pick| Step::Unavailable { pick }),
         1 => pick().prop_map(|pick| Step::Rejected { pick }),
         1 => pick().prop_map(|pick| Step::CallerGone { pick }),
-        2 => pick().prop_map(|pick| Step::Stale { pick }),
+        2 => pick().prop_map(|pick| Step::StaleReports { pick }),
         2 => (0..ENGINES, 0..6u32, 0..3_000u64).prop_map(
             |(engine, busy, age_ms)| Step::Report { engine, busy, age_ms }),
         5 => (1..700u64).prop_map(|ms| Step::Wait { ms }),
     ]
 }
 
-/// What the world outside the pool knows.
-struct World {
+/// The environment of a pool: engines and callers, as they observe its effects.
+struct PoolEnvironment {
     pool: Pool,
     settings: Settings,
     log: Recorder,
     now: TimeMs,
-    next: u128,
+    next_id: u128,
     running: BTreeMap<RequestId, (AttemptNumber, EndpointIx, u64)>,
-    over: Vec<(RequestId, AttemptNumber)>,
-    open: BTreeSet<RequestId>,
+    ended: Vec<(RequestId, AttemptNumber)>,
+    unanswered: BTreeSet<RequestId>,
 }
 
-impl World {
+impl PoolEnvironment {
     fn new() -> Self {
         let settings = Settings::default();
         Self {
@@ -137,10 +136,10 @@
             settings,
             log: Recorder::new(usize::MAX),
             now: TimeMs(0),
-            next: 0,
+            next_id: 0,
             running: BTreeMap::new(),
-            over: Vec::new(),
-            open: BTreeSet::new(),
+            ended: Vec::new(),
+            unanswered: BTreeSet::new(),
         }
     }
 
@@ -155,11 +154,11 @@
         decide(&mut self.pool, &mut context);
         effects
             .into_iter()
-            .for_each(|effect| self.carry_out(effect));
-        self.check_slots();
+            .for_each(|effect| self.apply_effect(effect));
+        self.check_consistency();
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Dispatch {
                 request,
@@ -167,16 +166,19 @@
                 engine,
                 ..
             } => {
-                assert!(self.open.contains(&request), "{request} is over");
+                assert!(
+                    self.unanswered.contains(&request),
+                    "{request} was dispatched after its answer"
+                );
                 let before = self.running.insert(request, (attempt, engine, 0));
-                assert_eq!(before, None, "{request} runs already");
+                assert_eq!(before, None, "{request} was dispatched while it runs");
             }
             Effect::Cancel {
                 request, attempt, ..
             } => {
                 let running = self.running.remove(&request);
                 assert_eq!(running.map(|running| running.0), Some(attempt));
-                self.over.push((request, attempt));
+                self.ended.push((request, attempt));
             }
             Effect::Refuse {
                 request,
@@ -184,48 +186,51 @@
                 code,
                 retry_after_ms,
             } => {
-                assert!(self.open.remove(&request), "{request} was answered before");
+                assert!(
+                    self.unanswered.remove(&request),
+                    "{request} got a second answer"
+                );
                 assert!(!self.running.contains_key(&request));
                 let is_final = [RefusalCode::Rejected, RefusalCode::EndsEngines].contains(&code);
-                let may_come_back = outcome != Outcome::Unknown && !is_final;
-                assert_eq!(retry_after_ms.is_some(), may_come_back);
+                let may_retry = outcome != Outcome::Unknown && !is_final;
+                assert_eq!(retry_after_ms.is_some(), may_retry);
             }
         }
     }
 
-    fn check_slots(&self) {
+    fn check_consistency(&self) {
         for engine in 0..ENGINES {
-            let on_it = self
+            let attempts = self
                 .running
                 .values()
                 .filter(|running| running.1 == EndpointIx(engine));
             assert!(
-                on_it.count() <= SLOTS as usize,
-                "engine {engine} has too much"
+                attempts.count() <= SLOTS as usize,
+                "engine {engine} runs more requests than it has slots"
             );
         }
         let in_flight: u32 = self.pool.engine_views().iter().map(|e| e.in_flight.0).sum();
         assert_eq!(in_flight as usize, self.running.len());
-        assert_eq!(self.pool.in_flight(), self.open.len());
+        assert_eq!(self.pool.in_flight(), self.unanswered.len());
     }
 
-    fn picked(&self, pick: usize) -> Option<(RequestId, AttemptNumber)> {
+    fn pick_running(&self, pick: usize) -> Option<(RequestId, AttemptNumber)> {
         let count = self.running.len();
         let (request, running) = self.running.iter().nth(pick % count.max(1))?;
         Some((*request, running.0))
     }
 
-    fn end(&mut self, pick: usize, end: AttemptEnd) {
-        let Some((request, attempt)) = self.picked(pick) else {
+    fn end_attempt(&mut self, pick: usize, end: AttemptEnd) {
+        let Some((request, attempt)) = self.pick_running(pick) else {
             return;
         };
         self.running.remove(&request);
-        self.over.push((request, attempt));
+        self.ended.push((request, attempt));
         if matches!(end, AttemptEnd::Done(_) | AttemptEnd::CallerGone) {
-            self.open.remove(&request);
+            self.unanswered.remove(&request);
         }
         if end == AttemptEnd::CallerGone {
-            // The pool cancels it at the engine.
+            // The pool cancels the attempt at its engine.
             self.running
                 .insert(request, (attempt, EndpointIx(ENGINES), 0));
         }
@@ -241,25 +246,25 @@
                 prompt,
             } => self.offer(class, customer, is_repeatable, prompt),
             Step::FirstToken { pick } => {
-                if let Some((request, attempt)) = self.picked(pick) {
+                if let Some((request, attempt)) = self.pick_running(pick) {
                     self.decide(|pool, context| pool.first_token(context, request, attempt));
                 }
             }
             Step::Progress { pick, tokens } => self.progress(pick, tokens),
-            Step::Done { pick } => self.end(pick, AttemptEnd::Done(Tokens(9))),
+            Step::Done { pick } => self.end_attempt(pick, AttemptEnd::Done(Tokens(9))),
             Step::Lost { pick } => {
                 let delivered = Tokens(0);
-                self.end(pick, AttemptEnd::Lost { delivered });
+                self.end_attempt(pick, AttemptEnd::Lost { delivered });
             }
             Step::EngineEnded { pick } => {
                 let delivered = Tokens(0);
-                self.end(pick, AttemptEnd::EngineEnded { delivered });
+                self.end_attempt(pick, AttemptEnd::EngineEnded { delivered });
             }
-            Step::NotReached { pick } => self.end(pick, AttemptEnd::NotReached),
-            Step::Unavailable { pick } => self.end(pick, AttemptEnd::Unavailable),
-            Step::Rejected { pick } => self.end(pick, AttemptEnd::Rejected),
-            Step::CallerGone { pick } => self.end(pick, AttemptEnd::CallerGone),
-            Step::Stale { pick } => self.stale(pick),
+            Step::NotReached { pick } => self.end_attempt(pick, AttemptEnd::NotReached),
+            Step::Unavailable { pick } => self.end_attempt(pick, AttemptEnd::Unavailable),
+            Step::Rejected { pick } => self.end_attempt(pick, AttemptEnd::Rejected),
+            Step::CallerGone { pick } => self.end_attempt(pick, AttemptEnd::CallerGone),
+            Step::StaleReports { pick } => self.stale_reports(pick),
             Step::Report {
                 engine,
                 busy,
@@ -275,9 +280,9 @@
     }
 
     fn offer(&mut self, class: u16, customer: u32, is_repeatable: bool, prompt: u64) {
-        self.next += 1;
-        let request = RequestId(self.next);
-        self.open.insert(request);
+        self.next_id += 1;
+        let request = RequestId(self.next_id);
+        self.unanswered.insert(request);
         let offer = Offer {
             request,
             class: ClassIx(class),
@@ -287,7 +292,7 @@
             max_tokens: Tokens(100),
             blocks: vec![prompt % 5, prompt],
             block_tokens: 64,
-            // Some requests are equal.
+            // Some requests are identical.
             fingerprint: (!prompt.is_multiple_of(3)).then_some(RequestFingerprint {
                 customer,
                 content: prompt % 7,
@@ -299,7 +304,7 @@
     }
 
     fn progress(&mut self, pick: usize, tokens: u64) {
-        let Some((request, attempt)) = self.picked(pick) else {
+        let Some((request, attempt)) = self.pick_running(pick) else {
             return;
         };
         let Some(running) = self.running.get_mut(&request) else {
@@ -312,10 +317,10 @@
         });
     }
 
-    /// Reports of attempts that are over change nothing but a whole answer's request.
-    fn stale(&mut self, pick: usize) {
-        let count = self.over.len().max(1);
-        let Some((request, attempt)) = self.over.get(pick % count).copied() else {
+    /// Sends reports of an ended attempt, which must not change what runs.
+    fn stale_reports(&mut self, pick: usize) {
+        let count = self.ended.len().max(1);
+        let Some((request, attempt)) = self.ended.get(pick % count).copied() else {
             return;
         };
         let before = self.running.clone();
@@ -336,18 +341,22 @@
         ..ProptestConfig::default()
     })]
 
+    // Rare orders of events, such as a report that crosses a cancellation, can leak slots, lose
+    // requests or answer them twice.
     #[test]
-    fn any_sequence_keeps_the_pool_consistent(steps in prop::collection::vec(step(), 1..200)) {
-        let mut world = World::new();
+    fn no_sequence_of_events_leaks_slots_or_breaks_a_guarantee(
+        steps in prop::collection::vec(step(), 1..200)
+    ) {
+        let mut environment = PoolEnvironment::new();
         for step in steps {
-            world.apply(step);
+            environment.apply(step);
         }
-        // What still runs ends, what still waits runs or is given up.
+        // Running requests end; waiting requests run or are refused.
         for _ in 0..400 {
-            world.apply(Step::Wait { ms: 500 });
-            world.apply(Step::Done { pick: 0 });
+            environment.apply(Step::Wait { ms: 500 });
+            environment.apply(Step::Done { pick: 0 });
         }
-        prop_assert_eq!(world.open.len(), 0);
-        prop_assert_eq!(check_promises(world.log.records()), vec![]);
+        prop_assert_eq!(environment.unanswered.len(), 0);
+        prop_assert_eq!(check_promises(environment.log.records()), vec![]);
     }
 }
--- a/crates/decisions/tests/promises.rs
+++ b/crates/decisions/tests/promises.rs
@@ -1,5 +1,5 @@
-//! The brief's promises under load and faults: each fails with its mechanism taken out and
-//! holds with it.
+//! The guarantees of the pool under load and faults. Where a setting can disable the mechanism
+//! behind a guarantee, the test also shows that the guarantee fails without it.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use bridgevane_standins::BrokenPromise;
 use support::{Driver, Fault, RunResult, Setup, ravaton, solcata};
 
-/// A small pool under a load, for half a minute.
+/// Returns a setup of a small pool under a load for half a minute.
 fn setup(load: f64, seed: u64) -> Setup {
     Setup {
         engines: 4,
@@ -28,57 +28,65 @@
     setup
 }
 
-fn refused_above_lower(result: &RunResult) -> usize {
-    let is_it = |broken: &&BrokenPromise| matches!(broken, BrokenPromise::RefusedAboveLower { .. });
-    result.broken.iter().filter(is_it).count()
+fn refusals_above_lower_tier(result: &RunResult) -> usize {
+    let is_refused_above_lower =
+        |violation: &&BrokenPromise| matches!(violation, BrokenPromise::RefusedAboveLower { .. });
+    result
+        .violations
+        .iter()
+        .filter(is_refused_above_lower)
+        .count()
 }
 
+// Without preemption, a full pool refuses important requests while less important ones run.
 #[test]
-fn a_higher_tier_is_never_refused_while_a_lower_one_could_make_room() {
-    let without = run(with_settings(setup(3.0, 1), |settings| {
+fn a_higher_tier_is_never_refused_while_a_lower_one_could_be_preempted() {
+    let without_mechanism = run(with_settings(setup(3.0, 1), |settings| {
         settings.admission.is_preemption_enabled = false;
     }));
     assert!(
-        refused_above_lower(&without) > 0,
-        "the load must bring the failure about"
+        refusals_above_lower_tier(&without_mechanism) > 0,
+        "the load must cause the failure"
     );
-    let with = run(setup(3.0, 1));
-    assert_eq!(with.broken, []);
+    let with_mechanism = run(setup(3.0, 1));
+    assert_eq!(with_mechanism.violations, []);
 }
 
+// Without ageing, a flood of the upper tiers starves the lowest one.
 #[test]
-fn every_class_runs_however_large_the_burst_of_the_others() {
+fn a_flood_of_upper_tiers_does_not_starve_the_lowest_one() {
     let mut flood = setup(6.0, 2);
-    // Nearly all requests are of the two upper tiers.
-    flood.workload.classes[0].part = 0.6;
-    flood.workload.classes[1].part = 0.39;
-    flood.workload.classes[2].part = 0.01;
-    let without = run(with_settings(flood.clone(), |settings| {
+    // Nearly all requests belong to the two upper tiers.
+    flood.workload.classes[0].request_share = 0.6;
+    flood.workload.classes[1].request_share = 0.39;
+    flood.workload.classes[2].request_share = 0.01;
+    let without_mechanism = run(with_settings(flood.clone(), |settings| {
         settings.admission.is_ageing_enabled = false;
     }));
-    let with = run(flood.clone());
+    let with_mechanism = run(flood.clone());
     let served = |result: &RunResult| result.classes[2].in_target + result.classes[2].late;
     assert!(
-        served(&with) > served(&without),
+        served(&with_mechanism) > served(&without_mechanism),
         "{:?} {:?}",
-        with.classes,
-        without.classes
+        with_mechanism.classes,
+        without_mechanism.classes
     );
-    assert!(served(&with) > 0);
-    // The longest wait is four fifths of the target; a slot then frees within seconds.
+    assert!(served(&with_mechanism) > 0);
+    // The longest wait is four fifths of the target; then a slot becomes free within seconds.
     let bound_ms = flood.workload.classes[2].first_token_ms * 5 / 4;
     assert!(
-        with.classes[2].worst_first_token_ms <= bound_ms,
+        with_mechanism.classes[2].worst_first_token_ms <= bound_ms,
         "{:?}",
-        with.classes[2]
+        with_mechanism.classes[2]
     );
-    assert_eq!(with.broken, []);
+    assert_eq!(with_mechanism.violations, []);
 }
 
+// A burst of the lowest tier fills the pool and its queue.
 #[test]
-fn one_class_in_a_burst_does_not_crowd_out_the_others() {
+fn a_burst_of_the_lowest_tier_does_not_delay_the_others() {
     let mut burst = setup(1.0, 3);
-    burst.workload.classes[2].part *= 8.0;
+    burst.workload.classes[2].request_share *= 8.0;
     let result = run(burst);
     assert!(
         result.classes[0].attainment() > 0.99,
@@ -90,13 +98,13 @@
         "{:?}",
         result.classes
     );
-    assert_eq!(result.broken, []);
+    assert_eq!(result.violations, []);
 }
 
-/// Each fault of the brief, alone and two at once: answers are whole (the driver checks each
-/// token's place), promises hold, the top tier keeps its level.
+// Each fault, alone and two at once: answers are complete (the driver checks the offset of each
+// token), the guarantees hold, and the top tier keeps its attainment.
 #[test]
-fn promises_hold_under_each_fault_and_two_at_once() {
+fn guarantees_hold_under_each_fault_and_two_at_once() {
     let slow = Fault::Slow {
         engine: 1,
         factor: 10.0,
@@ -113,34 +121,34 @@
         from_ms: 8_000,
         to_ms: 15_000,
     };
-    let vanish = Fault::CallersVanish { nth: 7 };
+    let disconnect = Fault::CallersDisconnect { nth: 7 };
     let table: [(&str, Vec<Fault>, u64, f64); 7] = [
         ("engine slowed tenfold", vec![slow], 500, 0.97),
-        ("engine crashed in mid-stream", vec![crash], 500, 0.97),
+        ("engine crashed while streaming", vec![crash], 500, 0.97),
         ("load reports two seconds late", vec![], 2_000, 0.99),
-        ("callers vanish", vec![vanish], 500, 0.99),
+        ("callers disconnect", vec![disconnect], 500, 0.99),
         ("engine refuses fast", vec![refuse], 500, 0.98),
         ("slowed and crashed", vec![slow, crash], 500, 0.9),
         (
-            "crashed, callers vanish, reports late",
-            vec![crash, vanish],
+            "crashed, callers disconnect, reports late",
+            vec![crash, disconnect],
             2_000,
             0.95,
         ),
     ];
-    for (name, faults, report_lag_ms, least) in table {
+    for (name, faults, report_lag_ms, min_attainment) in table {
         for seed in [4, 5] {
             let result = run(Setup {
                 faults: faults.clone(),
                 report_lag_ms,
                 ..setup(1.5, seed)
             });
-            assert_eq!(result.broken, [], "{name}");
+            assert_eq!(result.violations, [], "{name}");
             let unfinished: u64 = result.classes.iter().map(|class| class.unfinished).sum();
             assert_eq!(unfinished, 0, "{name}: {:?}", result.classes);
             let attainment = result.classes[0].attainment();
             assert!(
-                attainment >= least,
+                attainment >= min_attainment,
                 "{name}: {attainment} {:?}",
                 result.classes
             );
@@ -148,14 +156,15 @@
     }
 }
 
+// Without cache events, all requests are routed by load alone.
 #[test]
-fn the_loss_of_all_cache_events_costs_no_promise() {
-    let with = run(Setup {
+fn guarantees_hold_without_any_cache_events() {
+    let cache_aware = run(Setup {
         engines: 4,
         duration_ms: 30_000,
         ..Setup::new(ravaton(), 1.0, 6)
     });
-    let blind = run(with_settings(
+    let cache_unaware = run(with_settings(
         Setup {
             engines: 4,
             duration_ms: 30_000,
@@ -163,13 +172,18 @@
         },
         |settings| settings.routing.is_cache_aware = false,
     ));
-    assert_eq!(with.broken, []);
-    assert_eq!(blind.broken, []);
-    assert!(blind.classes[0].attainment() > 0.98, "{:?}", blind.classes);
+    assert_eq!(cache_aware.violations, []);
+    assert_eq!(cache_unaware.violations, []);
+    assert!(
+        cache_unaware.classes[0].attainment() > 0.98,
+        "{:?}",
+        cache_unaware.classes
+    );
 }
 
+// Without a home daemon, several daemons dispatch to the same engines without coordination.
 #[test]
-fn several_daemons_without_a_home_keep_their_own_promises() {
+fn several_daemons_without_a_home_each_keep_the_guarantees() {
     let setup = Setup {
         engines: 6,
         duration_ms: 30_000,
@@ -181,17 +195,18 @@
         .map(|seed| Pool::new(policy.clone(), &setup.settings, seed))
         .collect();
     let result = Driver::new(setup, pools).run();
-    // Each log is checked alone: without a home, nobody sees the whole data centre.
-    assert_eq!(result.broken, []);
+    // Each log is checked on its own: without a home, no daemon sees the whole data centre.
+    assert_eq!(result.violations, []);
     assert!(result.classes[0].attainment() > 0.8, "{:?}", result.classes);
 }
 
+// A request that can't meet its target must not be kept waiting for its refusal.
 #[test]
-fn a_refusal_comes_at_once_or_when_it_becomes_certain() {
+fn refusals_are_sent_within_the_target_of_the_lowest_class_and_its_grace() {
     let result = run(setup(3.0, 8));
     let refused: u64 = result.classes.iter().map(|class| class.refused).sum();
-    assert!(refused > 100, "the load must bring refusals about");
-    // Never held back beyond the lowest class's target and its grace.
+    assert!(refused > 100, "the load must cause refusals");
+    // The target of the lowest class and its grace period.
     let target_ms = ravaton().classes[2].first_token_ms.max(20_000);
-    assert!(result.refused_within_ms <= target_ms * 5 / 4);
+    assert!(result.longest_refusal_ms <= target_ms * 5 / 4);
 }
--- a/crates/decisions/tests/support/baselines.rs
+++ b/crates/decisions/tests/support/baselines.rs
@@ -1,4 +1,5 @@
-//! Ways to decide that the product is compared with: first in, first out, by a simple chooser.
+//! Baselines that the product is compared with: first in, first out, with a simple choice of the
+//! engine.
 
 use bridgevane_decisions::{
     AttemptEnd, DecisionLog, Effect, EndpointIx, Offer, Policy, PoolContext,
@@ -8,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{HashMap, VecDeque};
 
-/// How a baseline chooses an engine.
+/// The rule by which a baseline chooses an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Chooser {
     RoundRobin,
@@ -22,7 +23,7 @@
     delivered: Tokens,
 }
 
-/// First in, first out; an engine takes as many requests as it has slots.
+/// A first-in, first-out scheduler; an engine runs as many requests as it has slots.
 pub struct Baseline {
     chooser: Chooser,
     slots: u32,
--- a/crates/decisions/tests/support/driver.rs
+++ b/crates/decisions/tests/support/driver.rs
@@ -1,4 +1,4 @@
-//! Runs deciders against engine models in virtual time.
+//! Runs schedulers against engine models in virtual time.
 
 use super::workload::{Arrival, BLOCK_TOKENS, MAX_TOKENS, Workload};
 use bridgevane_adapters::EndReason;
@@ -14,7 +14,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 
-/// What goes wrong, and when.
+/// A fault and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// An engine's steps take `factor` times as long.
@@ -24,33 +24,33 @@
         from_ms: u64,
         to_ms: u64,
     },
-    /// An engine loses its streams and can't be reached.
+    /// An engine loses its streams and is unreachable.
     Crash {
         engine: usize,
         from_ms: u64,
         to_ms: u64,
     },
-    /// An engine refuses all new work at once, while its streams go on.
+    /// An engine refuses all new requests at once, while its streams continue.
     Refuse {
         engine: usize,
         from_ms: u64,
         to_ms: u64,
     },
-    /// The callers of every `nth` request go away after their first token.
-    CallersVanish { nth: u64 },
+    /// The callers of every `nth` request disconnect after their first token.
+    CallersDisconnect { nth: u64 },
 }
 
-/// What is run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub workload: Workload,
     pub engines: usize,
     pub slots: u32,
-    /// Load as a part of capacity.
+    /// The load as a multiple of the capacity.
     pub load: f64,
     pub seed: u64,
     pub duration_ms: u64,
-    /// How old load reports are.
+    /// The age of load reports (ms).
     pub report_lag_ms: u64,
     pub faults: Vec<Fault>,
     pub settings: Settings,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Time of a step with every slot in use.
+    /// Returns the duration of an engine step with every slot in use (ms).
     pub fn full_step_ms(&self) -> f64 {
         let spec = self.spec();
         (spec.step_base_us + spec.step_per_sequence_us * f64::from(self.slots)) / 1000.0
@@ -95,7 +95,7 @@
     }
 }
 
-/// What became of one class.
+/// The results of one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassResult {
     pub offered: u64,
@@ -103,7 +103,7 @@
     pub late: u64,
     pub refused: u64,
     pub unfinished: u64,
-    pub good_tokens: u64,
+    pub in_target_tokens: u64,
     pub worst_first_token_ms: u64,
 }
 
@@ -113,25 +113,26 @@
     }
 }
 
-/// What became of a run.
+/// The results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunResult {
     pub classes: Vec<ClassResult>,
-    /// Tokens of answers within target, a second.
+    /// The tokens per second of answers within target.
     pub goodput_tps: f64,
-    /// What someone who knows everything could reach at most.
+    /// The upper bound of the goodput, which needs full knowledge of all requests.
     pub bound_tps: f64,
-    /// Computed tokens that were for nothing, as a part of all.
-    pub wasted: f64,
-    pub broken: Vec<BrokenPromise>,
-    /// Attempts that were taken back or lost, by cause.
+    /// The share of computed tokens that were wasted.
+    pub wasted_share: f64,
+    pub violations: Vec<BrokenPromise>,
+    /// The number of attempts that were cancelled or lost, by cause.
     pub interrupted: BTreeMap<&'static str, u64>,
-    pub refused_within_ms: u64,
+    /// The longest time from the arrival of a request to its refusal (ms).
+    pub longest_refusal_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Arrive(usize),
+enum SimEvent {
+    RequestArrives(usize),
     Step(usize),
     Tick,
     Reports,
@@ -149,39 +150,39 @@
     token_ms: u64,
 }
 
-struct Live {
+struct RequestState {
     arrival: usize,
-    decider: usize,
+    scheduler: usize,
     attempt: Option<Attempt>,
     attempts: u64,
     delivered: u64,
-    /// Tokens that were delivered while requests still arrived.
+    /// The tokens that were delivered while requests still arrived.
     delivered_in_time: u64,
     first_token_ms: Option<u64>,
-    is_over: bool,
+    is_finished: bool,
 }
 
 const TICK_MS: u64 = 20;
 const REPORT_EVERY_MS: u64 = 100;
 const PROGRESS_TOKENS: u64 = 32;
 const PROGRESS_MS: u64 = 1_000;
-/// A token that comes so late is reported at once.
+/// The gap from which on a token is reported at once.
 const SLOW_GAP_MS: u64 = 150;
-/// Time after the last arrival for answers to end.
+/// The time after the last arrival in which answers can end.
 const DRAIN_MS: u64 = 60_000;
 
-/// One run.
+/// A run of a simulation.
 pub struct Driver<P> {
     setup: Setup,
-    deciders: Vec<P>,
+    schedulers: Vec<P>,
     logs: Vec<Recorder>,
     engines: Vec<EngineModel>,
     is_down: Vec<bool>,
     is_refusing: Vec<bool>,
     arrivals: Vec<Arrival>,
-    live: HashMap<RequestId, Live>,
-    queue: BinaryHeap<Reverse<(u64, u64, Happening)>>,
-    order: u64,
+    requests: HashMap<RequestId, RequestState>,
+    event_queue: BinaryHeap<Reverse<(u64, u64, SimEvent)>>,
+    event_sequence: u64,
     now_us: u64,
     reports: Vec<VecDeque<(u64, u32)>>,
     result: RunResult,
@@ -189,12 +190,15 @@
 }
 
 impl<P: Policy> Driver<P> {
-    /// A run with these deciders: one is a home, several each decide alone.
-    pub fn new(setup: Setup, deciders: Vec<P>) -> Self {
+    /// Creates a run. One scheduler acts as the home daemon; several decide independently.
+    pub fn new(setup: Setup, schedulers: Vec<P>) -> Self {
         let arrivals = setup.arrivals();
         let engines = vec![EngineModel::new(setup.spec()); setup.engines];
         let mut driver = Self {
-            logs: deciders.iter().map(|_| Recorder::new(usize::MAX)).collect(),
+            logs: schedulers
+                .iter()
+                .map(|_| Recorder::new(usize::MAX))
+                .collect(),
             is_down: vec![false; setup.engines],
             is_refusing: vec![false; setup.engines],
             reports: vec![VecDeque::new(); setup.engines],
@@ -202,12 +206,12 @@
                 classes: vec![ClassResult::default(); setup.workload.classes.len()],
                 ..RunResult::default()
             },
-            deciders,
+            schedulers,
             engines,
             arrivals,
-            live: HashMap::new(),
-            queue: BinaryHeap::new(),
-            order: 0,
+            requests: HashMap::new(),
+            event_queue: BinaryHeap::new(),
+            event_sequence: 0,
             now_us: 0,
             wasted_tokens: 0,
             setup,
@@ -217,54 +221,58 @@
     }
 
     fn schedule_all(&mut self) {
-        for at in 0..self.arrivals.len() {
-            self.schedule(self.arrivals[at].at_ms * 1000, Happening::Arrive(at));
+        for index in 0..self.arrivals.len() {
+            self.schedule(
+                self.arrivals[index].at_ms * 1000,
+                SimEvent::RequestArrives(index),
+            );
         }
-        for at in 0..self.setup.faults.len() {
-            match self.setup.faults[at] {
+        for index in 0..self.setup.faults.len() {
+            match self.setup.faults[index] {
                 Fault::Slow { from_ms, to_ms, .. }
                 | Fault::Crash { from_ms, to_ms, .. }
                 | Fault::Refuse { from_ms, to_ms, .. } => {
-                    self.schedule(from_ms * 1000, Happening::FaultBegins(at));
-                    self.schedule(to_ms * 1000, Happening::FaultEnds(at));
+                    self.schedule(from_ms * 1000, SimEvent::FaultBegins(index));
+                    self.schedule(to_ms * 1000, SimEvent::FaultEnds(index));
                 }
-                Fault::CallersVanish { .. } => {}
+                Fault::CallersDisconnect { .. } => {}
             }
         }
-        self.schedule(0, Happening::Tick);
-        self.schedule(0, Happening::Reports);
+        self.schedule(0, SimEvent::Tick);
+        self.schedule(0, SimEvent::Reports);
     }
 
-    fn schedule(&mut self, at_us: u64, happening: Happening) {
-        self.order += 1;
-        self.queue.push(Reverse((at_us, self.order, happening)));
+    fn schedule(&mut self, at_us: u64, event: SimEvent) {
+        self.event_sequence += 1;
+        self.event_queue
+            .push(Reverse((at_us, self.event_sequence, event)));
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> RunResult {
         let end_us = (self.setup.duration_ms + DRAIN_MS) * 1000;
-        while let Some(Reverse((at_us, _, happening))) = self.queue.pop() {
+        while let Some(Reverse((at_us, _, event))) = self.event_queue.pop() {
             if at_us > end_us {
                 break;
             }
             self.now_us = at_us;
-            match happening {
-                Happening::Arrive(at) => self.arrive(at),
-                Happening::Step(engine) => self.step(engine),
-                Happening::Tick => {
-                    for decider in 0..self.deciders.len() {
-                        self.decide(decider, |policy, context| policy.tick(context));
+            match event {
+                SimEvent::RequestArrives(index) => self.on_arrival(index),
+                SimEvent::Step(engine) => self.step(engine),
+                SimEvent::Tick => {
+                    for scheduler in 0..self.schedulers.len() {
+                        self.decide(scheduler, |policy, context| policy.tick(context));
                     }
-                    self.schedule(self.now_us + TICK_MS * 1000, Happening::Tick);
+                    self.schedule(self.now_us + TICK_MS * 1000, SimEvent::Tick);
                 }
-                Happening::Reports => self.report_loads(),
-                Happening::FaultBegins(at) => self.begin_fault(at),
-                Happening::FaultEnds(at) => self.end_fault(at),
-                Happening::NotReached(request, attempt) => {
-                    self.not_taken(request, attempt, AttemptEnd::NotReached);
+                SimEvent::Reports => self.report_loads(),
+                SimEvent::FaultBegins(index) => self.begin_fault(index),
+                SimEvent::FaultEnds(index) => self.end_fault(index),
+                SimEvent::NotReached(request, attempt) => {
+                    self.on_not_accepted(request, attempt, AttemptEnd::NotReached);
                 }
-                Happening::Unavailable(request, attempt) => {
-                    self.not_taken(request, attempt, AttemptEnd::Unavailable);
+                SimEvent::Unavailable(request, attempt) => {
+                    self.on_not_accepted(request, attempt, AttemptEnd::Unavailable);
                 }
             }
         }
@@ -277,7 +285,7 @@
 
     fn decide(
         &mut self,
-        decider: usize,
+        scheduler: usize,
         decide: impl FnOnce(&mut P, &mut PoolContext<'_, Recorder>),
     ) {
         let mut effects = Vec::new();
@@ -285,18 +293,18 @@
             now: TimeMs(self.now_us / 1000),
             settings: &self.setup.settings,
             effects: &mut effects,
-            log: &mut self.logs[decider],
+            log: &mut self.logs[scheduler],
         };
-        decide(&mut self.deciders[decider], &mut context);
+        decide(&mut self.schedulers[scheduler], &mut context);
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
     }
 
-    fn arrive(&mut self, at: usize) {
-        let request = RequestId(at as u128);
-        let arrival = &self.arrivals[at];
-        let decider = at % self.deciders.len();
+    fn on_arrival(&mut self, index: usize) {
+        let request = RequestId(index as u128);
+        let arrival = &self.arrivals[index];
+        let scheduler = index % self.schedulers.len();
         let offer = Offer {
             request,
             class: ClassIx(arrival.class as u16),
@@ -311,21 +319,21 @@
             is_preemptible: true,
         };
         self.result.classes[arrival.class].offered += 1;
-        let live = Live {
-            arrival: at,
-            decider,
+        let state = RequestState {
+            arrival: index,
+            scheduler,
             attempt: None,
             attempts: 0,
             delivered: 0,
             delivered_in_time: 0,
             first_token_ms: None,
-            is_over: false,
+            is_finished: false,
         };
-        self.live.insert(request, live);
-        self.decide(decider, |policy, context| policy.offer(context, offer));
+        self.requests.insert(request, state);
+        self.decide(scheduler, |policy, context| policy.offer(context, offer));
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Dispatch {
                 request,
@@ -341,8 +349,8 @@
                 ..
             } => {
                 self.engines[engine.at()].cancel(request, attempt);
-                if let Some(live) = self.live.get_mut(&request) {
-                    live.attempt = None;
+                if let Some(state) = self.requests.get_mut(&request) {
+                    state.attempt = None;
                 }
             }
             Effect::Refuse { request, .. } => self.refuse(request),
@@ -351,15 +359,15 @@
 
     fn refuse(&mut self, request: RequestId) {
         let now_ms = self.now_ms();
-        let Some(live) = self.live.get_mut(&request) else {
+        let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
-        live.is_over = true;
-        let arrival = &self.arrivals[live.arrival];
+        state.is_finished = true;
+        let arrival = &self.arrivals[state.arrival];
         self.result.classes[arrival.class].refused += 1;
-        self.wasted_tokens += live.delivered;
+        self.wasted_tokens += state.delivered;
         let waited = now_ms - arrival.at_ms;
-        self.result.refused_within_ms = self.result.refused_within_ms.max(waited);
+        self.result.longest_refusal_ms = self.result.longest_refusal_ms.max(waited);
     }
 
     fn dispatch(
@@ -369,58 +377,58 @@
         engine: EndpointIx,
         priority: Tier,
     ) {
-        let at = engine.at();
+        let index = engine.at();
         let now_us = self.now_us;
-        let Some(live) = self.live.get_mut(&request) else {
+        let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
-        live.attempts += 1;
-        live.attempt = Some(Attempt {
+        state.attempts += 1;
+        state.attempt = Some(Attempt {
             number: attempt,
-            engine: at,
-            reported: live.delivered,
+            engine: index,
+            reported: state.delivered,
             reported_ms: now_us / 1000,
             token_ms: now_us / 1000,
         });
-        if self.is_down[at] {
-            live.attempt = None;
-            let refused = Happening::NotReached(request, attempt);
+        if self.is_down[index] {
+            state.attempt = None;
+            let refused = SimEvent::NotReached(request, attempt);
             self.schedule(now_us + 1000, refused);
             return;
         }
-        if self.is_refusing[at] {
-            live.attempt = None;
-            let refused = Happening::Unavailable(request, attempt);
+        if self.is_refusing[index] {
+            state.attempt = None;
+            let refused = SimEvent::Unavailable(request, attempt);
             self.schedule(now_us + 1000, refused);
             return;
         }
-        let arrival = &self.arrivals[live.arrival];
+        let arrival = &self.arrivals[state.arrival];
         let job = Job {
             request,
             attempt,
             priority,
             blocks: arrival.blocks.clone(),
             prompt_tokens: arrival.prompt_tokens,
-            resume_from: live.delivered,
+            resume_from: state.delivered,
             total_tokens: arrival.answer_tokens,
             end: EndReason::Stop,
         };
-        let is_again = live.attempts > 1;
-        if is_again {
-            self.wasted_tokens += self.engines[at].uncached_tokens(&job);
+        let is_resumed = state.attempts > 1;
+        if is_resumed {
+            self.wasted_tokens += self.engines[index].uncached_tokens(&job);
         }
-        let was_idle = self.engines[at].step_ends_us().is_none();
-        self.engines[at].submit(now_us, job);
-        if let (true, Some(ends_us)) = (was_idle, self.engines[at].step_ends_us()) {
-            self.schedule(ends_us, Happening::Step(at));
+        let was_idle = self.engines[index].step_ends_us().is_none();
+        self.engines[index].submit(now_us, job);
+        if let (true, Some(ends_us)) = (was_idle, self.engines[index].step_ends_us()) {
+            self.schedule(ends_us, SimEvent::Step(index));
         }
     }
 
-    fn not_taken(&mut self, request: RequestId, attempt: AttemptNumber, end: AttemptEnd) {
-        let Some(decider) = self.live.get(&request).map(|live| live.decider) else {
+    fn on_not_accepted(&mut self, request: RequestId, attempt: AttemptNumber, end: AttemptEnd) {
+        let Some(scheduler) = self.requests.get(&request).map(|state| state.scheduler) else {
             return;
         };
-        self.decide(decider, |policy, context| {
+        self.decide(scheduler, |policy, context| {
             policy.finished(context, request, attempt, end);
         });
     }
@@ -433,7 +441,7 @@
         let now_us = self.now_us;
         self.engines[engine].step(now_us, &mut events);
         if let Some(ends_us) = self.engines[engine].step_ends_us() {
-            self.schedule(ends_us, Happening::Step(engine));
+            self.schedule(ends_us, SimEvent::Step(engine));
         }
         for event in events {
             match event {
@@ -441,48 +449,52 @@
                     request,
                     attempt,
                     offset,
-                } => self.token(request, attempt, offset),
+                } => self.on_token(request, attempt, offset),
                 ModelEvent::End {
                     request, attempt, ..
-                } => self.answer_ended(request, attempt),
+                } => self.on_answer_end(request, attempt),
             }
         }
     }
 
-    fn current(&mut self, request: RequestId, attempt: AttemptNumber) -> Option<&mut Live> {
-        let live = self.live.get_mut(&request)?;
-        let is_current = live.attempt.as_ref().is_some_and(|a| a.number == attempt);
-        (is_current && !live.is_over).then_some(live)
+    fn current_request(
+        &mut self,
+        request: RequestId,
+        attempt: AttemptNumber,
+    ) -> Option<&mut RequestState> {
+        let state = self.requests.get_mut(&request)?;
+        let is_current = state.attempt.as_ref().is_some_and(|a| a.number == attempt);
+        (is_current && !state.is_finished).then_some(state)
     }
 
-    fn token(&mut self, request: RequestId, attempt: AttemptNumber, offset: u64) {
+    fn on_token(&mut self, request: RequestId, attempt: AttemptNumber, offset: u64) {
         let now_ms = self.now_ms();
         let duration_ms = self.setup.duration_ms;
-        let vanish = self.vanishing();
-        let Some(live) = self.current(request, attempt) else {
+        let disconnect_interval = self.disconnect_interval();
+        let Some(state) = self.current_request(request, attempt) else {
             return;
         };
         assert_eq!(
-            offset, live.delivered,
-            "an answer must go on where it stopped"
+            offset, state.delivered,
+            "an answer must resume at its last delivered token"
         );
-        let decider = live.decider;
-        let is_first_of_attempt = live
+        let scheduler = state.scheduler;
+        let is_first_of_attempt = state
             .attempt
             .as_ref()
-            .is_some_and(|a| a.reported == live.delivered);
-        live.delivered += 1;
-        live.delivered_in_time += u64::from(now_ms < duration_ms);
-        live.first_token_ms.get_or_insert(now_ms);
-        let delivered = live.delivered;
+            .is_some_and(|a| a.reported == state.delivered);
+        state.delivered += 1;
+        state.delivered_in_time += u64::from(now_ms < duration_ms);
+        state.first_token_ms.get_or_insert(now_ms);
+        let delivered = state.delivered;
         let due = !is_first_of_attempt
-            && live.attempt.as_ref().is_some_and(|a| {
+            && state.attempt.as_ref().is_some_and(|a| {
                 delivered >= a.reported + PROGRESS_TOKENS
                     || now_ms >= a.reported_ms + PROGRESS_MS
                     || now_ms >= a.token_ms + SLOW_GAP_MS
             });
         let mut gap_ms = DurationMs(0);
-        if let Some(attempt) = live.attempt.as_mut() {
+        if let Some(attempt) = state.attempt.as_mut() {
             gap_ms = DurationMs(now_ms - attempt.token_ms);
             attempt.token_ms = now_ms;
             if due {
@@ -491,64 +503,64 @@
             }
         }
         if is_first_of_attempt {
-            if vanish.is_some_and(|nth| request.0.is_multiple_of(u128::from(nth))) {
-                self.vanish(request, attempt);
+            if disconnect_interval.is_some_and(|nth| request.0.is_multiple_of(u128::from(nth))) {
+                self.disconnect_caller(request, attempt);
                 return;
             }
-            self.decide(decider, |policy, context| {
+            self.decide(scheduler, |policy, context| {
                 policy.first_token(context, request, attempt);
             });
         }
         if due {
-            self.decide(decider, |policy, context| {
+            self.decide(scheduler, |policy, context| {
                 policy.progress(context, request, attempt, Tokens(delivered), gap_ms);
             });
         }
     }
 
-    fn vanishing(&self) -> Option<u64> {
+    fn disconnect_interval(&self) -> Option<u64> {
         self.setup.faults.iter().find_map(|fault| match fault {
-            Fault::CallersVanish { nth } => Some(*nth),
+            Fault::CallersDisconnect { nth } => Some(*nth),
             _ => None,
         })
     }
 
-    fn vanish(&mut self, request: RequestId, attempt: AttemptNumber) {
-        let Some(live) = self.live.get_mut(&request) else {
+    fn disconnect_caller(&mut self, request: RequestId, attempt: AttemptNumber) {
+        let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
-        live.is_over = true;
-        let decider = live.decider;
-        self.wasted_tokens += live.delivered;
-        let class = self.arrivals[live.arrival].class;
+        state.is_finished = true;
+        let scheduler = state.scheduler;
+        self.wasted_tokens += state.delivered;
+        let class = self.arrivals[state.arrival].class;
         self.result.classes[class].offered -= 1;
         let end = AttemptEnd::CallerGone;
-        self.decide(decider, |policy, context| {
+        self.decide(scheduler, |policy, context| {
             policy.finished(context, request, attempt, end);
         });
     }
 
-    fn answer_ended(&mut self, request: RequestId, attempt: AttemptNumber) {
+    fn on_answer_end(&mut self, request: RequestId, attempt: AttemptNumber) {
         let now_ms = self.now_ms();
-        let Some(live) = self.current(request, attempt) else {
+        let Some(state) = self.current_request(request, attempt) else {
             return;
         };
-        live.is_over = true;
-        live.attempt = None;
-        let decider = live.decider;
-        let (at, delivered, first_ms) = (live.arrival, live.delivered, live.first_token_ms);
-        let in_time = live.delivered_in_time;
-        self.count_whole(at, delivered, in_time, first_ms.unwrap_or(now_ms));
+        state.is_finished = true;
+        state.attempt = None;
+        let scheduler = state.scheduler;
+        let (index, delivered, first_ms) = (state.arrival, state.delivered, state.first_token_ms);
+        let in_time = state.delivered_in_time;
+        self.count_answer(index, delivered, in_time, first_ms.unwrap_or(now_ms));
         let end = AttemptEnd::Done(Tokens(delivered));
-        self.decide(decider, |policy, context| {
+        self.decide(scheduler, |policy, context| {
             policy.finished(context, request, attempt, end);
         });
     }
 
-    fn count_whole(&mut self, at: usize, tokens: u64, in_time: u64, first_ms: u64) {
+    fn count_answer(&mut self, index: usize, tokens: u64, in_time: u64, first_ms: u64) {
         let now_ms = self.now_ms();
-        let arrival = &self.arrivals[at];
-        assert_eq!(tokens, arrival.answer_tokens, "an answer must be whole");
+        let arrival = &self.arrivals[index];
+        assert_eq!(tokens, arrival.answer_tokens, "an answer must be complete");
         let class = &self.setup.workload.classes[arrival.class];
         let waited_ms = first_ms - arrival.at_ms;
         let gap_ms = (now_ms - first_ms) / tokens.saturating_sub(1).max(1);
@@ -559,7 +571,7 @@
         result.worst_first_token_ms = result.worst_first_token_ms.max(waited_ms);
         if waited_ms <= class.first_token_ms && gap_met {
             result.in_target += 1;
-            result.good_tokens += in_time;
+            result.in_target_tokens += in_time;
         } else {
             result.late += 1;
         }
@@ -580,31 +592,31 @@
             if self.is_down[engine] || age_ms.0 < lag_ms {
                 continue;
             }
-            for decider in 0..self.deciders.len() {
+            for scheduler in 0..self.schedulers.len() {
                 let engine = EndpointIx(engine as u32);
-                self.decide(decider, |policy, context| {
+                self.decide(scheduler, |policy, context| {
                     policy.load_report(context, engine, busy, age_ms);
                 });
             }
         }
-        self.schedule(self.now_us + REPORT_EVERY_MS * 1000, Happening::Reports);
+        self.schedule(self.now_us + REPORT_EVERY_MS * 1000, SimEvent::Reports);
     }
 
-    fn begin_fault(&mut self, at: usize) {
-        match self.setup.faults[at] {
+    fn begin_fault(&mut self, index: usize) {
+        match self.setup.faults[index] {
             Fault::Slow { engine, factor, .. } => self.engines[engine].set_slowdown(factor),
             Fault::Crash { engine, .. } => self.crash(engine),
             Fault::Refuse { engine, .. } => self.is_refusing[engine] = true,
-            Fault::CallersVanish { .. } => {}
+            Fault::CallersDisconnect { .. } => {}
         }
     }
 
-    fn end_fault(&mut self, at: usize) {
-        match self.setup.faults[at] {
+    fn end_fault(&mut self, index: usize) {
+        match self.setup.faults[index] {
             Fault::Slow { engine, .. } => self.engines[engine].set_slowdown(1.0),
             Fault::Crash { engine, .. } => self.is_down[engine] = false,
             Fault::Refuse { engine, .. } => self.is_refusing[engine] = false,
-            Fault::CallersVanish { .. } => {}
+            Fault::CallersDisconnect { .. } => {}
         }
     }
 
@@ -612,32 +624,32 @@
         self.is_down[engine] = true;
         self.engines[engine].clear();
         let mut lost: Vec<_> = self
-            .live
+            .requests
             .iter()
-            .filter(|(_, live)| live.attempt.as_ref().is_some_and(|a| a.engine == engine))
+            .filter(|(_, state)| state.attempt.as_ref().is_some_and(|a| a.engine == engine))
             .map(|(request, _)| *request)
             .collect();
         lost.sort();
         for request in lost {
-            let Some(live) = self.live.get_mut(&request) else {
+            let Some(state) = self.requests.get_mut(&request) else {
                 continue;
             };
-            let Some(attempt) = live.attempt.take() else {
+            let Some(attempt) = state.attempt.take() else {
                 continue;
             };
-            let decider = live.decider;
+            let scheduler = state.scheduler;
             let end = AttemptEnd::Lost {
-                delivered: Tokens(live.delivered),
+                delivered: Tokens(state.delivered),
             };
-            self.decide(decider, |policy, context| {
+            self.decide(scheduler, |policy, context| {
                 policy.finished(context, request, attempt.number, end);
             });
         }
     }
 
     fn finish(mut self) -> RunResult {
-        for live in self.live.values().filter(|live| !live.is_over) {
-            let class = self.arrivals[live.arrival].class;
+        for state in self.requests.values().filter(|state| !state.is_finished) {
+            let class = self.arrivals[state.arrival].class;
             self.result.classes[class].unfinished += 1;
         }
         let seconds = self.setup.duration_ms as f64 / 1000.0;
@@ -645,14 +657,14 @@
             .result
             .classes
             .iter()
-            .map(|class| class.good_tokens)
+            .map(|class| class.in_target_tokens)
             .sum();
         self.result.goodput_tps = good as f64 / seconds;
-        self.result.bound_tps = self.bound_tokens() / seconds;
+        self.result.bound_tps = self.goodput_bound_tokens() / seconds;
         let decoded: u64 = self.engines.iter().map(|e| e.decoded_tokens().0).sum();
         let prefilled: u64 = self.engines.iter().map(|e| e.prefilled_tokens().0).sum();
         let computed = (decoded + prefilled).max(1);
-        self.result.wasted = self.wasted_tokens as f64 / computed as f64;
+        self.result.wasted_share = self.wasted_tokens as f64 / computed as f64;
         for log in &self.logs {
             for record in log.records() {
                 let cause = match record.decision {
@@ -669,15 +681,15 @@
                 };
                 *self.result.interrupted.entry(cause).or_default() += 1;
             }
-            self.result.broken.extend(check_promises(log.records()));
+            self.result.violations.extend(check_promises(log.records()));
         }
         self.result
     }
 
-    /// What nobody can exceed while requests arrive: the engines' slots, less what faults
-    /// take, filled with the answers that cost least a token, with true lengths, each prompt's
-    /// own part processed once, and no waiting.
-    fn bound_tokens(&self) -> f64 {
+    /// Returns an upper bound of the tokens of answers while requests arrive. It fills the engines'
+    /// slots, less the time lost to faults, with the answers that cost least per token, and assumes
+    /// known lengths, no waiting, and that the unshared part of each prompt is processed once.
+    fn goodput_bound_tokens(&self) -> f64 {
         let step_ms = self.setup.full_step_ms();
         let prefill = self.setup.spec().prefill_tokens_per_ms;
         let cost = |arrival: &Arrival| {
@@ -691,7 +703,8 @@
         let mut costs: Vec<(f64, f64)> = self.arrivals.iter().map(cost).collect();
         costs.sort_by(|a, b| (a.1 / a.0).total_cmp(&(b.1 / b.0)));
         let engine_ms = self.setup.engines as f64 * self.setup.duration_ms as f64;
-        let mut left_ms = (engine_ms - self.lost_engine_ms()) * f64::from(self.setup.slots);
+        let mut left_ms =
+            (engine_ms - self.engine_ms_lost_to_faults()) * f64::from(self.setup.slots);
         let mut tokens = 0.0;
         for (answer, cost_ms) in costs {
             tokens += answer * (left_ms / cost_ms).clamp(0.0, 1.0);
@@ -700,8 +713,8 @@
         tokens
     }
 
-    /// Engine time that faults take.
-    fn lost_engine_ms(&self) -> f64 {
+    /// Returns the engine time lost to faults (ms).
+    fn engine_ms_lost_to_faults(&self) -> f64 {
         let lost = |fault: &Fault| match fault {
             Fault::Slow {
                 factor,
@@ -712,7 +725,7 @@
             Fault::Crash { from_ms, to_ms, .. } | Fault::Refuse { from_ms, to_ms, .. } => {
                 (to_ms - from_ms) as f64
             }
-            Fault::CallersVanish { .. } => 0.0,
+            Fault::CallersDisconnect { .. } => 0.0,
         };
         self.setup.faults.iter().map(lost).sum()
     }
--- a/crates/decisions/tests/support/mod.rs
+++ b/crates/decisions/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A small fake of engines and callers in virtual time, shared by tests and benchmarks.
+//! A simulation of engines and callers in virtual time, shared by tests and benchmarks.
 //!
-//! It is no simulator of a cluster: engines are the pure model of the stand-ins, callers are
-//! a list of arrivals, messages take no time but where a test says so.
+//! It doesn't simulate a whole cluster: engines are the pure model of the stand-ins, callers are a
+//! list of arrivals, and messages take no time unless a test sets a delay.
 #![allow(dead_code, unused_imports)]
 
 pub mod baselines;
