--- a/crates/decisions/src/crash_count.rs
+++ b/crates/decisions/src/crash_count.rs
@@ -126,12 +126,14 @@
 }
 
 impl<E: Copy + Eq> Suspect<E> {
+    /// Returns the time of the newest observation.
     fn last_observed_at(&self) -> TimeMs {
         let crashes = self.crashes.iter().map(|crash| crash.at);
         let served = self.served.map(|(at, _)| at);
         crashes.chain(served).max().unwrap_or_default()
     }
 
+    /// Returns whether a successful answer at `at` or later clears a crash at `at`.
     fn is_cleared_at(&self, at: TimeMs) -> bool {
         self.served.is_some_and(|(served, _)| served >= at)
     }
@@ -239,6 +241,7 @@
         NewsOutcome::New
     }
 
+    /// Attributes a crash to a request under quarantine, so that it counts for no other request.
     fn attribute_crash(&mut self, observation: CrashNews<E>, endpoint: E) {
         let attributed = AttributedCrash {
             quarantined_request: observation.request,
--- a/crates/decisions/src/pool/admit.rs
+++ b/crates/decisions/src/pool/admit.rs
@@ -15,6 +15,7 @@
 const NO_CAPACITY_RETRY_MS: f64 = 1_000.0;
 
 impl Pool {
+    /// Handles a new request: dispatches, queues or refuses it.
     pub(super) fn admit<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer) {
         let request = offer.request;
         let class = offer.class;
@@ -81,6 +82,7 @@
         self.queue_or_refuse(context, request);
     }
 
+    /// Admits a request by its customer's limits, or returns the time after which to retry.
     fn admit_customer<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -257,6 +259,7 @@
     }
 }
 
+/// Logs a refusal and emits its effect.
 fn emit_refusal<L: DecisionLog>(
     context: &mut PoolContext<'_, L>,
     request: RequestId,
--- a/crates/decisions/src/pool/attempt.rs
+++ b/crates/decisions/src/pool/attempt.rs
@@ -24,6 +24,7 @@
         is_current.then_some(entry)
     }
 
+    /// Handles the first token of an attempt.
     pub(super) fn on_first_token<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -66,6 +67,7 @@
         self.refresh_cost(context.settings, engine_ix);
     }
 
+    /// Handles further tokens of an attempt.
     pub(super) fn on_progress<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -138,6 +140,7 @@
         }
     }
 
+    /// Handles the end of an attempt.
     pub(super) fn on_attempt_end<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -201,6 +204,7 @@
         self.dispatch_all(context);
     }
 
+    /// Ends a request with a complete answer.
     fn complete<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
--- a/crates/decisions/src/pool/maintain.rs
+++ b/crates/decisions/src/pool/maintain.rs
@@ -11,6 +11,7 @@
 use bridgevane_types::{DurationMs, RefusalCode, RequestId};
 
 impl Pool {
+    /// Runs the periodic maintenance of the pool.
     pub(super) fn maintain<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         let elapsed_ms = context.now.since(self.last_tick_at).0;
         self.last_tick_at = context.now;
@@ -22,6 +23,7 @@
         self.check_queued(context);
     }
 
+    /// Adds to the guaranteed-share credit of each class since the last tick.
     fn accrue_shares<L: DecisionLog>(&mut self, context: &PoolContext<'_, L>) {
         for (class, policy) in self.classes.iter_mut().zip(&self.policy.classes) {
             let guaranteed_slots = policy.min_share.0 * self.total_slots;
@@ -45,6 +47,7 @@
         }
     }
 
+    /// Checks all engines and adjusts their limits, at most once per check interval.
     fn check_engines<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>) {
         let check_every_ms = context.settings.engine_health.check_every_ms;
         if context.now.since(self.last_check_at).0 < check_every_ms {
@@ -61,6 +64,7 @@
         self.refresh_all_costs(context.settings);
     }
 
+    /// Returns the median time between tokens of the active engines (ms).
     fn median_between_tokens_ms(&self) -> f64 {
         let mut gaps: Vec<f64> = self
             .engines
@@ -75,6 +79,7 @@
         *gaps.select_nth_unstable_by(middle, f64::total_cmp).1
     }
 
+    /// Checks whether an engine with running requests is slow or silent.
     fn check_engine<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
@@ -119,14 +124,14 @@
 
     /// Returns whether one more engine may be ejected for slowness.
     fn may_eject(&self, max_ejected_share: f64) -> bool {
-        let is_out = |health: HealthState| health != HealthState::Active;
-        let out = self
+        let is_inactive = |health: HealthState| health != HealthState::Active;
+        let inactive = self
             .engines
             .iter()
-            .filter(|e| is_out(e.health.state()))
+            .filter(|e| is_inactive(e.health.state()))
             .count()
             + 1;
-        out as f64 <= (self.engines.len() as f64 * max_ejected_share).max(1.0)
+        inactive as f64 <= (self.engines.len() as f64 * max_ejected_share).max(1.0)
             && self.engines.len() > 1
     }
 
@@ -144,6 +149,7 @@
         }
     }
 
+    /// Adjusts all concurrency limits to the strictest target for the time between tokens.
     fn adjust_limits<L: DecisionLog>(&mut self, context: &PoolContext<'_, L>) {
         let targets = self
             .policy
