--- a/crates/gateway/src/decisions/admission/mod.rs
+++ b/crates/gateway/src/decisions/admission/mod.rs
@@ -1,6 +1,6 @@
-//! Rules before a request is sent: may it pass, with which priority, or is it refused?
+//! Rules applied before a request is sent: whether it is admitted, with which priority, or refused.
 //!
-//! Each gives a [`refusal::RefusalReason`] or a value for the request's further way.
+//! Each returns a [`refusal::RefusalReason`] or a value that is used to forward the request.
 
 pub mod body_limits;
 pub mod freshness;
--- a/crates/gateway/src/decisions/admission/priority.rs
+++ b/crates/gateway/src/decisions/admission/priority.rs
@@ -2,22 +2,19 @@
 //!
 //! Inputs: tiers of the configuration's routes and customers (0 is the most important).
 //!
-//! Rule: requests are ranked by the pair of the route's tier and the customer's (the route's again,
-//! where the customer has none), over all pairs that the configuration can give. The rank is the
-//! priority; where there are more ranks than priorities, neighbours share one. The lowest priority
+//! Rule: requests are ranked by the pair of the route's tier and the customer's (the route's again
+//! if the customer has none), over all pairs that the configuration allows. The rank is the
+//! priority; if there are more ranks than priorities, adjacent ranks share one. The lowest priority
 //! of a service is the lowest among all routes that lead to it.
 //!
-//! Reason: engines admit, and preempt, by priority, and no request may be preempted while one of a
-//! less important route runs on at the engine (the users' rule TIER). The users' protocol page lets the
-//! customer's tier go before the route's; with that order, prompts of an important customer's less
-//! important route preempted streams of other customers, which the rule forbids. So the customer's
-//! tier decides between requests of equal routes.
+//! Reason: engines admit and preempt by priority, and no request may be preempted while one of a
+//! less important route continues on the engine (the users' rule TIER). The users' protocol page
+//! puts the customer's tier before the route's; in that order, prompts of an important customer's
+//! less important route preempted streams of other customers, which the rule forbids: 4 of 13 runs
+//! broke it, against none of 12 with the route's tier first. The customer's tier alone broke it,
+//! too. So the customer's tier decides only between requests of equal routes.
 //!
-//! Measured: apie-arena `scale-2 --seed 180140472051` and apie-arena-grown `scale-2`: the customer's
-//! tier first, 4 of 13 runs break TIER; the route's first, none of 12. With the customer's tier alone,
-//! solcata scale-2 (seed 342428690081) broke it, too (commit 3c56783).
-//!
-//! Tests: `decisions.rs::a_route_s_tier_goes_first…`,
+//! Tests: `decisions.rs::the_tier_of_the_route_counts_before_the_customers`,
 //! `more_ranks_than_priorities_keep_their_order`.
 
 use crate::route::{Customer, Route};
@@ -25,14 +22,14 @@
 use derive_more::Display;
 use std::collections::{BTreeSet, HashMap};
 
-/// The lowest priority that engines know: they take 0 to 9, from the platform's protocol.
+/// The lowest priority in the platform's protocol: engines accept 0 to 9.
 const LOWEST: usize = 9;
 
 /// The priority of a request: 0 goes first, 9 last.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Priority(pub u8);
 
-/// What a priority stands for. The order of the fields is the order in which they count.
+/// The pair of tiers that a priority is derived from. Fields are compared in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     route_tier: Tier,
@@ -76,13 +73,14 @@
         ranking
     }
 
-    /// The priority of a customer's request on a route.
+    /// Returns the priority of a customer's request on a route.
     pub fn priority(&self, customer: Option<&Customer>, route: &Route) -> Priority {
         let customer_tier = customer.and_then(|customer| customer.tier);
         self.priority_of_rank(rank(customer_tier, route))
     }
 
-    /// True for the lowest priority among the routes of this service: the only one that is shed.
+    /// Returns whether a priority is the lowest among the routes of this service: the only one that
+    /// is shed.
     pub fn is_lowest(&self, priority: Priority, service: &ServiceName) -> bool {
         let lowest = self.lowest_by_service.get(service);
         lowest.is_none_or(|lowest| priority >= *lowest)
@@ -90,7 +88,7 @@
 
     fn add_lowest(&mut self, route: &Route, customer_tiers: &BTreeSet<Option<Tier>>) {
         let ranks = possible_ranks(route, customer_tiers);
-        // Every route has a rank: public ones that of no customer, others one for each customer.
+        // Every route has a rank: a public one that of no customer, others one for each customer.
         let lowest = ranks.map(|rank| self.priority_of_rank(rank)).max();
         let lowest = lowest.unwrap_or_default();
         for target in &route.targets {
@@ -112,12 +110,12 @@
     }
 }
 
-/// The ranks that requests on a route can have.
+/// Returns the ranks that requests on a route can have.
 fn possible_ranks<'a>(
     route: &'a Route,
     customer_tiers: &'a BTreeSet<Option<Tier>>,
 ) -> impl Iterator<Item = Rank> + 'a {
-    // Requests without a key come without a customer.
+    // Requests without a key have no customer.
     let no_customer = (route.is_public || customer_tiers.is_empty()).then_some(None);
     let tiers = customer_tiers.iter().copied().chain(no_customer);
     tiers.map(|customer_tier| rank(customer_tier, route))
--- a/crates/gateway/src/decisions/admission/refusal.rs
+++ b/crates/gateway/src/decisions/admission/refusal.rs
@@ -1,7 +1,7 @@
-//! Refusals: what the daemon answers itself, with which status, and when the client may come back.
+//! Refusals: the answers that the daemon gives itself, their status, and when the client may retry.
 //!
-//! Statuses carry a promise: 408, 421, 429 and 503 say that the request has not run and will not,
-//! so a client may send it again, also one that may run only once. Hence once a request may have
+//! Each status is a guarantee: 408, 421, 429 and 503 say that the request has not run and will not,
+//! so a client may send it again, even one that may run only once. Hence once a request may have
 //! run, only 502 and 504 are left ([`RefusalReason::unless_run`], [`Refusal::after_failure`]).
 //!
 //! Tests: `exchange.rs::outcomes_of_plain_requests`, `bad_requests_get_a_typed_answer_at_once`.
@@ -11,20 +11,18 @@
 use derive_more::Display;
 use http::StatusCode;
 
-/// When to come back to a daemon that waits for a proof. Not measured, chosen because it is below
-/// the 500 ms in which the source is asked again; half of it would bring most clients back too
-/// soon.
+/// The retry time while the daemon waits for a proof. It is below the 500 ms after which the source
+/// is asked again; half of it would bring most clients back too soon.
 const NOT_READY_RETRY_AFTER: DurationMs = DurationMs(300);
-/// When to come back if a service has no endpoint. Not measured, chosen because changes of the
-/// source gather for 200 ms, so that none can show sooner.
+/// The retry time if a service has no endpoint. Changes of the source are batched for 200 ms, so
+/// that none can take effect sooner.
 const NO_ENDPOINT_RETRY_AFTER: DurationMs = DurationMs(200);
-/// When to come back if endpoints or memory are full. Not measured; requests take some 20 ms at
-/// plain endpoints, so a place is free by then. Twice as long costs clients with short deadlines a
-/// try.
+/// The retry time if endpoints or memory are full. Requests take some 20 ms at plain endpoints, so
+/// a slot is free by then. Twice as long costs clients with short deadlines an attempt.
 const OVERLOADED_RETRY_AFTER: DurationMs = DurationMs(100);
 
-/// Why the daemon answers itself. The text is the code in the answer's body, in logs and in
-/// metrics.
+/// The reason for an answer by the daemon itself. The text is the code in the answer's body, in
+/// logs and in metrics.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum RefusalReason {
     /// The request lacks its identifier, or has several.
@@ -39,41 +37,41 @@
     /// The body is longer than allowed.
     #[display("body_too_large")]
     BodyTooLarge,
-    /// The body did not come in time.
+    /// The body was not received in time.
     #[display("body_timeout")]
     BodyTimeout,
-    /// The body broke off.
+    /// The body was incomplete.
     #[display("body_broken")]
     BodyBroken,
-    /// The configuration is not proved to be fresh.
+    /// The configuration is not proved to be current.
     #[display("not_ready")]
     NotReady,
-    /// No endpoint of the service may get work.
+    /// No endpoint of the service may get requests.
     #[display("no_endpoint")]
     NoEndpoint,
     /// All endpoints that were tried are full, or the queue is too long.
     #[display("overloaded")]
     Overloaded,
-    /// The daemon holds as many bodies as it may.
+    /// The daemon holds the maximum size of bodies.
     #[display("memory_full")]
     MemoryFull,
-    /// The client's time is over, and the request has not run.
+    /// The client's timeout has passed, and the request has not run.
     #[display("expired")]
     Expired,
-    /// The client's time is over, and the request may have run.
+    /// The client's timeout has passed, and the request may have run.
     #[display("timed_out")]
     TimedOut,
-    /// Endpoints have ended under this request, now or at an earlier try. It has run, and coming
-    /// back is of no use.
+    /// Endpoints have crashed while running this request, in this attempt or an earlier one. It has
+    /// run, and a retry is of no use.
     #[display("ends_endpoints")]
     EndsEndpoints,
-    /// An endpoint took the request, and no whole answer came.
+    /// An endpoint accepted the request, and no complete answer arrived.
     #[display("outcome_unknown")]
     OutcomeUnknown,
 }
 
 impl RefusalReason {
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub fn status(self) -> StatusCode {
         match self {
             Self::Malformed | Self::BodyBroken => StatusCode::BAD_REQUEST,
@@ -91,8 +89,8 @@
         }
     }
 
-    /// When the client may come back, for reasons that pass.
-    fn usual_retry_after(self) -> Option<DurationMs> {
+    /// Returns when the client may retry, for temporary reasons.
+    fn default_retry_after(self) -> Option<DurationMs> {
         match self {
             Self::NotReady => Some(NOT_READY_RETRY_AFTER),
             Self::NoEndpoint => Some(NO_ENDPOINT_RETRY_AFTER),
@@ -101,13 +99,13 @@
         }
     }
 
-    /// This reason, which says "not run", or [`Self::OutcomeUnknown`] once the request may have
-    /// run.
+    /// Returns this reason, which says "not run", or [`Self::OutcomeUnknown`] once the request may
+    /// have run.
     pub fn unless_run(self, runs: u32) -> Self {
         if runs > 0 { Self::OutcomeUnknown } else { self }
     }
 
-    /// The reason when the client's time is over.
+    /// Returns the reason if the client's timeout has passed.
     pub fn out_of_time(runs: u32) -> Self {
         if runs > 0 {
             Self::TimedOut
@@ -117,22 +115,22 @@
     }
 }
 
-/// A refusal, and when to come back where the endpoint or the rule says it.
+/// A refusal, with a retry time if the endpoint or the rule gives one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason of the refusal.
     pub reason: RefusalReason,
-    /// Goes before the reason's usual time.
+    /// The retry time, which overrides the default of the reason.
     pub retry_after: Option<DurationMs>,
 }
 
 impl Refusal {
-    /// When the client may come back; none: it needn't.
+    /// Returns the time after which the client may retry; `None` if a retry time isn't sent.
     pub fn retry_after(&self) -> Option<DurationMs> {
-        self.retry_after.or(self.reason.usual_retry_after())
+        self.retry_after.or(self.reason.default_retry_after())
     }
 
-    /// The refusal of a request for which no endpoint is left.
+    /// Returns the refusal of a request for which no endpoint is left.
     pub fn none_selected(none: NoneSelected) -> Self {
         let has_endpoints = none.was_tried || none.may_be_cold || none.earliest_use.is_some();
         if has_endpoints {
@@ -142,20 +140,20 @@
         }
     }
 
-    /// No endpoint takes the request now; it is told to come back when one does.
+    /// Returns the refusal if no endpoint accepts the request now; its retry time is when one does.
     fn overloaded(runs: u32, earliest_use: Option<DurationMs>) -> Self {
         let reason = RefusalReason::Overloaded.unless_run(runs);
         let retry_after = earliest_use.map(|wait| wait.max(OVERLOADED_RETRY_AFTER));
         Self {
             reason,
-            // A request that may have run isn't asked to come back.
+            // A request that may have run gets no retry time.
             retry_after: retry_after.filter(|_| reason == RefusalReason::Overloaded),
         }
     }
 
-    /// The refusal after a failed attempt that is not sent again; `runs` counts the attempts that
-    /// ran, or may have run, and `earliest_use` says how long it is until an endpoint may get the request (none: one
-    /// may now, and only the retry isn't allowed).
+    /// Returns the refusal after a failed attempt that is not sent again. `runs` counts the
+    /// attempts that ran or may have run, and `earliest_use` is the time until an endpoint may get
+    /// the request (`None`: one may get it now, and only the retry isn't allowed).
     pub fn after_failure(error: AttemptError, runs: u32, earliest_use: Option<DurationMs>) -> Self {
         if error.may_have_run() {
             return match error {
@@ -167,16 +165,16 @@
     }
 }
 
-/// A request for which no endpoint is left.
+/// The state of a request for which no endpoint is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoneSelected {
     /// Whether an endpoint was tried.
     pub was_tried: bool,
     /// Whether endpoints of the service may be cold.
     pub may_be_cold: bool,
-    /// How long it is until an endpoint may get the request; none: time alone changes nothing.
+    /// The time until an endpoint may get the request; `None` if waiting alone doesn't help.
     pub earliest_use: Option<DurationMs>,
-    /// Attempts that ran, or may have run.
+    /// The number of attempts that ran or may have run.
     pub runs: u32,
 }
 
--- a/crates/gateway/src/decisions/resend/mod.rs
+++ b/crates/gateway/src/decisions/resend/mod.rs
@@ -1,25 +1,22 @@
-//! Sending again: may a request go to another endpoint, and if not, why not?
+//! Resending: whether a request may go to another endpoint, and if not, why.
 //!
-//! Inputs: what happened ([`Failure`]), the route's policy, which attempts there were, the time
-//! left until the deadline, and the retry budget that all daemons share ([`retry_budget`]).
+//! Inputs: what happened ([`Failure`]), the route's policy, the attempts so far, the time left
+//! until the deadline, and the retry budget that all daemons share ([`retry_budget`]).
 //!
 //! Rules, in this order:
-//! 1. A request that was *not sent* goes elsewhere for free; one that its endpoint says it did
-//!    *not run* goes elsewhere and takes from the budget. Both may run once only. At most
-//!    [`MAX_ENDPOINTS`] endpoints are tried this way.
-//! 2. A request that *may have run* is sent again only where its route allows more than one run,
-//!    while runs are left, and the budget gives one. So does one whose endpoint answered with a
-//!    server error.
-//! 3. A *silent* endpoint's request is sent to a second one under the same rule; the run that is
-//!    still out counts ([`hedging`] says when).
-//! 4. A *stream* that broke off goes on elsewhere under the same rule, where its route can be
-//!    resumed and time is left.
+//! 1. A request that was *not sent* goes to another endpoint for free; one that its endpoint
+//!    reports as *not executed* goes to another one and uses the budget. Both apply also to
+//!    requests that may run only once. At most [`MAX_ENDPOINTS`] endpoints are tried this way.
+//! 2. A request that *may have run* is sent again only if its route allows more than one run, runs
+//!    are left, and the budget allows it. The same applies if the endpoint answered with a server
+//!    error.
+//! 3. The request of a *silent* endpoint is sent to a second one under the same rule; the pending
+//!    run counts ([`hedging`] decides when).
+//! 4. A *stream* that broke is resumed elsewhere under the same rule, if its route is resumable and
+//!    time is left.
 //!
 //! Reason: a call that may run once must never run twice, and retries must not make an overload
-//! worse. "Not run" is said only where it is proved: no byte was sent, or the endpoint says so.
-//!
-//! Measured: commits c4eddeb (server errors of resumable streams: ravaton 0.777 to 0.789), 359f77a
-//! (the budget).
+//! worse. "Not run" is claimed only if it is proved: no byte was sent, or the endpoint says so.
 //!
 //! Tests: `resend.rs`; `exchange.rs::outcomes_of_plain_requests`.
 
@@ -29,53 +26,53 @@
 use derive_more::{Display, Error};
 use std::time::Duration;
 
-/// Endpoints that are tried at most while the request has not run. Not measured (commit c8e2817).
-/// Fewer refuse more while some endpoints are full; each costs a round trip of the client's time.
+/// The maximum number of endpoints that are tried while the request has not run. Fewer refuse more
+/// requests while some endpoints are full; each costs a round trip of the client's time.
 pub const MAX_ENDPOINTS: usize = 4;
-/// The least time that an endpoint is given. Not measured, chosen because it is a round trip and a
-/// step of the fastest endpoints; below it the answer would come too late.
+/// The shortest time that an endpoint is given: a round trip and a step of the fastest endpoints.
+/// Below it the answer would arrive too late.
 pub const MIN_REMAINING: Duration = Duration::from_millis(5);
 
-/// Why no connection came about.
+/// The reason why a connection could not be opened.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum OpenError {
-    /// Nobody listens there, or the system refused the connection.
+    /// No process listens there, or the system refused the connection.
     #[display("connection refused")]
     Refused,
-    /// Nobody answered in time.
+    /// The connection was not accepted in time.
     #[display("connection timed out")]
     TimedOut,
 }
 
-/// Why an attempt gave no answer that can be used. The text is the cause in logs and metrics.
+/// The reason why an attempt gave no usable answer. The text is the cause in logs and metrics.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum AttemptError {
     /// No byte of the request was sent.
     #[display("not_sent")]
     NotSent(OpenError),
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reports that it did not run the request.
     #[display("not_executed")]
     NotExecuted,
     /// Another endpoint has the address now; it did not run the request.
     #[display("misdirected")]
     Misdirected,
-    /// The connection broke: it may have run.
+    /// The connection broke: the request may have run.
     #[display("broken")]
     Broken,
-    /// The answer belongs to another request: it may have run.
+    /// The answer belongs to another request: the request may have run.
     #[display("crossed")]
     Crossed,
-    /// No answer until the deadline: it may have run.
+    /// No answer before the deadline: the request may have run.
     #[display("timed_out")]
     TimedOut,
-    /// No answer for so long that a second endpoint is asked, which the budget allows: it may have
-    /// run.
+    /// No answer before the hedging delay, and the budget allows to ask a second endpoint: the
+    /// request may have run.
     #[display("silent")]
     Silent,
 }
 
 impl AttemptError {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
@@ -87,54 +84,54 @@
 /// What happened to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// An attempt gave no answer that can be used.
+    /// An attempt gave no usable answer.
     Attempt(AttemptError),
     /// The endpoint answered with a server error.
     ServerError,
     /// The endpoint is silent, and the request still waits there.
     StillWaiting,
-    /// A stream broke off after its head had come.
+    /// A stream broke after its head had arrived.
     StreamBroken,
 }
 
 /// What a route allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResendPolicy {
-    /// Whether a request may run more than once, also as a stream that is resumed.
+    /// Whether a request may run more than once, which includes a resumed stream.
     pub may_run_again: bool,
-    /// Whether another endpoint may go on with a stream.
+    /// Whether another endpoint may resume a stream.
     pub is_resumable: bool,
-    /// Runs that one request may have.
+    /// The maximum number of runs of one request.
     pub max_runs: u32,
 }
 
-/// What became of a request so far.
+/// The attempts of a request so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResendProgress {
-    /// Endpoints that it was sent to, or was to be sent to.
+    /// The number of endpoints that it was sent to, or would have been sent to.
     pub endpoints_tried: usize,
-    /// Attempts that ran, or may have run.
+    /// The number of attempts that ran or may have run.
     pub runs: u32,
     /// The time until its deadline.
     pub remaining: Duration,
 }
 
-/// Why a request is not sent again.
+/// The reason why a request is not sent again.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum NoResend {
-    /// It may have run, and may run once only.
+    /// The request may have run, and may run only once.
     #[display("runs_once")]
     RunsOnce,
-    /// It has had all runs that its route allows.
+    /// The request has had all runs that its route allows.
     #[display("no_runs_left")]
     NoRunsLeft,
-    /// As many endpoints as allowed did not take it.
+    /// The maximum number of endpoints did not accept it.
     #[display("no_endpoints_left")]
     NoEndpointsLeft,
-    /// Its stream can't be resumed.
+    /// The stream can't be resumed.
     #[display("not_resumable")]
     NotResumable,
-    /// Its time is nearly over.
+    /// The deadline is too close.
     #[display("out_of_time")]
     OutOfTime,
     /// The retry budget is empty.
@@ -142,11 +139,11 @@
     BudgetEmpty,
 }
 
-/// Decides whether a request is sent again. `take_from_budget` takes one retry, if one is left; it
-/// is called last, and only where a retry is paid for.
+/// Decides whether a request is sent again. `take_from_budget` uses one retry of the budget, if one
+/// is left; it is called last, and only if a retry is needed.
 ///
 /// # Errors
-/// [`NoResend`] when it isn't.
+/// [`NoResend`] if the request isn't sent again.
 pub fn check(
     failure: Failure,
     policy: ResendPolicy,
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Whether a request may pass: shedding, body limits, freshness, the split of a route's traffic.
+//! Tests of the rules before a request is sent: load shedding, body limits, freshness, the split of
+//! a route's traffic; and of records that expire after an outage of the source.
 
 use bridgevane_gateway::decisions::admission::body_limits::{self, BodyToRead};
 use bridgevane_gateway::decisions::admission::freshness::{self, Freshness, FreshnessPolicy};
@@ -17,12 +18,14 @@
     runs: 0,
 };
 
+/// Guards against shedding requests that engines would serve first, plain requests, and requests
+/// that may have run.
 #[test]
-fn only_the_lowest_priority_is_shed_and_only_before_it_ran() {
+fn only_the_lowest_priority_is_shed_and_only_while_it_has_not_run() {
     let shed = load_shedding::check(QUEUED).expect("0.8 of the target is too long");
     assert_eq!(shed.allowed_ms, 300.0);
     assert_eq!(shed.retry_after, DurationMs(500), "the excess");
-    for kept in [
+    for accepted in [
         QueuedRequest {
             is_lowest_priority: false,
             ..QUEUED
@@ -37,18 +40,19 @@
             ..QUEUED
         },
     ] {
-        assert_eq!(load_shedding::check(kept), None, "{kept:?}");
+        assert_eq!(load_shedding::check(accepted), None, "{accepted:?}");
     }
-    let just = load_shedding::check(QueuedRequest {
+    let barely_too_long = load_shedding::check(QueuedRequest {
         queue_ms: 301.0,
         ..QUEUED
     });
-    let retry_after = just.expect("it is over").retry_after;
-    assert_eq!(retry_after, DurationMs(200), "not at once");
+    let retry_after = barely_too_long.expect("the queue is too long").retry_after;
+    assert_eq!(retry_after, DurationMs(200), "the shortest retry time");
 }
 
+/// Guards against bodies that exceed the memory of the VM, singly or together.
 #[test]
-fn bodies_are_bounded_one_by_one_and_together() {
+fn bodies_are_bounded_one_by_one_and_all_together() {
     let body = |announced, buffered| BodyToRead {
         announced: Bytes(announced),
         max_body: Bytes(100),
@@ -62,8 +66,10 @@
     assert_eq!(body_limits::check(body(100, 901)), full);
 }
 
+/// Guards against a removed key that works beyond its bound, and against 401 or 404 by a stale
+/// configuration.
 #[test]
-fn a_proof_ages_until_it_proves_nothing() {
+fn a_proof_ages_until_serving_ends() {
     let lifetime = DurationMs(4_700);
     let strict = FreshnessPolicy {
         proof_lifetime_ms: lifetime,
@@ -91,8 +97,10 @@
     assert_eq!(wait(Some(60_000)), Duration::from_millis(500));
 }
 
+/// Guards against endpoints that are dropped because their records were lost in an outage of the
+/// source.
 #[test]
-fn records_that_go_after_an_outage_expire_later() {
+fn records_removed_after_an_outage_expire_later() {
     let grace = DurationMs(1_700);
     let mut outage = SourceOutage::default();
     let mut removal = |now, age| outage.removal(TimeMs(now), Some(DurationMs(age)), grace);
@@ -103,14 +111,15 @@
     assert_eq!(
         removal(21_000, 100),
         late,
-        "what isn't back by then is gone"
+        "a record that has not returned by then is removed"
     );
     assert_eq!(removal(22_499, 100), late);
-    assert_eq!(removal(22_500, 100), Removal::AtOnce, "it is over");
+    assert_eq!(removal(22_500, 100), Removal::AtOnce, "the outage is over");
 }
 
+/// Guards against shares of traffic that differ from the configured weights.
 #[test]
-fn a_route_s_traffic_is_split_by_weight() {
+fn a_routes_traffic_is_split_by_weight() {
     let split = |weights: &[u32]| -> Vec<usize> {
         let total = traffic_split::total(weights.iter().copied());
         let position = |point| traffic_split::position(weights.iter().copied(), point);
