--- a/crates/gateway/src/decisions/eligibility/evacuation.rs
+++ b/crates/gateway/src/decisions/eligibility/evacuation.rs
@@ -1,20 +1,21 @@
-//! Evacuation: a data centre that operators empty gets no new requests at its endpoints.
+//! Evacuation: a data centre that operators evacuate gets no new requests at its endpoints.
 //!
-//! Inputs: the operators' records, one for each data centre that is evacuated, with their revisions.
+//! Inputs: the operators' records, one for each evacuated data centre, with their revisions.
 //!
 //! Rules:
-//! 1. From the moment that a daemon knows the record, no request of its own goes to an endpoint there:
-//!    not a first try, not a retry, hedge or resumption. What runs there goes on to its end. Daemons of that
-//!    data centre serve their clients through endpoints elsewhere.
-//! 2. When the record goes, its endpoints are used again. They may have turned cold meanwhile without
-//!    having said so yet, so that each counts as cold for as long as its service's endpoints stay cold after
-//!    a start ([`super::cold_start`]).
-//! 3. With every data centre evacuated no endpoint is left, and requests are refused: the operators asked for
-//!    that. A daemon that is cut off acts on what it knows until its configuration is too old to serve by.
-//! 4. An older record never replaces a newer one, in whatever order they come.
+//! 1. Once a daemon knows the record, it sends no request to an endpoint there: no first attempt,
+//!    retry, hedge or resumption. Requests that run there are completed. Daemons of that data
+//!    centre serve their clients through endpoints elsewhere.
+//! 2. When the record is removed, the endpoints are used again. They may have turned cold meanwhile
+//!    without having reported it yet, so each counts as cold for as long as its service's endpoints
+//!    stay cold after a start ([`super::cold_start`]).
+//! 3. If every data centre is evacuated, no endpoint is left and requests are refused, as the
+//!    operators asked. A daemon that is cut off acts on the records it knows until its
+//!    configuration is too old to serve by.
+//! 4. An older record never replaces a newer one, in whatever order they arrive.
 //!
-//! Reason: operators take power or network from a data centre that they have emptied; what is sent there
-//! afterwards is lost.
+//! Reason: operators cut power or network of a data centre that they have evacuated; requests sent
+//! there afterwards are lost.
 //!
 //! Tests: `evacuation.rs`.
 
@@ -28,7 +29,7 @@
     is_evacuated: bool,
 }
 
-/// Which data centres are evacuated, as far as this daemon knows.
+/// The evacuated data centres known to this daemon.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     by_data_centre: HashMap<DataCentreId, Entry>,
@@ -36,23 +37,26 @@
 }
 
 impl Evacuations {
-    /// Whether a data centre is evacuated.
+    /// Returns whether a data centre is evacuated.
     pub fn contains(&self, data_centre: &DataCentreId) -> bool {
         let entry = self.by_data_centre.get(data_centre);
         entry.is_some_and(|entry| entry.is_evacuated)
     }
 
-    /// Operators evacuate a data centre; false when that was known, or is no longer so.
+    /// Marks a data centre as evacuated; returns false if it already was, or a newer record says
+    /// otherwise.
     pub fn begin(&mut self, data_centre: &DataCentreId, revision: Revision) -> bool {
         self.set(data_centre, revision, true)
     }
 
-    /// Operators take a data centre back; false when that was known, or is no longer so.
+    /// Ends the evacuation of a data centre; returns false if it had ended, or a newer record says
+    /// otherwise.
     pub fn end(&mut self, data_centre: &DataCentreId, revision: Revision) -> bool {
         self.set(data_centre, revision, false)
     }
 
-    /// A whole state at `revision` lists these: gives the evacuations that are over by it.
+    /// Returns the evacuations that have ended according to a full state at `revision` that lists
+    /// `listed`.
     pub fn unlisted(
         &self,
         listed: &HashSet<DataCentreId>,
@@ -65,7 +69,7 @@
         over.map(|(data_centre, _)| data_centre.clone()).collect()
     }
 
-    /// Whether one has begun or ended since the last call.
+    /// Returns whether an evacuation has begun or ended since the last call.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.has_changed)
     }
@@ -80,8 +84,8 @@
             is_evacuated,
         };
         self.by_data_centre.insert(data_centre.clone(), entry);
-        let is_news = known.is_some_and(|known| known.is_evacuated) != is_evacuated;
-        self.has_changed |= is_news;
-        is_news
+        let is_change = known.is_some_and(|known| known.is_evacuated) != is_evacuated;
+        self.has_changed |= is_change;
+        is_change
     }
 }
--- a/crates/gateway/src/decisions/eligibility/leaving.rs
+++ b/crates/gateway/src/decisions/eligibility/leaving.rs
@@ -1,58 +1,61 @@
-//! Leaving: an endpoint that says so in an answer gets nothing new in this life.
+//! Leaving: an endpoint that announces in an answer that it is leaving gets no new requests in this
+//! incarnation.
 //!
-//! Inputs: the endpoint's own answers, and its lives as the control source tells them (id and birth).
+//! Inputs: the endpoint's own answers, and its incarnations as the control source lists them (id and
+//! start time).
 //!
 //! Rules:
-//! 1. From the first answer that says it, no request goes there: no first try, retry, hedge or rest of a stream, and no
-//!    prompt is kept for it. What runs there goes on to its end.
-//! 2. Nothing takes that back: no record that says that it is ready, no configuration, no outage of the source,
-//!    no lack of other endpoints. A life whose record goes and comes back still leaves.
-//! 3. A later life under the id is another endpoint, and so is one that gets the address.
+//! 1. From the first such answer on, no request goes there: no first attempt, retry, hedge or
+//!    resumption of a stream, and no prompt is kept for it. Requests that run there are completed.
+//! 2. Nothing revokes it: no record that says that the endpoint is ready, no configuration, no
+//!    outage of the source, no lack of other endpoints. An incarnation whose record disappears and
+//!    returns is still leaving.
+//! 3. A later incarnation with the same id is another endpoint, and so is one that gets the address.
 //!
-//! Reason: the endpoint knows it first. Its record can't say so while the source is away, and old reads of the source may
-//! say the opposite for seconds.
+//! Reason: the endpoint knows first. Its record can't say so while the source is unavailable, and
+//! stale reads of the source may say the opposite for seconds.
 //!
 //! Tests: `endpoint_leaving.rs`.
 
 use bridgevane_types::{EndpointId, WallTimeMs};
 use std::collections::{HashSet, VecDeque};
 
-/// Lives that are remembered at most after their records are gone. Chosen because it is more than all endpoints of
-/// the largest fleet, at some 100 bytes each.
-const MAX_REMEMBERED_LIVES: usize = 4_096;
+/// The maximum number of incarnations that are remembered after their records are gone: more than all
+/// endpoints of the largest fleet, at some 100 bytes each.
+const MAX_REMEMBERED_INCARNATIONS: usize = 4_096;
 
-/// One life of an endpoint.
+/// One incarnation of an endpoint: its id may be used again by a later process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct EndpointLife {
+pub struct EndpointIncarnation {
     /// The endpoint.
     pub id: EndpointId,
-    /// When it was born; none: it doesn't say.
+    /// When its process started; `None` if not reported.
     pub born: Option<WallTimeMs>,
 }
 
-/// Lives that said that they leave and whose records are gone: they may come back.
+/// The leaving incarnations whose records are gone but may return.
 #[derive(Debug, Default)]
 pub struct LeavingLives {
-    lives: HashSet<EndpointLife>,
-    oldest_first: VecDeque<EndpointLife>,
+    incarnations: HashSet<EndpointIncarnation>,
+    oldest_first: VecDeque<EndpointIncarnation>,
 }
 
 impl LeavingLives {
-    /// The record of a life that leaves is gone.
-    pub fn remember(&mut self, life: EndpointLife) {
-        if !self.lives.insert(life.clone()) {
+    /// Records that the record of a leaving incarnation is gone.
+    pub fn remember(&mut self, incarnation: EndpointIncarnation) {
+        if !self.incarnations.insert(incarnation.clone()) {
             return;
         }
-        self.oldest_first.push_back(life);
-        if self.oldest_first.len() > MAX_REMEMBERED_LIVES
+        self.oldest_first.push_back(incarnation);
+        if self.oldest_first.len() > MAX_REMEMBERED_INCARNATIONS
             && let Some(oldest) = self.oldest_first.pop_front()
         {
-            self.lives.remove(&oldest);
+            self.incarnations.remove(&oldest);
         }
     }
 
-    /// Whether a life said that it leaves.
-    pub fn contains(&self, life: &EndpointLife) -> bool {
-        self.lives.contains(life)
+    /// Returns whether an incarnation is known to be leaving.
+    pub fn contains(&self, incarnation: &EndpointIncarnation) -> bool {
+        self.incarnations.contains(incarnation)
     }
 }
--- a/crates/gateway/src/decisions/eligibility/mod.rs
+++ b/crates/gateway/src/decisions/eligibility/mod.rs
@@ -1,4 +1,5 @@
-//! Rules about which endpoints may get a request at all, before [`super::endpoint`] weighs them.
+//! Rules that decide which endpoints may get a request at all, before [`super::endpoint`] compares
+//! them.
 
 pub mod cold_start;
 pub mod evacuation;
--- a/crates/gateway/src/decisions/eligibility/region_limits.rs
+++ b/crates/gateway/src/decisions/eligibility/region_limits.rs
@@ -1,20 +1,20 @@
 //! Region limits: where requests of a route or a customer may be served.
 //!
-//! Inputs: the regions that the route and the customer are limited to, if they are, and the region of each data
-//! centre.
+//! Inputs: the regions that the route and the customer are limited to, if any, and the region of
+//! each data centre.
 //!
 //! Rules:
-//! 1. A request goes to endpoints of regions that both its route and its customer allow; without a limit every
-//!    region is allowed. So do its retries, hedges and resumptions.
-//! 2. Cached parts of its prompt are taken from engines of these regions only, and its prompt is never placed by
-//!    an engine elsewhere.
-//! 3. A data centre whose region isn't known is in none: with a limit nothing goes there.
+//! 1. A request goes to endpoints of regions that both its route and its customer allow; without a
+//!    limit every region is allowed. The same applies to its retries, hedges and resumptions.
+//! 2. Cached parts of its prompt are fetched only from engines of these regions, and engines
+//!    elsewhere have no influence on where its prompt is placed.
+//! 3. A data centre whose region isn't known is in none: requests with a limit never go there.
 //!
-//! Reason: where data may be processed is law or contract; no load is a reason to break it. Where no
-//! endpoint is left the request is refused as one without endpoints.
+//! Reason: where data may be processed is set by law or contract, and load is no reason to break
+//! it. If no endpoint is left, the request is refused like one of a service without endpoints.
 //!
-//! What daemons tell each other of requests holds no content: hashes of prompts' parts stay with the daemon,
-//! work is told as counts by endpoint.
+//! The information on requests that daemons exchange has no content: hashes of the parts of prompts
+//! stay with the daemon, and load is sent as counts by endpoint.
 //!
 //! Tests: `region_limits.rs`.
 
@@ -28,7 +28,7 @@
 }
 
 impl RegionMap {
-    /// The region of a data centre; none: it isn't known.
+    /// Returns the region of a data centre; `None` if it isn't known.
     fn region(&self, data_centre: &DataCentreId) -> Option<&RegionId> {
         self.by_data_centre.get(data_centre)
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// The regions that something is limited to.
+/// A set of regions that requests are limited to.
 pub type RegionSet = BTreeSet<RegionId>;
 
 /// The limits of one request.
@@ -50,9 +50,9 @@
 pub struct RegionLimits<'a> {
     /// The region of each data centre.
     pub regions: &'a RegionMap,
-    /// What its route allows; none: every region.
+    /// The regions that its route allows; `None` allows every region.
     pub route: Option<&'a RegionSet>,
-    /// What its customer allows; none: every region.
+    /// The regions that its customer allows; `None` allows every region.
     pub customer: Option<&'a RegionSet>,
 }
 
@@ -70,12 +70,12 @@
 }
 
 impl RegionLimits<'_> {
-    /// Whether there is any limit.
+    /// Returns whether there is any limit.
     pub(crate) fn is_limited(&self) -> bool {
         self.route.is_some() || self.customer.is_some()
     }
 
-    /// Whether the request may be served in a data centre.
+    /// Returns whether the request may be served in a data centre.
     pub fn allow(&self, data_centre: &DataCentreId) -> bool {
         let region = self.regions.region(data_centre);
         let allows = |allowed: &RegionSet| region.is_some_and(|region| allowed.contains(region));
--- a/crates/gateway/src/decisions/endpoint/cache_fetch.rs
+++ b/crates/gateway/src/decisions/endpoint/cache_fetch.rs
@@ -1,57 +1,56 @@
-//! Cache fetch: an engine takes a shared prefix from another one instead of reading it again.
+//! Cache fetch: an engine copies a shared prefix from another engine's cache instead of computing
+//! it again.
 //!
-//! Inputs: for the chosen engine and for every other one that may serve as the source, how many
-//! shared tokens of the prompt it is believed to keep ([`super::placement`]).
+//! Inputs: the number of shared tokens of the prompt that the chosen engine and each possible
+//! source are believed to cache ([`super::placement`]).
 //!
-//! Rule: the source is the engine that keeps the most, if that is at least `MIN_FETCHED_TOKENS` more
-//! than the chosen one keeps. Only engines that are neither ejected nor failing are asked. A source
-//! that has nothing any more does no harm: the engine reads what it doesn't get.
+//! Rule: the source is the engine that caches the most tokens, if that is at least
+//! `MIN_FETCHED_TOKENS` more than the chosen engine caches. Only engines that are neither ejected
+//! nor failing are sources. A source that no longer has the prefix does no harm: the engine
+//! computes what it doesn't get.
 //!
-//! Reason: reading holds up everything else on an engine, fetching takes a part of the links
-//! between them. With a source at hand, a copy more of a prefix costs little, so that requests needn't
-//! queue for the engines that have it.
-//!
-//! Measured in trials: apie-arena quiet-1 0.786 to 0.824, mean of 15 runs with trouble 0.667 to 0.678;
-//! ravaton and solcata within noise (docs/arena.md).
+//! Reason: prefill delays all other requests on an engine, while a fetch uses only part of the
+//! network links between engines. When a source exists, another copy of a prefix costs little, so
+//! requests needn't queue for the engines that already have it.
 //!
 //! Tests: `cache_fetch.rs`.
 
 use bridgevane_decisions::EndpointIx;
 
-/// Shared tokens from which a fetch is asked for. Not measured by itself, chosen because an engine
-/// reads as many in some 20 ms, about what a fetch takes to set up.
+/// The smallest number of shared tokens that is fetched: an engine computes this many in some 20
+/// ms, about the time to set up a fetch.
 const MIN_FETCHED_TOKENS: u64 = 1_000;
-/// Tokens that are fetched in a millisecond. From the users' sites: 6,300 tokens take 22 ms on
-/// apie-arena, the slowest, and less elsewhere.
+/// The number of tokens fetched per millisecond: 6,300 tokens take 22 ms on apie-arena, the slowest
+/// of the users' sites.
 const FETCHED_TOKENS_PER_MS: f64 = 250.0;
 
-/// An engine that may keep a part of a prompt.
+/// An engine that may cache a part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheSource {
     /// The engine.
     pub endpoint: EndpointIx,
-    /// Tokens of the prompt that it is believed to keep.
+    /// The number of tokens of the prompt that it is believed to cache.
     pub tokens: u64,
 }
 
-/// A part of a prompt that the chosen engine takes from another.
+/// A part of a prompt that the chosen engine fetches from another engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheFetch {
-    /// Where it is taken from.
+    /// The engine that it is fetched from.
     pub source: EndpointIx,
-    /// Tokens that need not be read.
+    /// The number of tokens that need not be computed.
     pub tokens: u64,
 }
 
 impl CacheFetch {
-    /// How long it takes, in milliseconds.
+    /// Returns the duration of the fetch in milliseconds.
     pub(crate) fn duration_ms(self) -> f64 {
         self.tokens as f64 / FETCHED_TOKENS_PER_MS
     }
 }
 
-/// What an engine that keeps `cached_tokens` of a prompt takes from which source; none: nothing that
-/// is worth it.
+/// Chooses the source from which an engine that caches `cached_tokens` of a prompt fetches more;
+/// `None` if no fetch is worth it.
 pub fn choose(
     engine: EndpointIx,
     cached_tokens: u64,
--- a/crates/gateway/src/decisions/endpoint/ejection.rs
+++ b/crates/gateway/src/decisions/endpoint/ejection.rs
@@ -1,63 +1,63 @@
-//! Ejection: an endpoint that can't be reached gets no work for a while, one that fails gets less.
+//! Ejection: an endpoint that can't be reached gets no requests for a while, one that fails gets
+//! fewer.
 //!
-//! Inputs: outcomes of this daemon's requests at one endpoint, and the moment of each.
+//! Inputs: the outcomes of this daemon's requests at one endpoint, and the time of each.
 //!
 //! Rules:
-//! - Lost (no connection, another endpoint at the address, or no byte until the deadline): ejected,
-//!   at first for `FIRST_EJECTION_MS`, twice as long each time in a row; a good answer ends it.
-//! - The share of failures is a moving mean that halves every `FAILURE_HALF_LIFE_MS`, since an
-//!   endpoint that gets no work has no success that could speak for it. Above `MAX_FAILURE_SHARE`
-//!   the endpoint is not sound: shared prefixes move elsewhere. Below it the share is a cost in
-//!   [`super::placement`], so that where all endpoints fail alike none is left out.
+//! - Lost (no connection, another endpoint at the address, or no byte before the deadline): the
+//!   endpoint is ejected, at first for `FIRST_EJECTION_MS`, for twice as long each consecutive
+//!   time; a successful answer ends the ejection.
+//! - The failure share is a moving average that halves every `FAILURE_HALF_LIFE_MS`, since an
+//!   endpoint that gets no requests has no success that could lower it: failures that never expired
+//!   starved three of six engines. Above `MAX_FAILURE_SHARE` the endpoint is failing: shared
+//!   prefixes move elsewhere. Below it the share is a cost in [`super::placement`], so that no
+//!   endpoint is left out where all of them fail alike.
 //!
-//! Measured: commits 0c69d1b (failures that were never forgotten starved three engines of six) and
-//! 09f761b (half-life 2, 3, 6 s and a bound of 0.35, 0.25: with 6 s and 0.25 neither of two seeds
-//! broke in 8 runs, with 3 s one of 6 did).
-//!
-//! Tests: `decisions.rs::an_endpoint_that_was_lost…`, `an_endpoint_that_failed_gets_work_again…`,
+//! Tests: `decisions.rs::a_lost_endpoint_is_avoided_until_its_ejection_ends`,
+//! `a_failing_endpoint_gets_requests_again_without_a_success`,
 //! `streams_leave_an_engine_that_loses_three_answers_in_ten`.
 
 use bridgevane_types::TimeMs;
 
-/// The first ejection, in milliseconds. Not measured. Half of it costs more attempts at a dead
-/// endpoint, twice leaves one that is back unused for longer.
+/// The duration of the first ejection in milliseconds. Half of it costs more attempts at a dead
+/// endpoint, twice leaves a recovered one unused for longer.
 const FIRST_EJECTION_MS: u64 = 500;
-/// The longest ejection, in milliseconds. Not measured; it bounds how long an endpoint that is back
-/// stays unused.
+/// The longest ejection in milliseconds: it bounds how long a recovered endpoint stays unused.
 const MAX_EJECTION_MS: u64 = 4_000;
-/// Doublings that are counted. Chosen because more would overflow; the longest ejection comes after
+/// The maximum number of doublings: more would overflow. The longest ejection is reached after
 /// three.
 const MAX_DOUBLINGS: u32 = 8;
-/// The weight of a new outcome in the share of failures. Not measured by itself (commit c8e2817):
-/// two failures in a row pass the bound, one doesn't.
+/// The weight of a new outcome in the failure share: two consecutive failures exceed the maximum,
+/// one doesn't.
 const NEW_OUTCOME_WEIGHT: f64 = 0.2;
-/// The share of failures above which an endpoint is not sound. Measured in commit 09f761b: with
-/// 0.35 an engine that loses three answers in ten stayed below.
+/// The failure share above which an endpoint is failing. At 0.35, an engine that lost three answers
+/// in ten stayed below it.
 const MAX_FAILURE_SHARE: f64 = 0.25;
-/// The time in which the share of failures halves, in milliseconds. Measured in commit 09f761b.
+/// The half-life of the failure share in milliseconds. With 3 s one of 6 test runs failed, with 6 s
+/// none of 8.
 const FAILURE_HALF_LIFE_MS: f64 = 6_000.0;
 
-/// How much an endpoint is trusted.
+/// How far an endpoint is trusted with requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trust {
-    /// It gets work.
-    Sound,
+    /// Gets requests.
+    Healthy,
     /// Many of its requests fail.
     Failing,
-    /// It is ejected.
+    /// Is ejected.
     Ejected,
 }
 
-/// An endpoint's health at one moment.
+/// The health of an endpoint at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthSnapshot {
-    /// How much it is trusted.
+    /// How far it is trusted.
     pub trust: Trust,
     /// The share of its requests that fail.
     pub failure_share: f64,
 }
 
-/// The outcomes of one endpoint.
+/// The outcomes of requests at one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcomes {
     ejected_until: TimeMs,
@@ -67,7 +67,8 @@
 }
 
 impl Outcomes {
-    /// The endpoint could not be reached, or was silent; true when that ejects it.
+    /// Records that the endpoint could not be reached or was silent; returns true if that ejects
+    /// it.
     pub(crate) fn on_lost(&mut self, now: TimeMs) -> bool {
         if now < self.ejected_until {
             return false;
@@ -79,19 +80,19 @@
         true
     }
 
-    /// A request there failed.
+    /// Records a failed request.
     pub(crate) fn on_failed(&mut self, now: TimeMs) {
         self.add_outcome(now, 1.0);
     }
 
-    /// A request there was answered well.
+    /// Records a successful answer.
     pub(crate) fn on_served(&mut self, now: TimeMs) {
         self.add_outcome(now, 0.0);
         self.ejections_in_a_row = 0;
         self.ejected_until = TimeMs(0);
     }
 
-    /// The health now.
+    /// Returns the health at `now`.
     pub(crate) fn snapshot(&self, now: TimeMs) -> HealthSnapshot {
         let failure_share = self.failure_share(now);
         let trust = if now < self.ejected_until {
@@ -99,7 +100,7 @@
         } else if failure_share > MAX_FAILURE_SHARE {
             Trust::Failing
         } else {
-            Trust::Sound
+            Trust::Healthy
         };
         HealthSnapshot {
             trust,
@@ -108,7 +109,7 @@
     }
 
     fn failure_share(&self, now: TimeMs) -> f64 {
-        // Most endpoints never failed, and each request asks it of each.
+        // Most endpoints never failed, and every request calls this for every endpoint.
         if self.failure_share == 0.0 {
             return 0.0;
         }
--- a/crates/gateway/src/decisions/endpoint/load_report.rs
+++ b/crates/gateway/src/decisions/endpoint/load_report.rs
@@ -1,46 +1,47 @@
-//! Load reports: what endpoints and other daemons report of load, and how long it counts.
+//! Load reports: the load that endpoints and other daemons report, and for how long a report is
+//! valid.
 //!
-//! Inputs: when a report came (ms of this daemon's clock) and what it said.
+//! Inputs: when a report arrived (ms of this daemon's clock) and its content.
 //!
-//! Rule: a report counts until it expires, then as nothing.
+//! Rule: a report counts until it expires, and then not at all.
 //!
 //! Reason: reports come only with answers and messages; without new ones an old figure would steer
-//! requests for ever.
+//! requests indefinitely.
 //!
-//! Tests: `decisions.rs::load_of_others_is_what_an_endpoint_tells…`, `work.rs`.
+//! Tests: `decisions.rs::an_endpoint_report_counts_the_load_of_other_daemons_until_it_expires`,
+//! `work.rs`.
 
 use bridgevane_types::{DurationMs, TimeMs};
 
-/// How long the load on an endpoint's answers counts. Not measured. Twice as long would leave
-/// an endpoint that has become idle looking busy; half would forget it between two answers.
+/// How long the load on an endpoint's answers is valid. Twice as long would leave an endpoint that
+/// has become idle looking busy; half would drop the report between two answers.
 const ENDPOINT_REPORT_TTL: DurationMs = DurationMs(1_500);
-/// How long prompts that other daemons report count. Not measured (commit cf81c29). It is twice the
-/// 600 ms for which a quiet question between daemons is held, so that one lost answer loses
-/// nothing.
+/// How long the prompts that other daemons report are valid: twice the 600 ms for which a long poll
+/// between daemons is held when there is nothing to report, so that one lost answer loses nothing.
 const PEER_REPORT_TTL: DurationMs = DurationMs(1_200);
 
-/// Whether an endpoint's own report still counts.
+/// Returns whether an endpoint's own report is still valid.
 pub(crate) fn is_endpoint_report_current(now: TimeMs, reported_at: TimeMs) -> bool {
     now.since(reported_at) < ENDPOINT_REPORT_TTL
 }
 
-/// Whether another daemon's report still counts.
+/// Returns whether another daemon's report is still valid.
 pub(crate) fn is_peer_report_current(now: TimeMs, reported_at: TimeMs) -> bool {
     now.since(reported_at) < PEER_REPORT_TTL
 }
 
-/// The load that an endpoint reports on an answer.
+/// The load that an endpoint reports with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests running.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// The number of waiting requests.
     pub waiting: u32,
 }
 
 impl ReportedLoad {
-    /// Requests there that are not this daemon's.
-    pub(crate) fn of_others(self, own_running: u32) -> u32 {
+    /// Returns the number of requests there that belong to other daemons.
+    pub(crate) fn excluding(self, own_running: u32) -> u32 {
         (self.running + self.waiting).saturating_sub(own_running)
     }
 }
@@ -48,26 +49,28 @@
 /// The load of one endpoint at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadSnapshot {
-    /// This daemon's requests there.
+    /// The number of this daemon's requests there.
     pub own_running: u32,
-    /// Prompt tokens of this daemon's requests that have given no token yet.
+    /// The number of prompt tokens of this daemon's requests that have not produced a token yet.
     pub own_prefill_tokens: u64,
-    /// The same of other daemons, as they last reported.
+    /// The number of such tokens of other daemons, as they last reported.
     pub others_prefill_tokens: u64,
-    /// Other daemons' requests there, as the endpoint last reported.
+    /// The number of other daemons' requests there, as the endpoint last reported.
     pub others_running: u32,
-    /// The same, as they last reported themselves.
+    /// The number of other daemons' requests there, as these daemons last reported.
     pub peers_running: u32,
 }
 
 impl LoadSnapshot {
-    /// All requests there, as far as the endpoint reports those of others.
+    /// Returns the number of all requests there, with those of other daemons as the endpoint
+    /// reports them.
     pub fn running(&self) -> u32 {
         self.own_running + self.others_running
     }
 
-    /// All requests there, as far as the endpoint or other daemons report them. Not for plain
-    /// requests: these have ended before a report of other daemons comes.
+    /// Returns the number of all requests there, with those of other daemons as the endpoint or
+    /// these daemons report them. Not for plain requests: they have ended before a report of
+    /// another daemon arrives.
     pub fn fleet_running(&self) -> u32 {
         self.own_running + self.others_running.max(self.peers_running)
     }
--- a/crates/gateway/src/decisions/endpoint/mod.rs
+++ b/crates/gateway/src/decisions/endpoint/mod.rs
@@ -1,6 +1,6 @@
-//! Rules about endpoints: which one gets a request, and what is known of each.
+//! Rules that choose among endpoints, and rules that judge the state of each.
 //!
-//! Their state is in `endpoints`; what they learn of an endpoint is lost with the process.
+//! The state is in `endpoints`; what is learned about an endpoint is lost when the process ends.
 
 pub mod cache_fetch;
 pub mod ejection;
--- a/crates/gateway/src/decisions/endpoint/stream_reservation.rs
+++ b/crates/gateway/src/decisions/endpoint/stream_reservation.rs
@@ -1,17 +1,15 @@
 //! Stream reservation: in each data centre some engines are reserved for streams.
 //!
-//! An engine that reads a long prompt gives nobody a token meanwhile, so that streams beside it
-//! pause.
+//! Inputs: the ids and data centres of a service's endpoints; the tokens and the maximum answer
+//! tokens of a prompt.
 //!
 //! Rule: in each data centre, `RESERVED_SHARE` of the engines, those with the lowest hash of their
 //! id, are reserved for requests that count as streams; every daemon that sees the same endpoints
-//! reserves the same ones. A request counts as a stream when its prompt is short or its answer long
-//! against it. The reservation is a cost in [`super::placement`], not a wall.
+//! reserves the same ones. A request counts as a stream if its prompt is short or its answer is
+//! long in proportion to it. The reservation is a cost in [`super::placement`], not a hard limit.
 //!
-//! Inputs: ids and data centres of a service's endpoints; a prompt's tokens and most answer tokens.
-//!
-//! Measured: commit e941a2e (longest pause of practice plans, p99: 348 to 79 ms; ravaton 0.089 to
-//! 0.659, solcata 0.432 to 0.797).
+//! Reason: an engine that reads a long prompt produces no tokens for its other requests meanwhile,
+//! so that streams beside it pause. The reservation cut the longest pauses (p99) from 348 to 79 ms.
 //!
 //! Tests: `decisions.rs::streams_and_long_prompts_go_to_different_engines`,
 //! `streams_leave_an_engine_before_its_slots_are_taken`.
@@ -22,19 +20,19 @@
 use std::collections::{HashMap, HashSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The part of a data centre's engines that is reserved. Measured: 0.2 in place of 0.3 took ravaton
-/// grown scale-2 from 0.808 to 0.734 (commit 8f01409); more than 0.3 was not tried.
+/// The share of a data centre's engines that is reserved. At 0.2, the score of ravaton grown
+/// scale-2 fell from 0.808 to 0.734.
 const RESERVED_SHARE: f64 = 0.3;
-/// Answer tokens for each prompt token from which a request counts as a stream. Not measured by
-/// itself; chosen because the largest answer that a client allows is about four times the usual
-/// one: by the time of such an answer, reports counted as streams and joined them (commit e941a2e).
+/// The number of answer tokens per prompt token from which a request counts as a stream. The
+/// largest answer that a client allows is about four times the usual one; judged by the time of
+/// such an answer, reports counted as streams and were placed beside them.
 const MIN_ANSWER_RATIO: f64 = 0.15;
 /// The longest prompt that counts as a stream whatever its answer: an engine reads it in about one
-/// step (2,048 tokens at the users' sites). Measured in commit 00d04db: ravaton 0.698 to 0.683,
-/// solcata 0.744 to 0.786, both within noise; kept because queues of scale days are shorter.
+/// step (2,048 tokens at the users' sites). It keeps queues shorter on days with scaled-up traffic.
 const MAX_ONE_STEP_TOKENS: u64 = 2_500;
 
-/// Whether a request counts as a stream: a pause would spoil more than the time to read its prompt.
+/// Returns whether a request counts as a stream: a pause costs it more than the time to read its
+/// prompt.
 pub(crate) fn is_stream_like(prompt: &Prompt) -> bool {
     let is_short = prompt.tokens.0 <= MAX_ONE_STEP_TOKENS;
     let answer_tokens = prompt.max_answer_tokens.0 as f64;
@@ -52,7 +50,7 @@
     pub(crate) data_centre: &'a DataCentreId,
 }
 
-/// The endpoints of a service that are reserved for streams.
+/// Returns the endpoints of a service that are reserved for streams.
 pub(crate) fn reserve<'a>(
     members: impl Iterator<Item = ReservationMember<'a>>,
 ) -> HashSet<EndpointIx> {
--- a/crates/gateway/src/decisions/endpoint/tie_break.rs
+++ b/crates/gateway/src/decisions/endpoint/tie_break.rs
@@ -1,23 +1,25 @@
-//! Tie break: in which order endpoints are taken that cost a request the same.
-//!
-//! Where there are ten endpoints for each daemon and less than one request a second, nearly all endpoints are
-//! idle as far as a daemon knows, and the order among equals places nearly all requests.
+//! Tie break: the order in which endpoints with equal cost for a request are chosen.
 //!
 //! Inputs: the request's prompt, a hash of the daemon's name, the names of endpoints.
 //!
 //! Rules:
-//! 1. A plain request takes its daemon's own order of endpoints, by a hash of both names. Daemons spread over
-//!    all endpoints without a word, each comes back to the same few, and uses its connections again.
-//! 2. A prompt takes the order of its first part: requests of all daemons that share the part meet at the same
-//!    few engines, which keep it cached, and spread over more as these take on work.
+//! 1. A plain request uses its daemon's own order of endpoints, given by a hash of both names.
+//!    Daemons spread over all endpoints without communication, and each returns to the same few and
+//!    reuses its connections.
+//! 2. A prompt uses the order given by its first part: requests of all daemons that share the part
+//!    go to the same few engines, which keep it cached, and spread over more engines as these
+//!    become loaded.
 //!
-//! Reason: with one order for all, the order in which records were read, every daemon of a data centre sends
-//! to the same idle endpoint until it hears of the others' work, a second later.
+//! Reason: with ten endpoints for each daemon and less than one request a second, nearly all
+//! endpoints look idle to a daemon, and the order among equals places nearly all requests. If that
+//! order were the one in which records were read, every daemon of a data centre would send to the
+//! same idle endpoint until it learns of the others' requests, a second later: with 197 daemons, 58
+//! endpoints and one request each, the busiest endpoint got 197 requests; with an order for each
+//! daemon it got 6.
 //!
-//! Measured: `tie_break.rs` (tests) has 197 daemons before 58 endpoints, one request each: the busiest got 197
-//! with one order for all, and 6 by the daemons' own.
+//! Tests: `tie_break.rs`.
 
-use super::hash_mix::mix;
+use super::hash_mix::hash_with_seed;
 use crate::prompt::Prompt;
 use crate::work_by_endpoint::EndpointHash;
 
@@ -28,7 +30,7 @@
 }
 
 impl TieBreak {
-    /// The order for a request; `daemon` is a hash of the daemon's name.
+    /// Creates the order for a request; `daemon` is a hash of the daemon's name.
     pub(crate) fn new(prompt: &Prompt, daemon: u64) -> Self {
         let first = prompt.parts.first();
         Self {
@@ -36,8 +38,8 @@
         }
     }
 
-    /// Where an endpoint stands; the lowest goes first.
+    /// Returns the position of an endpoint; the lowest goes first.
     pub(crate) fn rank(self, endpoint: EndpointHash) -> u64 {
-        mix(self.seed, endpoint)
+        hash_with_seed(self.seed, endpoint)
     }
 }
--- a/crates/gateway/src/endpoints/connection.rs
+++ b/crates/gateway/src/endpoints/connection.rs
@@ -1,6 +1,6 @@
-//! One HTTP/1.1 connection to an endpoint, or to the platform's store: one request at a time.
+//! An HTTP/1.1 connection to an endpoint or to the platform's store: one request at a time.
 //!
-//! Nothing is sent a second time here; the HTTP library's own retry isn't used.
+//! No request is sent twice here: the retry of the HTTP library isn't used.
 
 use crate::decisions::resend::OpenError;
 use crate::sockets::set_options;
@@ -15,20 +15,20 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// The most that is buffered of an answer. Not measured, chosen because VMs have some 100 MB, and
-/// many streams are open at once; heads of answers are far smaller.
+/// The maximum number of bytes of an answer that are buffered. VMs have some 100 MB, and many
+/// streams are open at once; heads of answers are far smaller.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
-/// What becomes of bytes that were sent on a connection and not taken when it is closed.
+/// What happens to bytes that were sent on a connection and not acknowledged when it is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closing {
     /// They are delivered.
     Gracefully,
-    /// They are dropped, by a reset: a request that was given up must not arrive later.
+    /// They are dropped by a reset: an abandoned request must not arrive later.
     Reset,
 }
 
-/// A connection. Dropped, it closes at once, so that the endpoint drops its request.
+/// A connection. Dropping it closes it at once, so that the endpoint cancels its request.
 #[derive(Debug)]
 pub struct Connection {
     /// Sends requests.
@@ -46,16 +46,16 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// [`OpenError`] when nobody answers within `limit`.
+    /// [`OpenError`] if the connection is not accepted within `limit`.
     pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, OpenError> {
-        Self::open_closing(address, limit, Closing::Gracefully).await
+        Self::open_with_closing(address, limit, Closing::Gracefully).await
     }
 
-    /// Opens a connection that is closed so.
+    /// Opens a connection that is closed as `closing` says.
     ///
     /// # Errors
-    /// [`OpenError`] when nobody answers within `limit`.
-    pub async fn open_closing(
+    /// [`OpenError`] if the connection is not accepted within `limit`.
+    pub async fn open_with_closing(
         address: SocketAddr,
         limit: Duration,
         closing: Closing,
@@ -75,7 +75,7 @@
         let handshake = builder.handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| OpenError::Refused)?;
         let task = tokio::spawn(async move {
-            // Its errors show in the requests on it.
+            // Its errors are returned by the requests on it.
             let _ = connection.await;
         });
         Ok(Self {
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Whether it can take a request.
+    /// Returns whether the connection can carry a request.
     pub(crate) fn is_open(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
--- a/crates/gateway/src/endpoints/directory.rs
+++ b/crates/gateway/src/endpoints/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: all endpoints that may get work, by service.
+//! The directory: all endpoints that may get requests, by service.
 //!
 //! It is immutable and read without locks; [`crate::control::state`] builds a new one on each
 //! change.
@@ -11,7 +11,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// The endpoints of one service that may get work.
+/// The endpoints of one service that may get requests.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceEndpoints {
     /// All of them, by index.
@@ -21,7 +21,7 @@
 }
 
 impl ServiceEndpoints {
-    /// The endpoints of one service.
+    /// Creates the set of endpoints of one service.
     pub fn new(mut all: Vec<Arc<Endpoint>>) -> Self {
         all.sort_by_key(|endpoint| endpoint.index);
         let records: Vec<_> = all.iter().map(|endpoint| endpoint.record.load()).collect();
@@ -44,12 +44,12 @@
         }
     }
 
-    /// All of them, and whether each is reserved for streams.
+    /// Returns all of them, each with whether it is reserved for streams.
     pub(crate) fn with_reservations(&self) -> impl Iterator<Item = (&Arc<Endpoint>, bool)> {
         self.all.iter().zip(self.is_reserved.iter().copied())
     }
 
-    /// Those that are reserved for streams.
+    /// Returns those that are reserved for streams.
     pub fn reserved_for_streams(&self) -> HashSet<EndpointIx> {
         let all = self.with_reservations();
         let reserved = all.filter(|(_, is_reserved)| *is_reserved);
@@ -57,17 +57,16 @@
     }
 }
 
-/// All endpoints that may get work, by service.
+/// All endpoints that may get requests, by service.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     by_service: HashMap<ServiceName, ServiceEndpoints>,
-    /// Endpoints of evacuated data centres: what runs there goes on.
+    /// Endpoints of evacuated data centres, where running requests are completed.
     evacuated: Vec<Arc<Endpoint>>,
 }
 
 impl Directory {
-    /// Sorts endpoints by service; those that leave are left out, and those of evacuated data centres get
-    /// no work.
+    /// Groups endpoints by service, without those that are leaving or in an evacuated data centre.
     pub(crate) fn new<'a>(
         endpoints: impl Iterator<Item = &'a Arc<Endpoint>>,
         evacuations: &Evacuations,
@@ -95,18 +94,19 @@
         }
     }
 
-    /// The endpoints of a service that may get work; none when no record names the service.
+    /// Returns the endpoints of a service that may get requests; `None` if no record names the
+    /// service.
     pub fn service(&self, service: &ServiceName) -> Option<&ServiceEndpoints> {
         self.by_service.get(service)
     }
 
-    /// The endpoints of all services, those of evacuated data centres among them.
+    /// Returns the endpoints of all services, including those of evacuated data centres.
     pub(crate) fn endpoints(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         let working = self.by_service.values().flat_map(|service| &service.all);
         working.chain(&self.evacuated)
     }
 
-    /// How many endpoints may get work.
+    /// Returns the number of endpoints that may get requests.
     pub(crate) fn len(&self) -> usize {
         let services = self.by_service.values();
         services.map(|service| service.all.len()).sum()
--- a/crates/gateway/src/endpoints/endpoint.rs
+++ b/crates/gateway/src/endpoints/endpoint.rs
@@ -1,11 +1,11 @@
-//! One endpoint: its record from the control source, and its state on this daemon.
+//! An endpoint: its record from the control source, and its state on this daemon.
 //!
 //! Owns load, health and idle connections, each behind its own lock or atomics. Its record is
 //! replaced as a whole by [`crate::control::endpoint_registry`]; requests hold the endpoint by
 //! reference count while they need it.
 
 use crate::clock::AtomicTime;
-use crate::decisions::eligibility::leaving::EndpointLife;
+use crate::decisions::eligibility::leaving::EndpointIncarnation;
 use crate::endpoints::cold_state::ColdState;
 use crate::endpoints::health::EndpointHealth;
 use crate::endpoints::idle_connections::IdleConnections;
@@ -20,64 +20,64 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// An endpoint as it reports itself.
+/// The record that an endpoint publishes of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointRecord {
-    /// The endpoint: a worker.
+    /// The id of the endpoint, which is a worker.
     pub id: EndpointId,
-    /// When its process started, by its own VM's time of day: it may start again under its id, and then
-    /// knows nothing of before. None: it doesn't say.
+    /// When its process started, by the clock of its own VM: it may start again with the same id,
+    /// and then has no state of its predecessor. `None` if not reported.
     pub born: Option<WallTimeMs>,
-    /// Counts what its process wrote of itself; none: it doesn't say.
+    /// The number of records that its process has written; `None` if not reported.
     pub sequence: Option<u64>,
     /// Its service.
     pub service: ServiceName,
-    /// Where it listens. Another endpoint may get the address later.
+    /// The address where it listens. Another endpoint may get the address later.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it is about to leave: it gets nothing new.
+    /// Whether it is about to leave, and gets no new requests.
     pub is_draining: bool,
-    /// Whether the platform may take it back at any time.
+    /// Whether the platform may reclaim it at any time.
     pub is_reclaimable: bool,
-    /// How much longer it is cold; 0: it isn't, or doesn't say.
+    /// How much longer it is cold; 0 if it isn't, or doesn't report it.
     pub cold_remaining_ms: DurationMs,
 }
 
-/// One life of an endpoint with its state on this daemon.
+/// One incarnation of an endpoint with its state on this daemon.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// A small number in place of its id.
+    /// A small number that stands for its id.
     pub index: EndpointIx,
-    /// The name of this life of it in messages between daemons.
+    /// The hash that identifies this incarnation in messages between daemons.
     pub hash: EndpointHash,
     /// Its newest record.
     pub record: ArcSwap<EndpointRecord>,
-    /// Requests there.
+    /// The load of requests there.
     pub load: EndpointLoad,
-    /// What became of requests there.
+    /// The outcomes of requests there.
     pub health: EndpointHealth,
-    /// Open connections without a request.
+    /// The open connections without a request.
     pub(crate) idle_connections: IdleConnections,
-    /// Until when it is cold, and what it got meanwhile.
+    /// Until when it is cold, and the requests that it got meanwhile.
     pub(crate) cold: ColdState,
-    /// The limit of its requests that it names.
+    /// The limit that it announces for its requests.
     pub rate_limit: RateLimitState,
-    /// Whether it has said that it leaves.
+    /// Whether it has announced in an answer that it is leaving.
     is_leaving: AtomicBool,
-    /// Until when it wants nothing from this daemon.
-    resting_until: AtomicTime,
-    /// Made when a connection breaks for the first time: most endpoints never need it, and a daemon may
-    /// know thousands.
+    /// When the back-off ends that it asked this daemon for.
+    backoff_until: AtomicTime,
+    /// Created when a connection breaks for the first time: most endpoints never need it, and a
+    /// daemon may know thousands.
     lost_requests: OnceLock<Box<LostRequests>>,
-    /// When it counts as gone, since its record went during an outage of the source.
+    /// When it counts as gone, if its record was removed during an outage of the source.
     expires_at: AtomicTime,
 }
 
 impl Endpoint {
-    /// An endpoint whose record has just been seen.
+    /// Creates an endpoint whose record has just been seen.
     pub fn new(index: EndpointIx, record: EndpointRecord) -> Self {
         Self {
             index,
@@ -89,77 +89,78 @@
             cold: ColdState::default(),
             rate_limit: RateLimitState::default(),
             is_leaving: AtomicBool::new(false),
-            resting_until: AtomicTime::default(),
+            backoff_until: AtomicTime::default(),
             lost_requests: OnceLock::new(),
             expires_at: AtomicTime::default(),
         }
     }
 
-    /// It says in an answer that it leaves; false when that was known. There is no way back in this life.
+    /// Records that it announced in an answer that it is leaving; returns false if that was known.
+    /// An incarnation never returns to service.
     pub(crate) fn leave(&self) -> bool {
-        let is_news = !self.is_leaving.swap(true, Ordering::AcqRel);
-        if is_news {
-            // What is open carries no new request.
+        let is_new = !self.is_leaving.swap(true, Ordering::AcqRel);
+        if is_new {
+            // Open connections carry no new request.
             self.idle_connections.close();
         }
-        is_news
+        is_new
     }
 
-    /// Whether it has said that it leaves, in an answer or in its record.
+    /// Returns whether it has announced that it is leaving, in an answer or in its record.
     pub(crate) fn is_leaving(&self) -> bool {
         self.has_said_it_leaves() || self.record.load().is_draining
     }
 
-    /// Whether it has said in an answer that it leaves.
+    /// Returns whether it has announced in an answer that it is leaving.
     pub(crate) fn has_said_it_leaves(&self) -> bool {
         self.is_leaving.load(Ordering::Acquire)
     }
 
-    /// This life of it.
-    pub(crate) fn life(&self) -> EndpointLife {
+    /// Returns the identity of this incarnation.
+    pub(crate) fn life(&self) -> EndpointIncarnation {
         let record = self.record.load();
-        EndpointLife {
+        EndpointIncarnation {
             id: record.id.clone(),
             born: record.born,
         }
     }
 
-    /// Whether an endpoint of the directory is in use still: its record has not expired, and it has not said that it
-    /// leaves.
-    pub(crate) fn is_in_use(&self, now: TimeMs) -> bool {
+    /// Returns whether an endpoint of the directory may still be used: its record has not expired,
+    /// and it has not announced in an answer that it is leaving.
+    pub(crate) fn is_usable(&self, now: TimeMs) -> bool {
         !self.has_expired(now) && !self.has_said_it_leaves()
     }
 
-    /// It wants nothing from this daemon for so long; false when it was resting already.
-    pub(crate) fn rest(&self, now: TimeMs, rest: DurationMs) -> bool {
-        let was_resting = self.rest_left(now).is_some();
-        self.resting_until.set_if_later(now + rest);
-        !was_resting
+    /// Starts a back-off of the length that it asked for; returns false if there already was one.
+    pub(crate) fn rest(&self, now: TimeMs, duration: DurationMs) -> bool {
+        let was_backing_off = self.backoff_remaining(now).is_some();
+        self.backoff_until.set_if_later(now + duration);
+        !was_backing_off
     }
 
-    /// How much longer it wants nothing from this daemon; none: it rests no more.
-    pub(crate) fn rest_left(&self, now: TimeMs) -> Option<DurationMs> {
-        let until = self.resting_until.get()?;
+    /// Returns the remaining back-off; `None` if there is none.
+    pub(crate) fn backoff_remaining(&self, now: TimeMs) -> Option<DurationMs> {
+        let until = self.backoff_until.get()?;
         (now < until).then(|| until.since(now))
     }
 
-    /// Requests that were under way when a connection broke.
+    /// Returns the requests that were in flight when a connection broke.
     pub(crate) fn lost_requests(&self) -> &LostRequests {
         self.lost_requests.get_or_init(Box::default)
     }
 
-    /// Its record is gone; it is used until `at` nonetheless, or until an earlier moment set
-    /// before.
+    /// Records that its record was removed: it may still be used until `at`, or until an earlier
+    /// time set before.
     pub(crate) fn expire_at(&self, at: TimeMs) {
         self.expires_at.set_if_unset(at);
     }
 
-    /// Its record is back.
+    /// Records that its record has returned.
     pub(crate) fn renew(&self) {
         self.expires_at.unset();
     }
 
-    /// Whether its record went and did not come back in time.
+    /// Returns whether its record was removed and did not return in time.
     pub(crate) fn has_expired(&self, now: TimeMs) -> bool {
         self.expires_at.get().is_some_and(|at| now >= at)
     }
--- a/crates/gateway/src/endpoints/health.rs
+++ b/crates/gateway/src/endpoints/health.rs
@@ -1,4 +1,4 @@
-//! The health of one endpoint: what became of this daemon's requests there, behind a lock.
+//! The health of one endpoint: the outcomes of this daemon's requests there, behind a lock.
 //!
 //! The rule is [`crate::decisions::endpoint::ejection`].
 
@@ -17,27 +17,28 @@
         self.outcomes.lock().expect("no panic under this lock")
     }
 
-    /// The endpoint could not be reached, or was silent; true when that ejects it.
+    /// Records that the endpoint could not be reached or was silent; returns true if that ejects
+    /// it.
     pub fn on_lost(&self, now: TimeMs) -> bool {
         self.outcomes().on_lost(now)
     }
 
-    /// A request there failed.
+    /// Records a failed request.
     pub fn on_failed(&self, now: TimeMs) {
         self.outcomes().on_failed(now);
     }
 
-    /// A request there was answered well.
+    /// Records a successful answer.
     pub fn on_served(&self, now: TimeMs) {
         self.outcomes().on_served(now);
     }
 
-    /// The health now.
+    /// Returns the health at `now`.
     pub fn snapshot(&self, now: TimeMs) -> HealthSnapshot {
         self.outcomes().snapshot(now)
     }
 
-    /// How much the endpoint is trusted now.
+    /// Returns how far the endpoint is trusted at `now`.
     pub fn trust(&self, now: TimeMs) -> Trust {
         self.snapshot(now).trust
     }
--- a/crates/gateway/src/endpoints/idle_connections.rs
+++ b/crates/gateway/src/endpoints/idle_connections.rs
@@ -1,6 +1,7 @@
-//! Idle connections to one endpoint, the newest on top.
+//! The idle connections to one endpoint, as a stack with the newest on top.
 //!
-//! How many are kept and how long is decided in [`crate::decisions::endpoint::idle_connections`].
+//! How many are kept and for how long is decided in
+//! [`crate::decisions::endpoint::idle_connections`].
 
 use crate::endpoints::connection::Connection;
 use bridgevane_types::TimeMs;
@@ -13,7 +14,7 @@
 }
 
 impl IdleConnection {
-    /// The connection, if it may still be used.
+    /// Returns the connection if it may still be used.
     fn into_usable(self, now: TimeMs) -> Option<Connection> {
         let is_usable = self.connection.is_open() && now < self.expires_at;
         is_usable.then_some(self.connection)
@@ -37,7 +38,7 @@
         self.state.lock().expect("no panic under this lock")
     }
 
-    /// Takes the connection that was used last, if one may still be used.
+    /// Removes and returns the most recently used connection that may still be used.
     pub(crate) fn take(&self, now: TimeMs) -> Option<Connection> {
         let mut state = self.state();
         while let Some(idle) = state.idle.pop() {
@@ -49,7 +50,7 @@
     }
 
     /// Keeps a connection until `expires_at`; beyond `max_idle` the one that was unused the longest
-    /// goes.
+    /// is closed.
     pub(crate) fn put(&self, connection: Connection, expires_at: TimeMs, max_idle: usize) {
         let mut state = self.state();
         if state.is_closed {
@@ -64,7 +65,7 @@
         });
     }
 
-    /// Closes all of them, and keeps no more: the endpoint is gone.
+    /// Closes all of them and keeps no more, since the endpoint is gone.
     pub(crate) fn close(&self) {
         let mut state = self.state();
         state.is_closed = true;
--- a/crates/gateway/src/endpoints/load.rs
+++ b/crates/gateway/src/endpoints/load.rs
@@ -1,7 +1,7 @@
-//! Load at one endpoint: this daemon's own requests, and what is reported of others'.
+//! The load of one endpoint: this daemon's own requests, and the reported load of others.
 //!
-//! Counters are atomics; the queue delay has a lock. How long reports count, and what follows from
-//! the figures, is decided in [`crate::decisions::endpoint`].
+//! Counters are atomics; the queue delay has a lock. How long reports are valid, and what follows
+//! from the figures, is decided in [`crate::decisions::endpoint`].
 
 use crate::clock::AtomicTime;
 use crate::decisions::endpoint::load_report::{self, LoadSnapshot, ReportedLoad};
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// Requests at an endpoint.
+/// The load of one endpoint.
 #[derive(Debug, Default)]
 pub struct EndpointLoad {
     own_running: AtomicU32,
@@ -22,11 +22,11 @@
     others_prefill_tokens: AtomicU64,
     peers_running: AtomicU32,
     peers_reported_at: AtomicTime,
-    heard_at: AtomicTime,
+    last_activity_at: AtomicTime,
     queue_delay: Mutex<QueueDelay>,
 }
 
-/// What this daemon's own requests show of an endpoint's queue.
+/// An endpoint's queue as observed by this daemon's own requests.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueSnapshot {
     /// How long a request that is sent now would wait, in milliseconds.
@@ -36,30 +36,32 @@
 }
 
 impl EndpointLoad {
-    /// A request was sent there, for which it has to read so many prompt tokens.
+    /// Records that a request was sent there, for which the endpoint has to read `prefill_tokens`.
     pub fn on_sent(&self, prefill_tokens: u64) {
         self.own_running.fetch_add(1, Ordering::Relaxed);
         self.own_prefill_tokens
             .fetch_add(prefill_tokens, Ordering::Relaxed);
     }
 
-    /// A request gave its first token, or ended before that: its prompt is no longer to be read.
+    /// Records that a request produced its first token or ended before, so that its prompt needn't
+    /// be read any more.
     pub(crate) fn on_prefill_done(&self, prefill_tokens: u64) {
         self.own_prefill_tokens
             .fetch_sub(prefill_tokens, Ordering::Relaxed);
     }
 
-    /// A request ended.
+    /// Records that a request ended.
     pub fn on_ended(&self) {
         self.own_running.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Prompt tokens of this daemon's requests that have given no token yet.
+    /// Returns the number of prompt tokens of this daemon's requests that have not produced a token
+    /// yet.
     fn own_prefill_tokens(&self) -> u64 {
         self.own_prefill_tokens.load(Ordering::Relaxed)
     }
 
-    /// This daemon's work there, for the others.
+    /// Returns this daemon's load there, to be reported to other daemons.
     pub(crate) fn own_work(&self) -> Work {
         Work {
             prefill_tokens: self.own_prefill_tokens(),
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Other daemons report their work there.
+    /// Records the load there that other daemons report.
     pub fn on_peers_report(&self, now: TimeMs, work: Work) {
         self.others_prefill_tokens
             .store(work.prefill_tokens, Ordering::Relaxed);
@@ -75,35 +77,37 @@
         self.peers_reported_at.set(now);
     }
 
-    /// The endpoint reports its load.
+    /// Records the load that the endpoint reports.
     pub fn on_report(&self, now: TimeMs, reported: ReportedLoad) {
         let own_running = self.own_running.load(Ordering::Relaxed);
-        let others_running = reported.of_others(own_running);
+        let others_running = reported.excluding(own_running);
         self.others_running.store(others_running, Ordering::Relaxed);
         self.others_running_reported_at.set(now);
     }
 
-    /// Bytes came from the endpoint, for any request.
+    /// Records that bytes arrived from the endpoint, for any request.
     pub fn on_heard(&self, now: TimeMs) {
-        self.heard_at.set(now);
+        self.last_activity_at.set(now);
     }
 
-    /// When bytes last came from the endpoint.
+    /// Returns when bytes last arrived from the endpoint.
     pub(crate) fn heard_at(&self) -> Option<TimeMs> {
-        self.heard_at.get()
+        self.last_activity_at.get()
     }
 
-    /// Whether bytes came from the endpoint after a moment.
+    /// Returns whether bytes arrived from the endpoint after `moment`.
     pub(crate) fn was_heard_after(&self, moment: TimeMs) -> bool {
-        self.heard_at().is_some_and(|heard_at| heard_at > moment)
+        self.heard_at()
+            .is_some_and(|activity_at| activity_at > moment)
     }
 
-    /// The queue delay that this daemon's requests show.
+    /// Locks and returns the queue delay observed by this daemon's requests.
     pub fn queue_delay(&self) -> MutexGuard<'_, QueueDelay> {
         self.queue_delay.lock().expect("no panic under this lock")
     }
 
-    /// The queue now; a request may wait `max_silence_ms` before the endpoint counts as silent.
+    /// Returns the queue at `now`; a request may wait `max_silence_ms` before the endpoint counts
+    /// as silent.
     pub fn queue_snapshot(&self, now: TimeMs, max_silence_ms: f64) -> QueueSnapshot {
         let delay = self.queue_delay();
         let longest_waiting = delay.longest_waiting(now);
@@ -113,7 +117,7 @@
         }
     }
 
-    /// The load now; reports that have expired count as nothing.
+    /// Returns the load at `now`; reports that have expired don't count.
     pub fn snapshot(&self, now: TimeMs) -> LoadSnapshot {
         let reported_at = self.others_running_reported_at.get();
         let is_current =
--- a/crates/gateway/src/endpoints/lost_requests.rs
+++ b/crates/gateway/src/endpoints/lost_requests.rs
@@ -1,12 +1,12 @@
-//! Requests that were under way at one endpoint when a connection to it broke, while it is checked
-//! whether the endpoint has ended ([`crate::requests::crash_check`]).
+//! Requests that were in flight at one endpoint when a connection to it broke, kept while it is
+//! checked whether the endpoint has crashed ([`crate::requests::crash_check`]).
 
 use bridgevane_types::RequestFingerprint;
 use std::sync::{Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// Requests that are kept at most during one check. Chosen because it is four times what an engine
-/// runs at once.
+/// The maximum number of requests that are kept during one check: four times what an engine runs at
+/// once.
 const MAX_LOST: usize = 256;
 
 #[derive(Debug, Default)]
@@ -19,8 +19,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct LostRequests {
     state: Mutex<State>,
-    /// Whether the verdict on some of them isn't known yet.
-    is_open: watch::Sender<bool>,
+    /// Whether the result for some of them isn't known yet.
+    is_pending: watch::Sender<bool>,
 }
 
 impl LostRequests {
@@ -28,35 +28,36 @@
         self.state.lock().expect("no panic under this lock")
     }
 
-    /// Adds a request; true where a check must begin.
+    /// Adds a request; returns true if a check must be started.
     pub(crate) fn add(&self, request: RequestFingerprint) -> bool {
         let mut state = self.state();
         if state.lost.len() < MAX_LOST {
             state.lost.push(request);
         }
-        self.is_open.send_replace(true);
+        self.is_pending.send_replace(true);
         !std::mem::replace(&mut state.is_checking, true)
     }
 
-    /// The check has its result: gives the requests that it is about. Who comes later begins another.
+    /// Ends the check and returns the requests that it is about. Requests added later start another
+    /// check.
     pub(crate) fn end_check(&self) -> Vec<RequestFingerprint> {
         let mut state = self.state();
         state.is_checking = false;
         std::mem::take(&mut state.lost)
     }
 
-    /// The result has been taken in.
+    /// Records that the result was processed, and wakes the requests that wait for it.
     pub(crate) fn release(&self) {
         let state = self.state();
         if !state.is_checking {
-            self.is_open.send_replace(false);
+            self.is_pending.send_replace(false);
         }
     }
 
-    /// Waits until there is a verdict on all of them.
+    /// Waits until the result for all of them is known.
     pub(crate) async fn checked(&self) {
-        let mut is_open = self.is_open.subscribe();
-        // The sender is this owner's, and lives as long.
-        let _ = is_open.wait_for(|is_open| !is_open).await;
+        let mut is_pending = self.is_pending.subscribe();
+        // The sender is a field of `self`, so it lives as long as this call.
+        let _ = is_pending.wait_for(|is_pending| !is_pending).await;
     }
 }
--- a/crates/gateway/src/endpoints/mod.rs
+++ b/crates/gateway/src/endpoints/mod.rs
@@ -1,8 +1,8 @@
-//! The endpoints that serve requests, and what this daemon knows of each of them.
+//! The endpoints that serve requests, and the state of each on this daemon.
 //!
 //! Owns load, health, idle connections and prefix-cache hints, each behind atomics or a lock of its
-//! own; the rules over them are in [`crate::decisions::endpoint`]. All of it is lost with the
-//! process and learned again from answers.
+//! own; the rules that use them are in [`crate::decisions::endpoint`]. All of it is lost when the
+//! process ends, and learned again from answers.
 
 pub(crate) mod cold_state;
 pub(crate) mod connection;
--- a/crates/gateway/src/endpoints/prompt_locations.rs
+++ b/crates/gateway/src/endpoints/prompt_locations.rs
@@ -1,22 +1,21 @@
 //! Prompt locations: which engines this daemon saw read which parts of prompts.
 //!
 //! Owns a bounded index behind a lock. An entry is a hint that the part is in the engine's prefix
-//! cache; it expires, since the engine evicts what is unused.
+//! cache; it expires, since the engine evicts unused parts.
 
 use crate::prompt::Prompt;
 use bridgevane_decisions::{EndpointIx, Holders, PrefixCache};
 use bridgevane_types::TimeMs;
 use std::sync::{Mutex, MutexGuard};
 
-/// Parts of prompts that are remembered. Not measured, chosen because it bounds the index to about
-/// 1.4 MB (172 bytes a block, docs/BENCHMARKS.md "Memory").
+/// The maximum number of parts of prompts in the index: it bounds the index to about 1.4 MB (172
+/// bytes an entry).
 const MAX_PARTS: usize = 8_192;
-/// How long a part counts as cached after an engine read it, in milliseconds. Not measured (commit
-/// c8e2817). Twice as long would count parts that are evicted, half would forget sessions that
-/// pause.
+/// How long a part counts as cached after an engine read it, in milliseconds. Twice as long would
+/// count evicted parts, half would forget sessions that pause.
 const PART_TTL_MS: u64 = 15_000;
 
-/// Where parts of prompts were read.
+/// The engines that read each part of a prompt.
 #[derive(Debug, Default)]
 pub struct PromptLocations {
     parts: Mutex<PrefixCache>,
@@ -27,13 +26,14 @@
         self.parts.lock().expect("no panic under this lock")
     }
 
-    /// The endpoints that read the longest prefixes of a prompt, with the number of parts each.
+    /// Returns the endpoints that read the longest prefixes of a prompt, with the number of parts
+    /// each.
     pub(crate) fn holders(&self, now: TimeMs, prompt: &Prompt) -> Holders {
         let parts: Vec<u64> = prompt.parts.iter().map(|part| part.id).collect();
         self.parts().holders_of(now, &parts, PART_TTL_MS)
     }
 
-    /// An endpoint has read a prompt.
+    /// Records that an endpoint has read a prompt.
     pub(crate) fn on_read(&self, now: TimeMs, prompt: &Prompt, endpoint: EndpointIx) {
         let mut known = self.parts();
         for part in &prompt.parts {
--- a/crates/gateway/src/endpoints/rate_limit.rs
+++ b/crates/gateway/src/endpoints/rate_limit.rs
@@ -1,59 +1,59 @@
-//! The limit of requests that one endpoint names, as its newest answers say, and this daemon's turns.
+//! The request limit that one endpoint announces in its newest answers, and this daemon's permits.
 //!
-//! Behind a lock that is taken only while there is a limit, or one is named. The rule is
+//! Behind a lock that is taken only while there is a limit, or when one is announced. The rule is
 //! [`crate::decisions::eligibility::rate_limit`].
 
 use crate::decisions::eligibility::rate_limit::{
-    LimitObservation, NamedLimit, TOLD_END_MS, Turns, daemon_rate,
+    END_REPORT_MS, LimitObservation, NamedLimit, PacedPermits, daemon_rate,
 };
 use bridgevane_types::{DurationMs, RequestsPerSecond, TimeMs};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// A limit that keeps changing is reported once in so long. Not measured, chosen because a line a second
-/// shows how it changes, and thousands of endpoints may name one.
+/// The shortest time between two reports of a limit that keeps changing: a log line a second shows
+/// how it changes, and thousands of endpoints may announce a limit.
 const REPORT_INTERVAL: DurationMs = DurationMs(1_000);
 
-/// The limit that is in force.
+/// The limit that currently applies.
 #[derive(Clone, Copy, Debug)]
-struct InForce {
+struct CurrentLimit {
     limit: RequestsPerSecond,
-    /// When an answer named it last.
-    heard_at: TimeMs,
-    /// Where the first turn stands in its period, from 0 to 1.
+    /// When an answer last announced it.
+    announced_at: TimeMs,
+    /// The random position of the first permit in its period, from 0 to 1.
     draw: f64,
-    /// This daemon's turns; none until the number of daemons is known.
-    turns: Option<SharedTurns>,
+    /// This daemon's permits; `None` until the number of daemons is known.
+    permits: Option<SharedPermits>,
 }
 
-/// This daemon's turns, and among how many daemons.
+/// This daemon's permits, and the number of daemons that share the limit.
 #[derive(Clone, Copy, Debug)]
-struct SharedTurns {
+struct SharedPermits {
     daemons: u32,
-    turns: Turns,
+    permits: PacedPermits,
 }
 
-/// What was reported last.
+/// The last report.
 #[derive(Clone, Copy, Debug)]
 struct Report {
-    /// None: the limit was over.
+    /// `None`: the limit had ended.
     limit: Option<RequestsPerSecond>,
     at: TimeMs,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    in_force: Option<InForce>,
-    /// When the newest answer without a limit was asked for, since one ended.
+    current: Option<CurrentLimit>,
+    /// When the request was sent that got the newest answer without a limit, since a limit ended.
     ended_at: Option<TimeMs>,
     reported: Option<Report>,
 }
 
-/// The state of one endpoint.
+/// The state of one endpoint's limit.
 #[derive(Debug, Default)]
 pub struct RateLimitState {
     is_limited: AtomicBool,
-    /// Whether there is a limit, or its end is told.
+    /// Whether there is a limit, or its end is still reported to other daemons.
     is_known: AtomicBool,
     state: Mutex<State>,
 }
@@ -63,18 +63,18 @@
         self.state.lock().expect("no panic under this lock")
     }
 
-    /// Whether the endpoint names a limit.
+    /// Returns whether the endpoint announces a limit.
     pub fn is_limited(&self) -> bool {
         self.is_limited.load(Ordering::Acquire)
     }
 
-    /// Whether there is something to tell other daemons.
+    /// Returns whether there is an observation for other daemons.
     pub(crate) fn is_known(&self) -> bool {
         self.is_known.load(Ordering::Acquire)
     }
 
-    /// An answer to a request that was sent at `sent_at` names this limit; `draw` is a random number from 0 to 1.
-    /// Gives the limit that is in force now, where that is to be reported.
+    /// Records the limit announced by an answer to a request that was sent at `sent_at`; `draw` is
+    /// a random number from 0 to 1. Returns the limit that now applies, if it is to be reported.
     pub fn on_answer(
         &self,
         now: TimeMs,
@@ -86,31 +86,32 @@
             return None;
         }
         self.change(now, |state| match named {
-            NamedLimit::Of(limit) => state.put_in_force(now, limit, now, draw),
-            NamedLimit::None => state.end_by(sent_at),
+            NamedLimit::Of(limit) => state.apply_limit(now, limit, now, draw),
+            NamedLimit::None => state.end_limit(sent_at),
             NamedLimit::Unreadable => {}
         })
     }
 
-    /// Another daemon tells what it knows; gives the limit that is in force now, where that is to be reported.
+    /// Records the observation of another daemon. Returns the limit that now applies, if it is to
+    /// be reported.
     pub fn on_told(
         &self,
         now: TimeMs,
-        told: LimitObservation,
+        observed: LimitObservation,
         draw: impl FnOnce() -> f64,
     ) -> Option<Option<RequestsPerSecond>> {
         self.change(now, |state| {
-            if !told.is_news(state.known()) {
+            if !observed.supersedes(state.known()) {
                 return;
             }
-            match told.limit {
-                Some(limit) => state.put_in_force(now, limit, told.at, draw),
-                None => state.end_by(told.at),
+            match observed.limit {
+                Some(limit) => state.apply_limit(now, limit, observed.at, draw),
+                None => state.end_limit(observed.at),
             }
         })
     }
 
-    /// What other daemons should know.
+    /// Returns the observation for other daemons.
     pub fn observation(&self, now: TimeMs) -> Option<LimitObservation> {
         if !self.is_known() {
             return None;
@@ -133,123 +134,127 @@
     }
 
     fn publish(&self, state: &State) {
-        let is_limited = state.in_force.is_some();
+        let is_limited = state.current.is_some();
         self.is_limited.store(is_limited, Ordering::Release);
         let is_known = state.known().is_some();
         self.is_known.store(is_known, Ordering::Release);
     }
 
-    /// Whether one of so many daemons may send the endpoint a request now.
+    /// Returns whether one of `daemons` may send the endpoint a request now.
     pub(crate) fn admits(&self, now: TimeMs, daemons: Option<u32>) -> bool {
-        self.at_turns(now, daemons, |turns| turns.is_open(now))
+        self.with_permits(now, daemons, |permits| permits.is_available(now))
             .unwrap_or(true)
     }
 
-    /// Uses the turn for a request; false when another request took it.
-    pub(crate) fn take(&self, now: TimeMs, daemons: Option<u32>) -> bool {
-        self.at_turns(now, daemons, |turns| turns.take(now))
+    /// Uses a permit for a request; returns false if another request used it.
+    pub(crate) fn try_acquire(&self, now: TimeMs, daemons: Option<u32>) -> bool {
+        self.with_permits(now, daemons, |permits| permits.try_acquire(now))
             .unwrap_or(true)
     }
 
-    /// How long it is until this daemon may send the endpoint a request; none: nothing keeps it from that, or it
-    /// doesn't know.
-    pub(crate) fn wait(&self, now: TimeMs, daemons: Option<u32>) -> Option<DurationMs> {
+    /// Returns the time until this daemon may send the endpoint a request; `None` if there is no
+    /// limit, or the number of daemons isn't known.
+    pub(crate) fn wait_time(&self, now: TimeMs, daemons: Option<u32>) -> Option<DurationMs> {
         daemons?;
-        self.at_turns(now, daemons, |turns| turns.wait(now))
+        self.with_permits(now, daemons, |permits| permits.wait_time(now))
     }
 
-    /// Asks this daemon's turns; none: there is no limit. Without a number of daemons there are no turns.
-    fn at_turns<T: Default>(
+    /// Calls `ask` with this daemon's permits; `None` if there is no limit. Without a number of
+    /// daemons there are no permits.
+    fn with_permits<T: Default>(
         &self,
         now: TimeMs,
         daemons: Option<u32>,
-        ask: impl FnOnce(&mut Turns) -> T,
+        use_permits: impl FnOnce(&mut PacedPermits) -> T,
     ) -> Option<T> {
         if !self.is_limited() {
             return None;
         }
         let mut state = self.state();
-        let in_force = state.in_force.as_mut()?;
+        let current = state.current.as_mut()?;
         let Some(daemons) = daemons else {
             return Some(T::default());
         };
-        Some(ask(in_force.turns(now, daemons)))
+        Some(use_permits(current.permits(now, daemons)))
     }
 }
 
-impl InForce {
-    /// The turns among so many daemons.
-    fn turns(&mut self, now: TimeMs, daemons: u32) -> &mut Turns {
+impl CurrentLimit {
+    /// Returns the permits when `daemons` share the limit.
+    fn permits(&mut self, now: TimeMs, daemons: u32) -> &mut PacedPermits {
         let limit = self.limit;
         let rate = || daemon_rate(limit, daemons);
-        let first = || SharedTurns {
+        let first = || SharedPermits {
             daemons,
-            turns: Turns::begin(now, rate(), self.draw),
+            permits: PacedPermits::start(now, rate(), self.draw),
         };
-        let shared = self.turns.get_or_insert_with(first);
+        let shared = self.permits.get_or_insert_with(first);
         if shared.daemons != daemons {
             shared.daemons = daemons;
-            shared.turns.set_rate(now, rate());
+            shared.permits.set_rate(now, rate());
         }
-        &mut shared.turns
+        &mut shared.permits
     }
 }
 
 impl State {
-    /// A limit is named, for the first time or again; it was heard at `heard_at`.
-    fn put_in_force(
+    /// Applies a limit announced at `announced_at`, for the first time or again.
+    fn apply_limit(
         &mut self,
         now: TimeMs,
         limit: RequestsPerSecond,
-        heard_at: TimeMs,
+        announced_at: TimeMs,
         draw: impl FnOnce() -> f64,
     ) {
         self.ended_at = None;
-        let Some(in_force) = &mut self.in_force else {
-            self.in_force = Some(InForce {
+        let Some(current) = &mut self.current else {
+            self.current = Some(CurrentLimit {
                 limit,
-                heard_at,
+                announced_at,
                 draw: draw(),
-                turns: None,
+                permits: None,
             });
             return;
         };
-        in_force.heard_at = heard_at;
-        if in_force.limit == limit {
+        current.announced_at = announced_at;
+        if current.limit == limit {
             return;
         }
-        in_force.limit = limit;
-        if let Some(shared) = &mut in_force.turns {
+        current.limit = limit;
+        if let Some(shared) = &mut current.permits {
             let rate = daemon_rate(limit, shared.daemons);
-            shared.turns.set_rate(now, rate);
+            shared.permits.set_rate(now, rate);
         }
     }
 
-    /// An answer without a limit came to a request that was sent then.
-    fn end_by(&mut self, sent_at: TimeMs) {
-        // Answers overtake each other: this one may be from before the limit was named.
-        if self.in_force.is_some_and(|limit| limit.heard_at > sent_at) {
+    /// Ends the limit by an answer without one to a request that was sent at `sent_at`.
+    fn end_limit(&mut self, sent_at: TimeMs) {
+        // Answers arrive out of order: this one may be older than the limit.
+        if self
+            .current
+            .is_some_and(|limit| limit.announced_at > sent_at)
+        {
             return;
         }
-        self.in_force = None;
+        self.current = None;
         self.ended_at = self.ended_at.max(Some(sent_at));
     }
 
     fn known(&self) -> Option<LimitObservation> {
-        let named = self.in_force.map(|in_force| LimitObservation {
-            limit: Some(in_force.limit),
-            at: in_force.heard_at,
+        let named = self.current.map(|current| LimitObservation {
+            limit: Some(current.limit),
+            at: current.announced_at,
         });
         named.or(self.ended_at.map(|at| LimitObservation { limit: None, at }))
     }
 
     fn forget_old_end(&mut self, now: TimeMs) {
-        self.ended_at = self.ended_at.filter(|at| now.since(*at) < TOLD_END_MS);
+        self.ended_at = self.ended_at.filter(|at| now.since(*at) < END_REPORT_MS);
     }
 
-    /// The limit in force, if it is another than the one that was reported last, and time for a report.
+    /// Returns the limit that applies, if it differs from the last report and a report is due.
     fn take_report(&mut self, now: TimeMs) -> Option<Option<RequestsPerSecond>> {
-        let limit = self.in_force.map(|in_force| in_force.limit);
+        let limit = self.current.map(|current| current.limit);
         let is_known = limit == self.reported.and_then(|reported| reported.limit);
         let is_soon = self
             .reported
--- a/crates/gateway/src/endpoints/selection.rs
+++ b/crates/gateway/src/endpoints/selection.rs
@@ -1,7 +1,7 @@
-//! Selection: gathers what [`crate::decisions::endpoint::placement`] decides on, and carries it
-//! out.
+//! Selection: gathers the inputs of [`crate::decisions::endpoint::placement`], and carries out its
+//! decision.
 //!
-//! Owns nothing. Takes two short locks an endpoint, for health and for the queue.
+//! Owns nothing. Takes two short locks for each endpoint, for health and for the queue.
 
 use crate::decisions::eligibility::cold_start::ColdQuota;
 use crate::decisions::eligibility::region_limits::RegionLimits;
@@ -24,7 +24,7 @@
 /// A request that needs an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectionRequest<'a> {
-    /// Now.
+    /// The current time.
     pub now: TimeMs,
     /// A hash of this daemon's name.
     pub daemon: u64,
@@ -32,42 +32,42 @@
     pub data_centre: &'a DataCentreId,
     /// The prompt; empty for plain requests.
     pub prompt: &'a Prompt,
-    /// Endpoints that the request was sent to before.
+    /// The endpoints that the request was sent to before.
     pub tried: &'a [Arc<Endpoint>],
-    /// Data centres in which the request has found an endpoint lost.
+    /// The data centres in which the request has found an endpoint lost.
     pub lost_in: &'a [DataCentreId],
-    /// Where the request may be served.
+    /// The regions in which the request may be served.
     pub region_limits: RegionLimits<'a>,
-    /// How many daemons there are; none: this daemon doesn't know.
+    /// The number of daemons; `None` if this daemon doesn't know it.
     pub daemons: Option<u32>,
-    /// What this daemon may send to cold endpoints; none: as much as to others.
+    /// What this daemon may send to cold endpoints; `None` for as much as to others.
     pub cold: Option<ColdQuota>,
 }
 
-/// The endpoint that a request goes to, and the estimate that was the lowest.
+/// The endpoint that a request goes to, with its estimate, which was the lowest.
 #[derive(Clone, Debug)]
 pub struct Selected {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// What the request is expected to cost there.
+    /// The expected cost of the request there.
     pub estimate: Estimate,
-    /// Where the endpoint takes a part of the prompt from.
+    /// The address that the endpoint fetches a part of the prompt from.
     pub cache_source: Option<SocketAddr>,
 }
 
 impl SelectionRequest<'_> {
-    /// Whether an endpoint may get the request.
+    /// Returns whether an endpoint may get the request.
     fn may_use(&self, endpoint: &Endpoint) -> bool {
         let was_tried = |tried: &Arc<Endpoint>| tried.index == endpoint.index;
-        endpoint.is_in_use(self.now)
-            && endpoint.rest_left(self.now).is_none()
+        endpoint.is_usable(self.now)
+            && endpoint.backoff_remaining(self.now).is_none()
             && !self.tried.iter().any(was_tried)
             && self.may_serve_at(endpoint)
             && self.admits_cold(endpoint)
             && endpoint.rate_limit.admits(self.now, self.daemons)
     }
 
-    /// Whether the request may be served where an endpoint is.
+    /// Returns whether the request may be served in the data centre of an endpoint.
     fn may_serve_at(&self, endpoint: &Endpoint) -> bool {
         !self.region_limits.is_limited()
             || self
@@ -80,16 +80,17 @@
         cold.is_none_or(|quota| endpoint.cold.admits(self.now, quota, endpoint.hash))
     }
 
-    /// Takes the request out of what an endpoint that is limited or cold may get; false when another request took
-    /// the last one.
-    fn take_turn(&self, endpoint: &Endpoint) -> bool {
+    /// Counts the request against the limit or the cold quota of an endpoint; returns false if
+    /// another request used the last one.
+    fn try_acquire(&self, endpoint: &Endpoint) -> bool {
         let cold = self.cold.as_ref();
-        endpoint.rate_limit.take(self.now, self.daemons)
-            && cold.is_none_or(|quota| endpoint.cold.take(self.now, quota, endpoint.hash))
+        endpoint.rate_limit.try_acquire(self.now, self.daemons)
+            && cold.is_none_or(|quota| endpoint.cold.try_acquire(self.now, quota, endpoint.hash))
     }
 }
 
-/// Selects an endpoint among those of a service; none when all were tried, or bear no more while limited or cold.
+/// Selects an endpoint among those of a service; `None` if all were tried, or none may get another
+/// request for now.
 pub fn select_endpoint(
     locations: &PromptLocations,
     request: SelectionRequest<'_>,
@@ -97,23 +98,24 @@
 ) -> Option<Selected> {
     loop {
         let selected = lowest_estimate(locations, request, service)?;
-        if request.take_turn(&selected.endpoint) {
+        if request.try_acquire(&selected.endpoint) {
             return Some(selected);
         }
     }
 }
 
-/// How long it is until a request that is refused now may be taken, when it comes back; none: time alone changes nothing.
+/// Returns the time after which a request that is refused now may be accepted; `None` if waiting
+/// alone doesn't help.
 pub fn earliest_use(
     request: &SelectionRequest<'_>,
     service: &ServiceEndpoints,
 ) -> Option<DurationMs> {
     let allowed = service.all.iter();
     let allowed = allowed
-        .filter(|endpoint| endpoint.is_in_use(request.now) && request.may_serve_at(endpoint));
+        .filter(|endpoint| endpoint.is_usable(request.now) && request.may_serve_at(endpoint));
     rest::earliest_use(allowed.map(|endpoint| EndpointWait {
-        rest: endpoint.rest_left(request.now),
-        turn: endpoint.rate_limit.wait(request.now, request.daemons),
+        backoff: endpoint.backoff_remaining(request.now),
+        permit: endpoint.rate_limit.wait_time(request.now, request.daemons),
     }))
 }
 
@@ -150,7 +152,7 @@
     })
 }
 
-/// Sound engines that are believed to keep a shared part of the prompt.
+/// Returns the healthy engines that are believed to cache a shared part of the prompt.
 fn cache_sources(
     request: &SelectionRequest<'_>,
     service: &ServiceEndpoints,
@@ -162,10 +164,10 @@
     let sources = service.all.iter().filter_map(|endpoint| {
         let tokens = estimator.cached_tokens(endpoint.index);
         let is_usable = tokens > 0
-            && endpoint.is_in_use(request.now)
-            && endpoint.rest_left(request.now).is_none()
+            && endpoint.is_usable(request.now)
+            && endpoint.backoff_remaining(request.now).is_none()
             && request.may_serve_at(endpoint)
-            && endpoint.health.trust(request.now) == Trust::Sound;
+            && endpoint.health.trust(request.now) == Trust::Healthy;
         is_usable.then_some(CacheSource {
             endpoint: endpoint.index,
             tokens,
@@ -174,7 +176,8 @@
     sources.collect()
 }
 
-/// The preferred endpoints of a prompt's shared prefix: among the sound ones of its group.
+/// Returns the preferred endpoints of a prompt's shared prefix, among the healthy ones of its
+/// group.
 fn preferred_endpoints(
     request: &SelectionRequest<'_>,
     service: &ServiceEndpoints,
@@ -186,13 +189,13 @@
     let wants_reserved = stream_reservation::is_stream_like(request.prompt);
     for (endpoint, is_reserved) in service.with_reservations() {
         if is_reserved != wants_reserved
-            || !endpoint.is_in_use(request.now)
-            || endpoint.rest_left(request.now).is_some()
+            || !endpoint.is_usable(request.now)
+            || endpoint.backoff_remaining(request.now).is_some()
             || !request.may_serve_at(endpoint)
         {
             continue;
         }
-        if endpoint.health.trust(request.now) == Trust::Sound {
+        if endpoint.health.trust(request.now) == Trust::Healthy {
             let weight = prompt_affinity::weight(endpoint.hash, prefix_id);
             preferred.offer(endpoint.index, weight);
         }
@@ -200,8 +203,9 @@
     preferred
 }
 
-/// Where a prompt stands in an endpoint's order of prompts, from 0 to 1: the same on all daemons.
-fn order(prompt: &Prompt, endpoint_id: &str) -> f64 {
+/// Returns the position of a prompt in an endpoint's order of prompts, from 0 to 1, which is the
+/// same on all daemons.
+fn order_position(prompt: &Prompt, endpoint_id: &str) -> f64 {
     let own_part = prompt.parts.last();
     let weight = own_part.map_or(0, |part| xxh3_64_with_seed(endpoint_id.as_bytes(), part.id));
     weight as f64 / u64::MAX as f64
@@ -218,8 +222,8 @@
         slots: record.slots,
         is_local: record.data_centre == *request.data_centre,
         is_reserved,
-        order: if placement::may_be_crowded(record.slots, load) {
-            order(request.prompt, record.id.as_str())
+        order_position: if placement::may_be_crowded(record.slots, load) {
+            order_position(request.prompt, record.id.as_str())
         } else {
             0.0
         },
@@ -227,6 +231,6 @@
         observed_queue_ms: queue.expected_ms,
         health: endpoint.health.snapshot(request.now),
         is_silent: queue.is_silent,
-        is_beside_lost: request.lost_in.contains(&record.data_centre),
+        is_near_lost_endpoint: request.lost_in.contains(&record.data_centre),
     }
 }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! The pure decisions: placement, waiting, retry budget, health.
+//! Tests of the pure decision rules: placement, queue delay, retry budget, endpoint health,
+//! priority.
 
 mod support;
 
@@ -23,7 +24,7 @@
 const NOW: TimeMs = TimeMs(10_000);
 const ROUNDED_DOWN: RetryRounding = RetryRounding(0.0);
 
-/// Three engines in each of three data centres.
+/// Returns a service with three engines in each of three data centres.
 fn service() -> ServiceEndpoints {
     records::service(9, 64, |at| format!("dc-{}", at / 3))
 }
@@ -64,29 +65,32 @@
     selected.expect("an endpoint")
 }
 
-/// Prompt tokens that wait, and nothing that runs.
-fn waiting(prefill_tokens: u64) -> Work {
+/// Returns a load of unread prompt tokens without running requests.
+fn unread(prefill_tokens: u64) -> Work {
     Work {
         prefill_tokens,
         running: 0,
     }
 }
 
+/// Guards against sessions that change their engine, and lose its cache, whenever other daemons
+/// report prompts.
 #[test]
-fn work_that_others_told_makes_the_line_longer_and_moves_no_session() {
+fn reported_prompts_of_other_daemons_delay_a_request_but_do_not_move_it() {
     let service = service();
     let prompt = prompt(77, 6_000, 3_000, 200);
     let before = placed(&service, &prompt, "dc-0");
     assert_eq!(before.estimate.queue_ms, 0.0);
-    before.endpoint.load.on_peers_report(NOW, waiting(50_000));
+    before.endpoint.load.on_peers_report(NOW, unread(50_000));
     let after = placed(&service, &prompt, "dc-0");
     assert_eq!(after.endpoint.index, before.endpoint.index);
     assert_eq!(
         after.estimate.queue_ms, 150.0,
-        "0.15 of a second of reading"
+        "50,000 tokens take 1 s, weighted by 0.15"
     );
 }
 
+/// Guards against streams that pause because their engine reads a long prompt.
 #[test]
 fn streams_and_long_prompts_go_to_different_engines() {
     let service = service();
@@ -99,18 +103,20 @@
     }
 }
 
+/// Guards against daemons that disagree on the engine of a session, so that several engines read
+/// the same prefix.
 #[test]
 fn daemons_of_all_data_centres_place_a_session_at_the_same_engine() {
     let service = service();
     let mut used = HashSet::new();
     for session in 10..200 {
         let prompt = prompt(session, 6_000, 3_000, 200);
-        let homes: HashSet<EndpointIx> = ["dc-0", "dc-1", "dc-2"]
+        let engines: HashSet<EndpointIx> = ["dc-0", "dc-1", "dc-2"]
             .iter()
             .map(|data_centre| place(&service, &prompt, data_centre))
             .collect();
-        assert_eq!(homes.len(), 1, "session {session}");
-        used.extend(homes);
+        assert_eq!(engines.len(), 1, "session {session}");
+        used.extend(engines);
     }
     assert_eq!(
         used.len(),
@@ -119,8 +125,10 @@
     );
 }
 
+/// Guards against a shared prefix that spreads to a third engine because the two preferred ones
+/// have a queue.
 #[test]
-fn a_session_has_two_engines_and_no_third_while_they_live() {
+fn a_session_uses_two_engines_and_no_third_while_they_are_healthy() {
     let service = service();
     let prompt = prompt(77, 6_000, 3_000, 200);
     let first = place(&service, &prompt, "dc-0");
@@ -130,7 +138,7 @@
     };
     let load = |index: EndpointIx| &service.all[index.at()].load;
     load(first).queue_delay().on_sent(busy);
-    // It is busy, not gone: others get their tokens.
+    // It is busy, not unreachable: other requests get their tokens.
     load(first).on_heard(NOW);
     let second = place(&service, &prompt, "dc-0");
     assert_ne!(first, second);
@@ -143,8 +151,9 @@
     assert!(![first, second].contains(&third), "both are lost");
 }
 
+/// Guards against requests to an endpoint behind a network partition, which closes no connection.
 #[test]
-fn an_endpoint_that_keeps_a_request_waiting_in_silence_is_passed_over() {
+fn an_endpoint_that_keeps_a_request_waiting_in_silence_is_avoided() {
     let service = service();
     let prompt = prompt(77, 6_000, 3_000, 200);
     let first = place(&service, &prompt, "dc-0");
@@ -160,11 +169,12 @@
     assert!(is_silent());
     assert_ne!(place(&service, &prompt, "dc-0"), first);
     load.on_heard(TimeMs(NOW.0 - 10));
-    assert!(!is_silent(), "others get their tokens");
+    assert!(!is_silent(), "other requests get their tokens");
 }
 
+/// Guards against a queue that is noticed only when its first request is answered.
 #[test]
-fn waiting_is_seen_by_those_that_were_answered_and_those_that_still_wait() {
+fn queue_delay_counts_answered_and_pending_requests() {
     let mut delay = QueueDelay::default();
     let pending = |sent, prefill_ms| PendingRequest {
         sent_at: TimeMs(sent),
@@ -179,18 +189,17 @@
     assert_eq!(
         delay.expected_ms(TimeMs(450)),
         330.0,
-        "the other waits longer than the mean"
+        "the pending request has waited longer than the mean"
     );
     delay.on_ended(other);
     assert_eq!(delay.expected_ms(TimeMs(450)), 200.0);
-    assert!(
-        delay.expected_ms(TimeMs(4_450)) < 20.0,
-        "what was seen long ago fades"
-    );
+    assert!(delay.expected_ms(TimeMs(4_450)) < 20.0, "old waits decay");
 }
 
+/// Guards against an idle endpoint that looks busy because of an old report, and against counting
+/// this daemon's own requests twice.
 #[test]
-fn load_of_others_is_what_an_endpoint_tells_beyond_one_s_own_and_is_soon_forgotten() {
+fn an_endpoint_report_counts_the_load_of_other_daemons_until_it_expires() {
     let load = EndpointLoad::default();
     load.on_sent(100);
     let reported = ReportedLoad {
@@ -205,31 +214,32 @@
     assert_eq!(load.snapshot(later).running(), 0);
 }
 
+/// Guards against retries beyond the budget in windows that begin between two requests.
 #[test]
-fn repeats_stay_within_the_ratio_and_a_part_of_the_slack_in_every_window() {
+fn retries_stay_within_the_ratio_of_requests_and_the_slack() {
     let budgets = RetryBudgets::new(TimeMs(0), &budget_settings(24, &[]), ROUNDED_DOWN);
     let service = ServiceName::from("s");
-    let takes = |at: u64| {
+    let grants = |at: u64| {
         (0..100)
             .filter(|_| budgets.take(TimeMs(at), &service).is_granted)
             .count()
     };
-    assert_eq!(takes(0), 2, "a twelfth of the slack");
+    assert_eq!(grants(0), 2, "a twelfth of the slack");
     for at in 0..100 {
         budgets.on_request(TimeMs(at), &service);
     }
     assert_eq!(
-        takes(100),
+        grants(100),
         10,
         "half the ratio: the window before had no requests"
     );
-    assert_eq!(takes(9_999), 0);
-    assert_eq!(takes(10_099), 0, "repeats of the window still count");
-    assert_eq!(takes(10_249), 0, "windows begin within steps of a fortieth");
-    assert_eq!(takes(10_250), 2, "requests of old earn nothing more");
+    assert_eq!(grants(9_999), 0);
+    assert_eq!(grants(10_099), 0, "retries of the window still count");
+    assert_eq!(grants(10_249), 0, "windows begin within a step of 250 ms");
+    assert_eq!(grants(10_250), 2, "old requests allow no more retries");
 }
 
-/// Settings with a window of 10 s and a ratio of 0.2, of a daemon that knows these seeds.
+/// Returns settings with a window of 10 s and a ratio of 0.2, of a daemon with these seeds.
 fn budget_settings(retry_slack: u32, seeds: &[SocketAddr]) -> GatewaySettings {
     GatewaySettings {
         retry_ratio: Share(0.2),
@@ -241,40 +251,48 @@
     }
 }
 
+/// Guards against daemons that each use the whole slack of the fleet.
 #[test]
-fn eighty_daemons_with_few_requests_each_share_one_slack() {
+fn eighty_daemons_with_quiet_services_share_one_slack() {
     let seeds = [SocketAddr::from(([127, 0, 0, 1], 7_000))];
     let service = ServiceName::from("s");
-    let takes = |budgets: &RetryBudgets, at: u64| {
+    let grants = |budgets: &RetryBudgets, at: u64| {
         (0..100)
             .filter(|_| budgets.take(TimeMs(at), &service).is_granted)
             .count()
     };
     let start = || RetryBudgets::new(TimeMs(0), &budget_settings(200, &seeds), ROUNDED_DOWN);
-    assert_eq!(takes(&start(), 60_000), 0, "how many there are is unknown");
+    assert_eq!(
+        grants(&start(), 60_000),
+        0,
+        "the number of daemons is unknown"
+    );
     let fleet: Vec<RetryBudgets> = (0..80).map(|_| start()).collect();
     for budgets in &fleet {
         budgets.share_among(80);
-        assert_eq!(
-            takes(budgets, 9_999),
-            0,
-            "the process before it had a share"
-        );
+        assert_eq!(grants(budgets, 9_999), 0, "its predecessor had a share");
     }
-    let all: usize = fleet.iter().map(|budgets| takes(budgets, 20_000)).sum();
+    let all: usize = fleet.iter().map(|budgets| grants(budgets, 20_000)).sum();
     assert!((80..=200).contains(&all), "{all} of 200");
 }
 
+/// Guards against idle connections that leave none of an endpoint's connections for requests.
 #[test]
-fn all_daemons_together_rest_at_half_of_what_an_endpoint_takes() {
-    for (taken, daemons, most) in [(360, 6, 8), (840, 87, 4), (540, 80, 3), (360, 390, 1)] {
-        assert_eq!(max_idle(taken, daemons), most, "{taken} {daemons}");
+fn all_daemons_together_keep_at_most_half_of_an_endpoints_connections_idle() {
+    for (accepted, daemons, expected) in [(360, 6, 8), (840, 87, 4), (540, 80, 3), (360, 390, 1)] {
+        assert_eq!(
+            max_idle(accepted, daemons),
+            expected,
+            "{accepted} {daemons}"
+        );
     }
-    assert_eq!(max_idle(0, 390), 8, "it says nothing");
+    assert_eq!(max_idle(0, 390), 8, "no number announced");
 }
 
+/// Guards against daemons that take a larger share of a limit because others are cut off for a
+/// short time.
 #[test]
-fn a_fleet_is_as_large_as_it_was_lately() {
+fn a_fleet_keeps_its_largest_recent_size_until_the_report_expires() {
     let mut fleet = FleetSize::default();
     assert_eq!(fleet.daemons(), None);
     fleet.on_report(TimeMs(0), 80);
@@ -282,21 +300,23 @@
     assert_eq!(
         fleet.daemons(),
         Some(80),
-        "those that are cut off still live"
+        "daemons that are cut off still exist"
     );
     fleet.on_report(TimeMs(31_000), 3);
     assert_eq!(fleet.daemons(), Some(3));
     fleet.on_report(TimeMs(70_000), 0);
-    assert_eq!(fleet.daemons(), Some(3), "who knows nothing says nothing");
+    assert_eq!(fleet.daemons(), Some(3), "a report of 0 is ignored");
 }
 
+/// Guards against requests to an endpoint that was just lost, and against one that is trusted again
+/// after too few successes.
 #[test]
-fn an_endpoint_that_was_lost_comes_back_and_is_away_longer_each_time() {
+fn a_lost_endpoint_is_avoided_until_its_ejection_ends() {
     let health = EndpointHealth::default();
     assert!(health.on_lost(NOW));
-    assert!(!health.on_lost(NOW), "it is away already");
+    assert!(!health.on_lost(NOW), "it is already ejected");
     assert_eq!(health.trust(TimeMs(NOW.0 + 499)), Trust::Ejected);
-    assert_eq!(health.trust(TimeMs(NOW.0 + 500)), Trust::Sound);
+    assert_eq!(health.trust(TimeMs(NOW.0 + 500)), Trust::Healthy);
     let again = TimeMs(NOW.0 + 500);
     assert!(health.on_lost(again));
     assert_eq!(health.trust(TimeMs(again.0 + 999)), Trust::Ejected);
@@ -310,57 +330,61 @@
     let after_two = health.trust(back);
     assert_eq!(after_two, Trust::Failing, "two successes aren't enough");
     health.on_served(back);
-    assert_eq!(health.trust(back), Trust::Sound);
+    assert_eq!(health.trust(back), Trust::Healthy);
 }
 
+/// Guards against an endpoint that is excluded forever, since without requests it can't have a
+/// success.
 #[test]
-fn an_endpoint_that_failed_gets_work_again_after_a_while() {
+fn a_failing_endpoint_gets_requests_again_without_a_success() {
     let health = EndpointHealth::default();
     for _ in 0..20 {
         health.on_failed(NOW);
     }
     assert_eq!(health.trust(NOW), Trust::Failing);
     assert_eq!(health.trust(TimeMs(NOW.0 + 1_000)), Trust::Failing);
-    // It got no work meanwhile, so that no success could speak for it.
-    assert_eq!(health.trust(TimeMs(NOW.0 + 13_000)), Trust::Sound);
+    // It got no requests meanwhile, so it had no success.
+    assert_eq!(health.trust(TimeMs(NOW.0 + 13_000)), Trust::Healthy);
 }
 
+/// Guards against sessions that stay on an engine that loses part of its answers.
 #[test]
 fn streams_leave_an_engine_that_loses_three_answers_in_ten() {
     let service = service();
     let stream = prompt(10, 200, 500, 900);
-    let near = place(&service, &stream, "dc-0");
-    let health = &service.all[near.at()].health;
+    let nearest = place(&service, &stream, "dc-0");
+    let health = &service.all[nearest.at()].health;
     health.on_failed(NOW);
     health.on_served(NOW);
     health.on_served(NOW);
-    assert_ne!(place(&service, &stream, "dc-0"), near);
-    // Where all lose as many, nothing is gained by going elsewhere.
+    assert_ne!(place(&service, &stream, "dc-0"), nearest);
+    // If all lose as many, another engine is no better.
     for endpoint in &service.all {
-        if endpoint.index != near {
+        if endpoint.index != nearest {
             endpoint.health.on_failed(NOW);
             endpoint.health.on_served(NOW);
             endpoint.health.on_served(NOW);
         }
     }
-    assert_eq!(place(&service, &stream, "dc-0"), near);
+    assert_eq!(place(&service, &stream, "dc-0"), nearest);
 }
 
+/// Guards against an engine that gets streams until it preempts others.
 #[test]
 fn streams_leave_an_engine_before_its_slots_are_taken() {
     let service = service();
     let stream = prompt(10, 200, 500, 900);
-    let near = place(&service, &stream, "dc-0");
-    let load = &service.all[near.at()].load;
+    let nearest = place(&service, &stream, "dc-0");
+    let load = &service.all[nearest.at()].load;
     let reported = |running| ReportedLoad {
         running,
         waiting: 0,
     };
     load.on_report(NOW, reported(1));
-    assert_eq!(place(&service, &stream, "dc-0"), near);
+    assert_eq!(place(&service, &stream, "dc-0"), nearest);
     load.on_report(NOW, reported(56));
-    assert_ne!(place(&service, &stream, "dc-0"), near);
-    // Where all that are kept for streams are full, the others take them.
+    assert_ne!(place(&service, &stream, "dc-0"), nearest);
+    // If all engines that are reserved for streams are full, the others get them.
     for endpoint in &service.all {
         if service.reserved_for_streams().contains(&endpoint.index) {
             endpoint.load.on_report(NOW, reported(60));
@@ -370,11 +394,12 @@
     assert!(!service.reserved_for_streams().contains(&other));
 }
 
-/// On ravaton-lessons-grown, `scale-2 --seed 1035943558913`, a burst on one key brought so many streams
-/// to one engine that it preempted 25 and more of them: each daemon saw only its own. Daemons now tell
-/// each other what runs, some times a second; between two reports so many streams are sent.
+/// Guards against a burst on one key that sends more streams to one engine than it has slots, so
+/// that it preempts some (25 and more on ravaton-lessons-grown): each daemon saw only its own
+/// streams. Daemons now report to each other what runs, several times a second;
+/// `SENT_BETWEEN_REPORTS` streams are sent between two reports.
 #[test]
-fn a_burst_of_many_daemons_leaves_an_engine_before_its_slots_are_taken() {
+fn a_burst_of_many_daemons_does_not_exceed_an_engines_slots() {
     const SENT_BETWEEN_REPORTS: usize = 40;
     const SLOTS: usize = 64;
     // Nine engines have 576 slots; the three that are reserved for streams have 192.
@@ -390,8 +415,8 @@
     }
 }
 
-/// Eighty daemons send streams with one shared prefix in turn, and report what runs after each
-/// `sent_between_reports`; gives the streams at each engine.
+/// Sends streams with one shared prefix from eighty daemons in turn, which report what runs after
+/// each `sent_between_reports`; returns the number of streams at each engine.
 fn burst(streams: usize, sent_between_reports: usize) -> HashMap<EndpointIx, usize> {
     const DAEMONS: usize = 80;
     let mut stream = prompt(10, 200, 500, 900);
@@ -411,16 +436,16 @@
     by_engine
 }
 
-/// The daemon of this view hears how many streams the others run.
+/// Reports to the daemon of this view the number of streams that the others run.
 fn report_all(view: &ServiceEndpoints, by_engine: &HashMap<EndpointIx, usize>) {
     for endpoint in &view.all {
         let total = by_engine.get(&endpoint.index).copied().unwrap_or(0) as u32;
         let own = endpoint.load.snapshot(NOW).own_running;
-        let of_others = Work {
+        let others_work = Work {
             prefill_tokens: 0,
             running: total - own,
         };
-        endpoint.load.on_peers_report(NOW, of_others);
+        endpoint.load.on_peers_report(NOW, others_work);
     }
 }
 
@@ -443,8 +468,10 @@
     }
 }
 
+/// Guards against prompts of an important customer's less important route that preempt streams of
+/// another customer.
 #[test]
-fn a_route_s_tier_goes_first_and_the_customer_s_decides_among_equals() {
+fn the_tier_of_the_route_counts_before_the_customers() {
     let routes = [
         route("notes", 0, "model"),
         route("brief", 1, "model"),
@@ -452,39 +479,44 @@
         route("push", 2, "plain"),
     ];
     let [low, high, none] = [customer(Some(1)), customer(Some(0)), customer(None)];
-    let holders = [&low, &high, &none];
-    let ranking = PriorityRanking::new(routes.iter(), holders.into_iter());
-    let of = |customer: &Customer, at: usize| ranking.priority(Some(customer), &routes[at]);
-    assert!(of(&low, 0) < of(&low, 1) && of(&low, 1) < of(&low, 2));
+    let customers = [&low, &high, &none];
+    let ranking = PriorityRanking::new(routes.iter(), customers.into_iter());
+    let priority = |customer: &Customer, at: usize| ranking.priority(Some(customer), &routes[at]);
+    assert!(priority(&low, 0) < priority(&low, 1) && priority(&low, 1) < priority(&low, 2));
     for at in 0..3 {
-        assert!(of(&high, at) < of(&low, at), "the customer decides");
+        assert!(
+            priority(&high, at) < priority(&low, at),
+            "the tier of the customer decides"
+        );
     }
     assert!(
-        of(&low, 0) < of(&high, 1) && of(&low, 1) < of(&high, 2),
+        priority(&low, 0) < priority(&high, 1) && priority(&low, 1) < priority(&high, 2),
         "no customer's prompts preempt streams of a more important route"
     );
     assert!(
-        of(&none, 0) < of(&low, 0),
-        "without a tier of its own the route's counts"
+        priority(&none, 0) < priority(&low, 0),
+        "without a tier of the customer, that of the route counts"
     );
     let model = ServiceName::from("model");
     let least = ranking.priority(None, &routes[2]);
     assert!(ranking.is_lowest(least, &model));
-    assert!(!ranking.is_lowest(of(&low, 1), &model));
-    // Customers that all have a tier: the last route of the lowest is the least urgent.
+    assert!(!ranking.is_lowest(priority(&low, 1), &model));
+    // If all customers have a tier, the least important route of the lowest of them has the lowest
+    // priority.
     let ranking = PriorityRanking::new(routes.iter(), [&low, &high].into_iter());
-    let of = |at: usize| ranking.priority(Some(&low), &routes[at]);
-    assert!(ranking.is_lowest(of(2), &model) && !ranking.is_lowest(of(1), &model));
+    let priority = |at: usize| ranking.priority(Some(&low), &routes[at]);
+    assert!(ranking.is_lowest(priority(2), &model) && !ranking.is_lowest(priority(1), &model));
 }
 
+/// Guards against ranks that change places when they are mapped to the ten priorities.
 #[test]
 fn more_ranks_than_priorities_keep_their_order() {
     let routes: Vec<Route> = (0..8).map(|tier| route("r", tier, "model")).collect();
     let customers: Vec<Customer> = (0..8).map(|tier| customer(Some(tier))).collect();
     let ranking = PriorityRanking::new(routes.iter(), customers.iter());
     let all = routes.iter().flat_map(|route| {
-        let of = |customer| ranking.priority(Some(customer), route);
-        customers.iter().map(of)
+        let priority = |customer| ranking.priority(Some(customer), route);
+        customers.iter().map(priority)
     });
     let all: Vec<Priority> = all.collect();
     assert!(all.is_sorted());
