--- a/crates/gateway/tests/cache_fetch.rs
+++ b/crates/gateway/tests/cache_fetch.rs
@@ -1,4 +1,4 @@
-//! Cached parts of prompts are taken from another engine instead of being read again.
+//! Tests that cached parts of prompts are fetched from another engine instead of being read again.
 
 mod support;
 
@@ -16,8 +16,10 @@
     }
 }
 
+/// Guards against fetches that save less time than they take, and against sources that cache less
+/// than others.
 #[test]
-fn the_engine_that_keeps_the_most_is_the_source_where_it_keeps_much_more() {
+fn the_engine_with_the_most_cached_tokens_is_the_source_if_it_saves_enough() {
     let sources = [source(1, 2_000), source(2, 6_300), source(3, 6_000)];
     let fetch = |engine, cached_tokens| choose(EndpointIx(engine), cached_tokens, &sources);
     let from_two = |tokens| {
@@ -27,13 +29,14 @@
     assert_eq!(fetch(7, 0), from_two(6_300));
     assert_eq!(fetch(1, 2_000), from_two(4_300));
     assert_eq!(fetch(3, 5_301), None, "too little is missing");
-    assert_eq!(fetch(2, 6_300), None, "no engine takes from itself");
+    assert_eq!(fetch(2, 6_300), None, "no engine fetches from itself");
     assert_eq!(choose(EndpointIx(7), 0, &[]), None);
 }
 
-/// The names of the source are told to the engine, and never taken from a client.
+/// Guards against engines that are not told which engine caches a prefix, and against a source that
+/// a client sets by the request header.
 #[tokio::test]
-async fn an_engine_is_told_where_a_shared_prefix_is_kept() {
+async fn a_request_names_the_engine_that_caches_its_shared_prefix() {
     let source = ScriptedSource::new();
     source.configure(3, vec![stream_route("long", false, 1)], &[KEY]);
     let engines = [
@@ -48,7 +51,8 @@
     let prompt = "x-parts: aa:3000,bb:300\r\nx-tokens: 3300,50\r\n\
                   x-cache-source: 10.0.0.1:1\r\n";
     let mut clients = Vec::new();
-    // The first choice fills up with prompts that it reads; the second takes the prefix from it.
+    // The first choice gets a queue of prompts to read; the second engine fetches the prefix from
+    // it.
     for id in 0..12 {
         let mut client = Client::connect(running.address).await;
         let id = format!("a{id}");
@@ -59,14 +63,14 @@
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     let addresses = engines.each_ref().map(|engine| engine.address.to_string());
-    let mut told = 0;
+    let mut named_sources = 0;
     for engine in &engines {
         let seen = engine.seen.lock().expect("no panic under this lock");
         for source in seen.iter().filter_map(|seen| seen.header("x-cache-source")) {
-            assert!(addresses.contains(&source), "{source} is no engine");
+            assert!(addresses.contains(&source), "{source} is not an engine");
             assert_ne!(source, engine.address.to_string());
-            told += 1;
+            named_sources += 1;
         }
     }
-    assert!(told > 0, "no engine was told of a source");
+    assert!(named_sources > 0, "no request named a source");
 }
--- a/crates/gateway/tests/cold_start.rs
+++ b/crates/gateway/tests/cold_start.rs
@@ -1,7 +1,8 @@
-//! What cold endpoints get from all daemons together, and what a request does beside lost endpoints.
+//! Tests of the requests that cold endpoints get from all daemons together, and of requests that
+//! have found an endpoint lost.
 //!
-//! The load that is meant: endpoints of a data centre that come back together, cold and empty, so that each
-//! daemon takes them for the best ones, with more requests at once than they bear.
+//! The load: endpoints of a data centre that return together, cold and idle, so that each daemon
+//! considers them the best ones, with more concurrent requests than they can handle.
 
 mod support;
 
@@ -20,8 +21,9 @@
     requests_per_s: 11.0,
     duration_ms: DurationMs(3_000),
 };
-/// Requests above what an endpoint bears in any second from which on it ends: half as many again.
-const MOST_IN_A_SECOND: f64 = 11.0 * 1.5 + 5.0;
+/// The number of requests in any second above which an endpoint ends: half as many again as it can
+/// handle, plus 5.
+const MAX_IN_A_SECOND: f64 = 11.0 * 1.5 + 5.0;
 const NOW: TimeMs = TimeMs(10_000);
 
 fn quota(daemon: u32, daemons: u32) -> ColdQuota {
@@ -33,7 +35,8 @@
     }
 }
 
-/// What an endpoint gets in one window when all daemons, which run for so long, send as much as they may.
+/// Returns the requests that an endpoint gets in one window if all daemons, which have run for
+/// `process_age`, send as much as they may.
 fn sent_by(daemons: u32, process_age: DurationMs, endpoint: EndpointHash, window: u64) -> u32 {
     let quotas = (0..daemons).map(|at| ColdQuota {
         process_age,
@@ -44,17 +47,17 @@
         .sum()
 }
 
-/// The same of daemons that have long been running.
+/// Returns the same for daemons that have been running for long.
 fn sent_by_all(daemons: u32, endpoint: EndpointHash, window: u64) -> u32 {
     sent_by(daemons, DurationMs(60_000), endpoint, window)
 }
 
-/// The last moment of a window and the first of the next lie in one second.
+/// Guards against overload in a second that overlaps two windows.
 #[test]
-fn two_windows_together_bear_no_more_than_a_second_does() {
+fn two_consecutive_windows_stay_within_the_limit_of_a_second() {
     for daemons in [1, 6, 61, 985, 2_000] {
         let mut seconds = 0;
-        let mut over = 0;
+        let mut exceeded = 0;
         let mut sent = 0;
         for endpoint in 0..100 {
             let endpoint = EndpointHash(endpoint * 7_919);
@@ -63,10 +66,10 @@
                 let next = sent_by_all(daemons, endpoint, window + 1);
                 seconds += 1;
                 sent += first;
-                over += u32::from(f64::from(first + next) > MOST_IN_A_SECOND);
+                exceeded += u32::from(f64::from(first + next) > MAX_IN_A_SECOND);
             }
         }
-        assert_eq!(over, 0, "of {seconds} with {daemons} daemons");
+        assert_eq!(exceeded, 0, "of {seconds} with {daemons} daemons");
         let mean = f64::from(sent) / f64::from(seconds);
         let planned = LIMITS.requests_per_s * 0.35;
         assert!(
@@ -76,29 +79,30 @@
     }
 }
 
-/// Found while the fleet's bounds were looked through for what a killed daemon's successor spends anew: an endpoint that
-/// bears 11 requests a second got more than half as many again and 5 in 3 of 300 seconds, with 2,000 daemons all replaced at
-/// once. Cause: a new process draws its own windows, beside the two that the one before it was in. Proof: it sends nothing in
-/// its first second, and what is left is the case of the test above.
+/// Guards against overload when all daemons are replaced at once: a new process draws its own
+/// windows, in addition to the two of its predecessor. An endpoint that can handle 11 requests a
+/// second then got more than half as many again plus 5 in 3 of 300 seconds, with 2,000 daemons. A
+/// new process therefore sends nothing in its first second.
 #[test]
-fn daemons_that_are_all_replaced_within_a_second_bear_on_an_endpoint_no_more_than_it_takes() {
+fn daemons_that_are_all_replaced_stay_within_the_limit_of_a_second() {
     for daemons in [1, 6, 61, 985, 2_000] {
-        let mut over = 0;
+        let mut exceeded = 0;
         for endpoint in 0..100 {
             let endpoint = EndpointHash(endpoint * 7_919);
             for window in 0..3 {
                 let before = sent_by_all(daemons, endpoint, window + 10)
                     + sent_by_all(daemons, endpoint, window + 11);
                 let after = sent_by(daemons, DurationMs(999), endpoint, window);
-                over += u32::from(f64::from(before + after) > MOST_IN_A_SECOND);
+                exceeded += u32::from(f64::from(before + after) > MAX_IN_A_SECOND);
             }
         }
-        assert_eq!(over, 0, "of 300 with {daemons} daemons");
+        assert_eq!(exceeded, 0, "of 300 with {daemons} daemons");
     }
 }
 
+/// Guards against a daemon that takes the whole quota because it doesn't know of other daemons.
 #[test]
-fn a_daemon_that_does_not_know_the_fleet_sends_nothing() {
+fn a_daemon_that_does_not_know_the_fleet_size_sends_nothing() {
     let unknown = ColdQuota {
         daemons: None,
         ..quota(1, 1)
@@ -106,13 +110,13 @@
     assert_eq!(unknown.requests_in(EndpointHash(1), 1), 0);
 }
 
-/// Three endpoints in each of two data centres.
+/// Returns a service with three endpoints in each of two data centres.
 fn service() -> ServiceEndpoints {
     records::service(6, 16, |at| format!("dc-{}", at / 3))
 }
 
-/// The data centre of the endpoint that a request gets which has found endpoints lost in some.
-fn placed_beside(lost_in: &[DataCentreId], tried: &[Arc<Endpoint>]) -> DataCentreId {
+/// Returns the data centre that a request goes to which has found endpoints lost in `lost_in`.
+fn placed_after_loss(lost_in: &[DataCentreId], tried: &[Arc<Endpoint>]) -> DataCentreId {
     let request = SelectionRequest {
         now: NOW,
         daemon: 1,
@@ -129,13 +133,18 @@
     record.data_centre.clone()
 }
 
-/// Endpoints that went down together came back under new ids: each old record leads to a 421.
+/// Guards against requests that spend all attempts in one data centre: endpoints that went down
+/// together returned under new ids, and each old record led to a 421.
 #[test]
-fn a_request_that_lost_an_endpoint_tries_another_data_centre_next() {
-    assert_eq!(placed_beside(&[], &[]).as_str(), "dc-0", "the near one");
+fn a_request_that_found_an_endpoint_lost_tries_another_data_centre() {
+    assert_eq!(
+        placed_after_loss(&[], &[]).as_str(),
+        "dc-0",
+        "the nearest one"
+    );
     let tried = [service().all[0].clone()];
     let lost_in = [DataCentreId::from("dc-0")];
-    assert_eq!(placed_beside(&lost_in, &tried).as_str(), "dc-1");
+    assert_eq!(placed_after_loss(&lost_in, &tried).as_str(), "dc-1");
     let both = ["dc-0", "dc-1"].map(DataCentreId::from);
-    assert_eq!(placed_beside(&both, &tried).as_str(), "dc-0");
+    assert_eq!(placed_after_loss(&both, &tried).as_str(), "dc-0");
 }
--- a/crates/gateway/tests/endpoint_leaving.rs
+++ b/crates/gateway/tests/endpoint_leaving.rs
@@ -1,4 +1,5 @@
-//! An endpoint that says in its answers that it leaves gets nothing new in this life, whatever the control source says of it.
+//! Tests that an endpoint which announces in its answers that it is leaving gets no new requests in
+//! this incarnation, whatever the control source says about it.
 
 mod support;
 
@@ -9,9 +10,9 @@
 use support::source::{KEY, Life, ScriptedSource, plain_route};
 use support::{Running, start};
 
-const BORN: u64 = 1_780_000_000_000;
+const STARTED_AT: u64 = 1_780_000_000_000;
 
-fn life(born: u64, sequence: u64) -> Life {
+fn incarnation(born: u64, sequence: u64) -> Life {
     Life {
         born: Some(born),
         sequence,
@@ -34,13 +35,13 @@
     vec![Act::Send(head.into())]
 }
 
-/// A gateway before endpoints of one service, in their first life.
-async fn stage(endpoints: &[&Endpoint]) -> Running {
+/// Starts a gateway with endpoints of one service, in their first incarnation.
+async fn start_gateway(endpoints: &[&Endpoint]) -> Running {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
         let id = format!("e-{at}");
-        source.life(&id, "plain", endpoint.address, life(BORN, 1));
+        source.life(&id, "plain", endpoint.address, incarnation(STARTED_AT, 1));
     }
     start(source).await
 }
@@ -53,85 +54,91 @@
     client.answer().await.expect("an answer")
 }
 
-async fn settle() {
+async fn wait_for_update() {
     tokio::time::sleep(Duration::from_millis(350)).await;
 }
 
-/// A gateway that an endpoint has told that it leaves; there is no other.
-async fn told() -> (Running, Endpoint) {
+/// Starts a gateway whose only endpoint has announced to it that it is leaving.
+async fn start_with_leaving_endpoint() -> (Running, Endpoint) {
     let endpoint = Endpoint::start(|_| leaving()).await;
-    let running = stage(&[&endpoint]).await;
+    let running = start_gateway(&[&endpoint]).await;
     assert_eq!(ask(&running).await.status, 200);
     (running, endpoint)
 }
 
-/// Guards against requests at an endpoint that is leaving while its record can't say so yet, and against one that is let in
-/// again since no other is left.
+/// Guards against requests to an endpoint that is leaving before its record can say so, and against
+/// using it again because no other is left.
 #[tokio::test]
-async fn an_endpoint_that_says_that_it_leaves_gets_nothing_new() {
-    let (running, endpoint) = told().await;
+async fn an_endpoint_that_announces_that_it_is_leaving_gets_no_new_requests() {
+    let (running, endpoint) = start_with_leaving_endpoint().await;
     let refused = ask(&running).await;
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
     assert_eq!(endpoint.count(), 1);
 }
 
-/// Guards against retries of requests that another endpoint turned away.
+/// Guards against retries of requests that another endpoint rejected.
 #[tokio::test]
-async fn no_retry_goes_to_an_endpoint_that_leaves() {
-    let (running, endpoint) = told().await;
+async fn no_retry_goes_to_a_leaving_endpoint() {
+    let (running, endpoint) = start_with_leaving_endpoint().await;
     let other = Endpoint::start(|_| full()).await;
     running
         .source
-        .life("e-1", "plain", other.address, life(BORN, 1));
-    settle().await;
+        .life("e-1", "plain", other.address, incarnation(STARTED_AT, 1));
+    wait_for_update().await;
     assert_eq!(ask(&running).await.status, 503);
     assert_eq!((other.count(), endpoint.count()), (1, 1));
 }
 
-/// Guards against an older record, or a new configuration, that brings a leaving endpoint back.
+/// Guards against an older record, or a new configuration, that makes a leaving endpoint available
+/// again.
 #[tokio::test]
-async fn a_later_record_of_the_same_life_changes_nothing() {
-    let (running, endpoint) = told().await;
+async fn a_later_record_of_the_same_incarnation_changes_nothing() {
+    let (running, endpoint) = start_with_leaving_endpoint().await;
     running
         .source
-        .life("e-0", "plain", endpoint.address, life(BORN, 2));
+        .life("e-0", "plain", endpoint.address, incarnation(STARTED_AT, 2));
     let routes = vec![plain_route("once", AtMostOnce, 1)];
     running.source.configure(2, routes, &[KEY]);
-    settle().await;
+    wait_for_update().await;
     assert_eq!(ask(&running).await.status, 503);
     assert_eq!(endpoint.count(), 1);
 }
 
-/// Guards against a record that is lost and comes back, for which the endpoint is made anew.
+/// Guards against a record that is lost and returns, for which the daemon creates the endpoint
+/// again.
 #[tokio::test]
-async fn a_leaving_endpoint_whose_record_comes_back_still_leaves() {
-    let (running, endpoint) = told().await;
+async fn a_leaving_endpoint_whose_record_returns_is_still_leaving() {
+    let (running, endpoint) = start_with_leaving_endpoint().await;
     running.source.gone("e-0");
-    settle().await;
+    wait_for_update().await;
     running
         .source
-        .life("e-0", "plain", endpoint.address, life(BORN, 2));
-    settle().await;
+        .life("e-0", "plain", endpoint.address, incarnation(STARTED_AT, 2));
+    wait_for_update().await;
     assert_eq!(ask(&running).await.status, 503);
     assert_eq!(endpoint.count(), 1);
 }
 
-/// Guards against a word of the earlier life, or of another endpoint at the address, that keeps work from a sound one.
+/// Guards against an announcement of the earlier incarnation, or of another endpoint at the
+/// address, that keeps requests from a healthy one.
 #[tokio::test]
-async fn a_later_life_and_another_endpoint_at_the_address_get_work() {
-    let (running, endpoint) = told().await;
+async fn a_later_incarnation_and_another_endpoint_at_the_address_get_requests() {
+    let (running, endpoint) = start_with_leaving_endpoint().await;
     let next = Endpoint::start(|_| fine()).await;
-    running
-        .source
-        .life("e-0", "plain", next.address, life(BORN + 4_000, 1));
-    settle().await;
+    running.source.life(
+        "e-0",
+        "plain",
+        next.address,
+        incarnation(STARTED_AT + 4_000, 1),
+    );
+    wait_for_update().await;
     assert_eq!(ask(&running).await.status, 200);
     running.source.gone("e-0");
     running
         .source
-        .life("e-1", "plain", next.address, life(BORN, 1));
-    settle().await;
+        .life("e-1", "plain", next.address, incarnation(STARTED_AT, 1));
+    wait_for_update().await;
     assert_eq!(ask(&running).await.status, 200);
     assert_eq!((endpoint.count(), next.count()), (1, 2));
 }
--- a/crates/gateway/tests/endpoint_lives.rs
+++ b/crates/gateway/tests/endpoint_lives.rs
@@ -1,5 +1,5 @@
-//! An endpoint that starts again under the id that it had: nothing of its life before is held against it,
-//! or counted for it, and what is told late of that life changes nothing.
+//! Tests that an endpoint which starts again with the same id has no state of its earlier
+//! incarnation, and that late records of that incarnation change nothing.
 
 mod support;
 
@@ -11,9 +11,9 @@
 use support::source::{KEY, Life, ScriptedSource, plain_route};
 use support::{Running, start};
 
-const BORN: u64 = 1_780_000_000_000;
+const STARTED_AT: u64 = 1_780_000_000_000;
 
-fn life(born: u64, sequence: u64) -> Life {
+fn incarnation(born: u64, sequence: u64) -> Life {
     Life {
         born: Some(born),
         sequence,
@@ -21,7 +21,7 @@
     }
 }
 
-async fn stage(first: Life) -> (Running, Endpoint) {
+async fn start_gateway(first: Life) -> (Running, Endpoint) {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("often", Idempotent, 1)], &[KEY]);
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
@@ -29,7 +29,7 @@
     (start(source).await, endpoint)
 }
 
-async fn settle() {
+async fn wait_for_update() {
     tokio::time::sleep(Duration::from_millis(350)).await;
 }
 
@@ -47,93 +47,102 @@
     Some(client.answer().await?.status)
 }
 
+/// Guards against ejections, cached prompts and load that are attributed to a new process.
 #[tokio::test]
-async fn a_later_life_begins_with_nothing_of_the_earlier() {
-    let (running, _first) = stage(life(BORN, 900)).await;
+async fn a_later_incarnation_has_no_state_of_the_earlier_one() {
+    let (running, _first) = start_gateway(incarnation(STARTED_AT, 900)).await;
     assert_eq!(status(&running).await, Some(200));
     let before = only_endpoint(&running);
     let now = running.gateway.clock.now();
     before.health.on_lost(now);
     before.health.on_failed(now);
     let second = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
-    // Its count starts anew.
-    running
-        .source
-        .life("e-0", "plain", second.address, life(BORN + 4_000, 1));
-    settle().await;
+    // Its sequence starts again.
+    running.source.life(
+        "e-0",
+        "plain",
+        second.address,
+        incarnation(STARTED_AT + 4_000, 1),
+    );
+    wait_for_update().await;
     let after = only_endpoint(&running);
     assert_ne!(
         after.index, before.index,
-        "prompts that the earlier life read aren't its own"
+        "prompts that the earlier incarnation read aren't cached"
     );
     assert_ne!(
         after.hash, before.hash,
-        "nor is the work that others tell of it"
+        "load reported for the earlier incarnation isn't its own"
     );
     assert_eq!(after.health.snapshot(now).failure_share, 0.0);
     assert_eq!(status(&running).await, Some(200));
-    assert_eq!(second.count(), 1, "it gets work at once");
+    assert_eq!(second.count(), 1, "it gets requests at once");
 }
 
+/// Guards against records that arrive out of order.
 #[tokio::test]
-async fn late_news_of_an_earlier_life_changes_nothing() {
-    let (running, second) = stage(life(BORN + 4_000, 3)).await;
+async fn a_late_record_of_an_earlier_incarnation_changes_nothing() {
+    let (running, second) = start_gateway(incarnation(STARTED_AT + 4_000, 3)).await;
     let gone = Endpoint::start(|_| vec![Act::Hang]).await;
     let leaving = Life {
         is_draining: true,
-        ..life(BORN, 1_000)
+        ..incarnation(STARTED_AT, 1_000)
     };
     running.source.life("e-0", "plain", gone.address, leaving);
-    settle().await;
+    wait_for_update().await;
     assert_eq!(status(&running).await, Some(200));
-    // Of the same life, written before what is known and carried out after it.
-    running
-        .source
-        .life("e-0", "plain", gone.address, life(BORN + 4_000, 2));
-    settle().await;
+    // A record of the same incarnation, written before the known one and delivered after it.
+    running.source.life(
+        "e-0",
+        "plain",
+        gone.address,
+        incarnation(STARTED_AT + 4_000, 2),
+    );
+    wait_for_update().await;
     assert_eq!(status(&running).await, Some(200));
     assert_eq!((second.count(), gone.count()), (2, 0));
 }
 
-/// With ten thousand endpoints a look at each of them for every heartbeat is most of what a daemon does.
+/// Guards against heartbeats that use most of a daemon's time: with ten thousand endpoints, each
+/// would check all of them.
 #[tokio::test]
-async fn a_heartbeat_builds_no_directory() {
-    let (running, endpoint) = stage(life(BORN, 1)).await;
+async fn a_heartbeat_does_not_rebuild_the_directory() {
+    let (running, endpoint) = start_gateway(incarnation(STARTED_AT, 1)).await;
     let before = running.gateway.control.directory();
     running
         .source
-        .life("e-0", "plain", endpoint.address, life(BORN, 2));
-    settle().await;
+        .life("e-0", "plain", endpoint.address, incarnation(STARTED_AT, 2));
+    wait_for_update().await;
     let after = running.gateway.control.directory();
     assert!(
         Arc::ptr_eq(&before, &after),
-        "the same endpoints may get work"
+        "the same endpoints may get requests"
     );
     let leaving = Life {
         is_draining: true,
-        ..life(BORN, 3)
+        ..incarnation(STARTED_AT, 3)
     };
     running
         .source
         .life("e-0", "plain", endpoint.address, leaving);
-    settle().await;
+    wait_for_update().await;
     let directory = running.gateway.control.directory();
     assert!(directory.service(&"plain".into()).is_none());
 }
 
-/// Where endpoints don't say when they were born, a record changes the endpoint that is known.
+/// Guards against a new endpoint for each record if endpoints don't report when they started.
 #[tokio::test]
-async fn without_a_birth_it_is_the_same_endpoint() {
-    let unborn = |sequence| Life {
+async fn without_a_start_time_a_record_updates_the_same_endpoint() {
+    let without_start_time = |sequence| Life {
         born: None,
         sequence,
         is_draining: false,
     };
-    let (running, endpoint) = stage(unborn(1)).await;
+    let (running, endpoint) = start_gateway(without_start_time(1)).await;
     let before = only_endpoint(&running);
     running
         .source
-        .life("e-0", "plain", endpoint.address, unborn(2));
-    settle().await;
+        .life("e-0", "plain", endpoint.address, without_start_time(2));
+    wait_for_update().await;
     assert_eq!(only_endpoint(&running).index, before.index);
 }
--- a/crates/gateway/tests/endpoint_rest.rs
+++ b/crates/gateway/tests/endpoint_rest.rs
@@ -1,4 +1,5 @@
-//! An endpoint that turns a request away and asks for rest gets nothing from this daemon for so long.
+//! Tests that an endpoint which rejects a request and asks for a back-off gets no requests from
+//! this daemon during it.
 
 mod support;
 
@@ -11,11 +12,11 @@
 use support::source::{KEY, ScriptedSource, plain_route};
 use support::{Running, settings, start, start_with};
 
-/// Requests that may reach an endpoint while it rests.
-const MOST_WHILE_RESTING: usize = 2;
+/// The number of requests that may reach an endpoint during its back-off.
+const MAX_DURING_BACKOFF: usize = 2;
 
-/// A refusal that asks for so many seconds of rest.
-fn wants_rest(seconds: &str) -> Vec<Act> {
+/// Returns a rejection that asks for a back-off of `seconds`.
+fn backoff_for(seconds: &str) -> Vec<Act> {
     vec![Act::Send(format!(
         "HTTP/1.1 503 Full\r\nx-not-run: 1\r\nretry-after: {seconds}\r\ncontent-length: 0\r\n\r\n"
     ))]
@@ -25,8 +26,8 @@
     vec![answer("200 OK", "fine")]
 }
 
-/// A gateway before endpoints of one service.
-async fn stage(endpoints: &[&Endpoint]) -> Running {
+/// Starts a gateway with endpoints of one service.
+async fn start_gateway(endpoints: &[&Endpoint]) -> Running {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
@@ -43,92 +44,96 @@
     client.answer().await.expect("an answer")
 }
 
-/// Guards against first tries and retries at an endpoint that has asked for rest.
+/// Guards against first attempts and retries at an endpoint that has asked for a back-off.
 #[tokio::test]
-async fn a_resting_endpoint_gets_no_first_try_and_no_retry() {
-    let resting = [
-        Endpoint::start(|_| wants_rest("60")).await,
-        Endpoint::start(|_| wants_rest("60")).await,
+async fn an_endpoint_gets_no_first_attempt_or_retry_during_its_backoff() {
+    let backed_off = [
+        Endpoint::start(|_| backoff_for("60")).await,
+        Endpoint::start(|_| backoff_for("60")).await,
     ];
-    let sound = Endpoint::start(|_| fine()).await;
-    let running = stage(&[&resting[0], &resting[1], &sound]).await;
+    let healthy = Endpoint::start(|_| fine()).await;
+    let running = start_gateway(&[&backed_off[0], &backed_off[1], &healthy]).await;
     for at in 0..30 {
         assert_eq!(ask(&running).await.status, 200, "request {at}");
     }
-    for endpoint in &resting {
+    for endpoint in &backed_off {
         let arrived = endpoint.count();
-        // The first one is the request that it turned away.
-        assert!(arrived <= 1 + MOST_WHILE_RESTING, "{arrived} arrived");
+        // The first one is the request that it rejected.
+        assert!(arrived <= 1 + MAX_DURING_BACKOFF, "{arrived} arrived");
     }
 }
 
-/// Guards against an endpoint that is asked while it rests since no other is left, and against clients that aren't told
-/// when to come back.
+/// Guards against requests to an endpoint during its back-off because no other is left, and against
+/// clients that don't get a retry time.
 #[tokio::test]
-async fn requests_are_refused_with_the_rest_that_is_left_while_all_endpoints_rest() {
-    let resting = Endpoint::start(|_| wants_rest("30")).await;
-    let running = stage(&[&resting]).await;
+async fn requests_are_refused_with_the_remaining_backoff_if_no_endpoint_is_left() {
+    let backed_off = Endpoint::start(|_| backoff_for("30")).await;
+    let running = start_gateway(&[&backed_off]).await;
     for _ in 0..10 {
         let refused = ask(&running).await;
         assert_eq!(refused.status, 503);
         let retry_after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
         assert!((25.0..=30.0).contains(&retry_after), "{retry_after}");
     }
-    let arrived = resting.count();
-    assert!(arrived <= 1 + MOST_WHILE_RESTING, "{arrived} arrived");
+    let arrived = backed_off.count();
+    assert!(arrived <= 1 + MAX_DURING_BACKOFF, "{arrived} arrived");
 }
 
-/// Guards against a rest that outlasts what was asked for.
+/// Guards against a back-off that is longer than the endpoint asked for.
 #[tokio::test]
-async fn an_endpoint_gets_work_again_after_its_rest() {
-    let script = |at| if at == 0 { wants_rest("1.5") } else { fine() };
+async fn an_endpoint_gets_requests_again_after_its_backoff() {
+    let script = |at| if at == 0 { backoff_for("1.5") } else { fine() };
     let endpoint = Endpoint::start(script).await;
-    let running = stage(&[&endpoint]).await;
+    let running = start_gateway(&[&endpoint]).await;
     let asked_at = Instant::now();
     assert_eq!(ask(&running).await.status, 503);
-    assert_eq!(ask(&running).await.status, 503, "it rests");
+    assert_eq!(
+        ask(&running).await.status,
+        503,
+        "the back-off has not ended"
+    );
     assert!(
         asked_at.elapsed() < Duration::from_millis(1_500),
-        "still in its rest"
+        "the test took longer than the back-off"
     );
     assert_eq!(endpoint.count(), 1);
     tokio::time::sleep(Duration::from_millis(1_510)).await;
     assert_eq!(ask(&running).await.status, 200);
 }
 
-/// Guards against an endpoint that is left out for a time that nobody can read.
+/// Guards against an endpoint that is left out for an unreadable time.
 #[tokio::test]
-async fn a_rest_that_cannot_be_read_changes_nothing() {
+async fn an_unreadable_backoff_changes_nothing() {
     for unreadable in ["-1", "NaN", "1e9", "soon", "Thu, 03 Dec 2026 09:00:00 GMT"] {
         let script = move |at| {
             if at == 0 {
-                wants_rest(unreadable)
+                backoff_for(unreadable)
             } else {
                 fine()
             }
         };
         let endpoint = Endpoint::start(script).await;
-        let running = stage(&[&endpoint]).await;
+        let running = start_gateway(&[&endpoint]).await;
         assert_eq!(ask(&running).await.status, 503, "{unreadable}");
         assert_eq!(ask(&running).await.status, 200, "{unreadable}");
     }
 }
 
-/// Guards against callers that wait for the rest of one endpoint while another could take their request: the retry budget is
-/// empty, and only retries aren't allowed.
+/// Guards against clients that wait for the back-off of one endpoint while another is free: the
+/// retry budget is empty, and only retries aren't allowed.
 #[tokio::test]
-async fn a_caller_without_a_retry_is_not_told_to_wait_for_one_endpoint() {
+async fn a_client_does_not_get_the_backoff_of_one_endpoint_while_another_is_free() {
     let settings = GatewaySettings {
         retry_ratio: Share(0.0),
         retry_slack: 0,
         ..settings()
     };
-    let resting = Endpoint::start(|_| wants_rest("60")).await;
-    let sound = Endpoint::start(|_| fine()).await;
+    let backed_off = Endpoint::start(|_| backoff_for("60")).await;
+    let healthy = Endpoint::start(|_| fine()).await;
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
-    source.endpoint("e-0", "plain", resting.address);
-    source.endpoint("e-1", "plain", sound.address);
+    source.endpoint("e-0", "plain", backed_off.address);
+    source.endpoint("e-1", "plain", healthy.address);
     let running = start_with(source, settings).await;
     let mut refused = 0;
     for _ in 0..20 {
--- a/crates/gateway/tests/endpoint_signals.rs
+++ b/crates/gateway/tests/endpoint_signals.rs
@@ -1,6 +1,7 @@
-//! Every way by which a daemon sends a request, by everything that an endpoint may ask for in its answers.
+//! Tests every kind of request that a daemon sends with every signal that an endpoint can give in
+//! its answers.
 //!
-//! A way or a signal that is added gets its row or column here.
+//! A new kind or signal gets its row or column here.
 
 mod support;
 
@@ -10,68 +11,75 @@
 use support::source::{KEY, ScriptedSource, plain_route, stream_route};
 use support::{Running, start};
 
-/// Requests of one case. More than one, since an endpoint that names a limit may have a turn.
+/// The number of requests of one case. More than one, since a daemon may have a permit for an
+/// endpoint that announces a limit.
 const REQUESTS: usize = 4;
 
-/// What an endpoint asks for in its first answer.
+/// The signal that an endpoint gives in its first answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Signal {
     Nothing,
     Limit,
     Leaving,
-    Rest,
+    Backoff,
 }
 
 const SIGNALS: [Signal; 4] = [
     Signal::Nothing,
     Signal::Limit,
     Signal::Leaving,
-    Signal::Rest,
+    Signal::Backoff,
 ];
 
 impl Signal {
-    /// Headers of the first answer, and whether the endpoint turns the request away by it.
+    /// Returns the headers of the first answer, and whether the endpoint rejects the request with
+    /// it.
     fn first_answer(self) -> (&'static str, bool) {
         match self {
             Self::Nothing => ("", false),
             Self::Limit => ("x-rate-limit: 0\r\n", false),
             Self::Leaving => ("x-leaving: 1\r\n", false),
-            Self::Rest => ("retry-after: 600\r\n", true),
+            Self::Backoff => ("retry-after: 600\r\n", true),
         }
     }
 
-    /// The most requests that the endpoint may get after it.
-    fn most_after(self) -> usize {
+    /// Returns the maximum number of requests that the endpoint may get after it.
+    fn max_after(self) -> usize {
         match self {
             Self::Nothing => REQUESTS,
-            // Turns come 2.5 s apart, and a case takes 2.8 s at most.
+            // Permits are issued every 2.5 s, and a case takes 2.8 s at most.
             Self::Limit => 2,
-            Self::Leaving | Self::Rest => 0,
+            Self::Leaving | Self::Backoff => 0,
         }
     }
 }
 
-/// A way by which a request gets to an endpoint.
+/// The kinds of requests that a daemon sends to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    FirstTry,
+enum SendKind {
+    FirstAttempt,
     Retry,
     Hedge,
     ResumedStream,
 }
 
-const WAYS: [Way; 4] = [Way::FirstTry, Way::Retry, Way::Hedge, Way::ResumedStream];
+const SEND_KINDS: [SendKind; 4] = [
+    SendKind::FirstAttempt,
+    SendKind::Retry,
+    SendKind::Hedge,
+    SendKind::ResumedStream,
+];
 
-impl Way {
+impl SendKind {
     fn is_stream(self) -> bool {
         self == Self::ResumedStream
     }
 
-    /// What another endpoint does with each request first; none: there is no other.
-    fn other_does(self) -> Option<Vec<Act>> {
+    /// Returns what another endpoint does with each request first; `None` if there is no other.
+    fn other_endpoint_acts(self) -> Option<Vec<Act>> {
         let full = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
         match self {
-            Self::FirstTry => None,
+            Self::FirstAttempt => None,
             Self::Retry => Some(vec![Act::Send(full.into())]),
             Self::Hedge => Some(vec![Act::Hang]),
             Self::ResumedStream => Some(vec![
@@ -93,7 +101,7 @@
 
     fn path(self) -> &'static str {
         match self {
-            Self::FirstTry | Self::Retry => "/once/x",
+            Self::FirstAttempt | Self::Retry => "/once/x",
             Self::Hedge => "/often/x",
             Self::ResumedStream => "/resume/x",
         }
@@ -101,8 +109,8 @@
 }
 
 fn first_answer(signal: Signal) -> Vec<Act> {
-    let (headers, is_turned_away) = signal.first_answer();
-    let status = if is_turned_away {
+    let (headers, is_rejected) = signal.first_answer();
+    let status = if is_rejected {
         "503 Full\r\nx-not-run: 1"
     } else {
         "200 OK"
@@ -112,25 +120,26 @@
     ))]
 }
 
-async fn ask(running: &Running, way: Way) {
+async fn ask(running: &Running, kind: SendKind) {
     let mut client = Client::connect(running.address).await;
-    let text = request("POST", way.path(), "a1", "x-deadline: 600\r\n", "");
+    let text = request("POST", kind.path(), "a1", "x-deadline: 600\r\n", "");
     client.send(&text).await;
-    // How it ends isn't looked at: only who got it.
+    // The result isn't checked, only which endpoint got the request.
     let _ = client.answer().await;
 }
 
-async fn settle() {
+async fn wait_for_update() {
     tokio::time::sleep(std::time::Duration::from_millis(350)).await;
 }
 
-/// Requests that an endpoint gets after its first answer, and those that the other one got.
-async fn sent(way: Way, signal: Signal) -> (usize, usize) {
-    let asking = Endpoint::start(move |at| {
+/// Returns the number of requests that an endpoint gets after its first answer, and of those that
+/// the other one got.
+async fn requests_after_signal(kind: SendKind, signal: Signal) -> (usize, usize) {
+    let signalling = Endpoint::start(move |at| {
         if at == 0 {
             first_answer(signal)
         } else {
-            way.whole_answer()
+            kind.whole_answer()
         }
     })
     .await;
@@ -141,42 +150,46 @@
         stream_route("resume", true, 2),
     ];
     source.configure(1, routes, &[KEY]);
-    let service = if way.is_stream() { "model" } else { "plain" };
-    source.endpoint_in("dc-2", "e-0", service, asking.address);
+    let service = if kind.is_stream() { "model" } else { "plain" };
+    source.endpoint_in("dc-2", "e-0", service, signalling.address);
     let running = start(source).await;
-    ask(&running, way).await;
-    assert_eq!(asking.count(), 1, "{way:?}, {signal:?}");
+    ask(&running, kind).await;
+    assert_eq!(signalling.count(), 1, "{kind:?}, {signal:?}");
     let mut other = None;
-    if let Some(acts) = way.other_does() {
+    if let Some(acts) = kind.other_endpoint_acts() {
         let endpoint = Endpoint::start(move |_| acts.clone()).await;
-        // In the daemon's own data centre, so that it comes first.
+        // In the daemon's own data centre, so that it is chosen first.
         running
             .source
             .endpoint_in("dc-1", "e-1", service, endpoint.address);
         other = Some(endpoint);
-        settle().await;
+        wait_for_update().await;
     }
     for _ in 0..REQUESTS {
-        ask(&running, way).await;
+        ask(&running, kind).await;
     }
     let at_other = other.map_or(0, |endpoint| endpoint.count());
-    (asking.count() - 1, at_other)
+    (signalling.count() - 1, at_other)
 }
 
-/// Guards against a way of sending that doesn't ask what the endpoint asked for.
+/// Guards against a kind of request that ignores the signals of an endpoint.
 #[tokio::test]
-async fn what_an_endpoint_asks_for_binds_every_way_of_sending() {
-    for way in WAYS {
+async fn every_kind_of_request_respects_the_signals_of_an_endpoint() {
+    for kind in SEND_KINDS {
         for signal in SIGNALS {
-            let (after, at_other) = sent(way, signal).await;
+            let (after, at_other) = requests_after_signal(kind, signal).await;
             assert!(
-                after <= signal.most_after(),
-                "{way:?}, {signal:?}: {after} requests"
+                after <= signal.max_after(),
+                "{kind:?}, {signal:?}: {after} requests"
             );
             if signal == Signal::Nothing {
-                assert!(after > 0, "{way:?} leads there without a signal");
-                let has_other = way != Way::FirstTry;
-                assert_eq!(at_other > 0, has_other, "{way:?} comes from another one");
+                assert!(after > 0, "{kind:?} reaches the endpoint without a signal");
+                let has_other = kind != SendKind::FirstAttempt;
+                assert_eq!(
+                    at_other > 0,
+                    has_other,
+                    "{kind:?} comes from another endpoint"
+                );
             }
         }
     }
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! A data centre that operators evacuate: its endpoints get nothing new, from the moment that a daemon knows
-//! of it until the data centre is taken back.
+//! Tests that endpoints of an evacuated data centre get no new requests, from the moment that a
+//! daemon knows of the evacuation until it ends.
 
 mod support;
 
@@ -14,9 +14,9 @@
 use support::source::{KEY, ScriptedSource, plain_route};
 use support::{Running, start};
 
-/// Requests of one look at where they go.
+/// The number of requests with which the distribution is observed.
 const REQUESTS: usize = 12;
-/// The daemon is in the first one.
+/// The data centres; the daemon is in the first one.
 const DATA_CENTRES: [&str; 2] = ["dc-1", "dc-2"];
 
 struct Stage {
@@ -24,8 +24,8 @@
     endpoints: [Endpoint; 2],
 }
 
-/// One endpoint in each data centre; the first request of each waits for a moment.
-async fn stage(first_answer_takes: Duration) -> Stage {
+/// Starts one endpoint in each data centre; the first request of each is answered after a delay.
+async fn start_stage(first_answer_delay: Duration) -> Stage {
     let source = ScriptedSource::new();
     let routes = vec![
         plain_route("often", Idempotent, 2),
@@ -34,7 +34,7 @@
     source.configure(1, routes, &[KEY]);
     let script = move |at| {
         let pause = if at == 0 {
-            first_answer_takes
+            first_answer_delay
         } else {
             Duration::ZERO
         };
@@ -54,8 +54,9 @@
         [self.endpoints[0].count(), self.endpoints[1].count()]
     }
 
-    /// What each endpoint gets of some requests, all of which are served.
-    async fn shares(&self) -> [usize; 2] {
+    /// Returns the number of requests that each endpoint gets out of `REQUESTS`, all of which are
+    /// served.
+    async fn request_counts(&self) -> [usize; 2] {
         let before = self.counts();
         for _ in 0..REQUESTS {
             assert_eq!(ask(&self.running, "often").await.status, 200);
@@ -73,73 +74,88 @@
     client.answer().await.expect("an answer")
 }
 
-async fn settle() {
+async fn wait_for_update() {
     tokio::time::sleep(Duration::from_millis(350)).await;
 }
 
+/// Guards against requests to a data centre that operators are about to cut off, and against one
+/// that stays unused afterwards.
 #[tokio::test]
-async fn its_endpoints_get_nothing_until_it_is_taken_back() {
-    let stage = stage(Duration::ZERO).await;
-    assert_eq!(stage.shares().await, [REQUESTS, 0], "the near one");
+async fn endpoints_of_an_evacuated_data_centre_get_no_requests_until_it_ends() {
+    let stage = start_stage(Duration::ZERO).await;
+    assert_eq!(
+        stage.request_counts().await,
+        [REQUESTS, 0],
+        "the nearest one"
+    );
     stage.running.source.evacuate("dc-1");
-    settle().await;
-    assert_eq!(stage.shares().await, [0, REQUESTS]);
+    wait_for_update().await;
+    assert_eq!(stage.request_counts().await, [0, REQUESTS]);
     stage.running.source.take_back("dc-1");
-    settle().await;
-    assert_eq!(stage.shares().await, [REQUESTS, 0]);
+    wait_for_update().await;
+    assert_eq!(stage.request_counts().await, [REQUESTS, 0]);
 }
 
+/// Guards against an evacuation that cancels running requests.
 #[tokio::test]
-async fn what_runs_there_goes_on_to_its_end() {
-    let stage = stage(Duration::from_millis(500)).await;
-    let under_way = ask(&stage.running, "once");
+async fn running_requests_of_an_evacuated_data_centre_are_completed() {
+    let stage = start_stage(Duration::from_millis(500)).await;
+    let running_request = ask(&stage.running, "once");
     let evacuated = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         stage.running.source.evacuate("dc-1");
     };
-    let (got, ()) = tokio::join!(under_way, evacuated);
+    let (got, ()) = tokio::join!(running_request, evacuated);
     assert_eq!((got.status, stage.counts()), (200, [1, 0]));
 }
 
+/// Guards against sending to evacuated endpoints because no others are left.
 #[tokio::test]
-async fn with_all_of_them_evacuated_requests_are_refused_as_not_run() {
-    let stage = stage(Duration::ZERO).await;
+async fn requests_are_refused_as_not_run_if_all_data_centres_are_evacuated() {
+    let stage = start_stage(Duration::ZERO).await;
     stage.running.source.evacuate("dc-1");
     stage.running.source.evacuate("dc-2");
-    settle().await;
+    wait_for_update().await;
     let got = ask(&stage.running, "often").await;
     assert_eq!((got.status, stage.counts()), (503, [0, 0]));
     assert!(got.header("retry-after").is_some(), "{}", got.head);
 }
 
-/// History may be lost together with the news that a record is gone.
+/// Guards against an evacuation that never ends because the removal of its record was lost with the
+/// history of the source.
 #[tokio::test]
-async fn a_whole_state_without_the_record_ends_the_evacuation() {
-    let stage = stage(Duration::ZERO).await;
+async fn a_full_state_without_the_record_ends_the_evacuation() {
+    let stage = start_stage(Duration::ZERO).await;
     stage.running.source.evacuate("dc-1");
-    settle().await;
-    assert_eq!(stage.shares().await, [0, REQUESTS]);
+    wait_for_update().await;
+    assert_eq!(stage.request_counts().await, [0, REQUESTS]);
     stage.running.source.fail_once_with_history_lost();
     stage.running.source.take_back("dc-1");
-    settle().await;
-    assert_eq!(stage.shares().await, [REQUESTS, 0]);
+    wait_for_update().await;
+    assert_eq!(stage.request_counts().await, [REQUESTS, 0]);
 }
 
+/// Guards against an unreadable record that begins or ends an evacuation.
 #[tokio::test]
-async fn a_record_that_cant_be_read_changes_nothing() {
-    let stage = stage(Duration::ZERO).await;
+async fn an_unreadable_record_changes_nothing() {
+    let stage = start_stage(Duration::ZERO).await;
     stage.running.source.spoil_evacuation("dc-1");
     stage.running.source.evacuate("no-such-data-centre");
-    settle().await;
-    assert_eq!(stage.shares().await, [REQUESTS, 0]);
+    wait_for_update().await;
+    assert_eq!(stage.request_counts().await, [REQUESTS, 0]);
     stage.running.source.evacuate("dc-1");
-    settle().await;
+    wait_for_update().await;
     stage.running.source.spoil_evacuation("dc-1");
     stage.running.source.fail_once_with_history_lost();
-    settle().await;
-    assert_eq!(stage.shares().await, [0, REQUESTS], "it stays evacuated");
+    wait_for_update().await;
+    assert_eq!(
+        stage.request_counts().await,
+        [0, REQUESTS],
+        "it stays evacuated"
+    );
 }
 
+/// Guards against records that arrive out of order.
 #[test]
 fn an_older_record_never_replaces_a_newer_one() {
     let data_centre = DataCentreId::from("dc-1");
@@ -147,9 +163,9 @@
     assert!(evacuations.begin(&data_centre, Revision(5)));
     assert!(!evacuations.end(&data_centre, Revision(4)));
     assert!(evacuations.contains(&data_centre));
-    let nothing = HashSet::new();
-    assert!(evacuations.unlisted(&nothing, Revision(4)).is_empty());
-    assert_eq!(evacuations.unlisted(&nothing, Revision(5)).len(), 1);
+    let no_records = HashSet::new();
+    assert!(evacuations.unlisted(&no_records, Revision(4)).is_empty());
+    assert_eq!(evacuations.unlisted(&no_records, Revision(5)).len(), 1);
     assert!(evacuations.end(&data_centre, Revision(6)));
     assert!(!evacuations.begin(&data_centre, Revision(5)));
     assert!(!evacuations.contains(&data_centre));
--- a/crates/gateway/tests/region_limits.rs
+++ b/crates/gateway/tests/region_limits.rs
@@ -1,4 +1,4 @@
-//! Routes and customers that may be served in some regions only: nothing of their requests reaches another one,
+//! Tests that requests of routes and customers with region limits never reach another region,
 //! whatever that costs.
 
 mod support;
@@ -15,7 +15,7 @@
 
 const NOW: TimeMs = TimeMs(10_000);
 
-/// Two data centres in the north, one in the south; nobody knows where the fourth is.
+/// Returns two data centres in the north and one in the south; the region of the fourth is unknown.
 fn regions() -> RegionMap {
     let entries = [("dc-0", "north"), ("dc-1", "north"), ("dc-2", "south")];
     let entries = entries.map(|(data_centre, region)| (data_centre.into(), region.into()));
@@ -30,8 +30,8 @@
     names.iter().map(|name| (*name).into()).collect()
 }
 
-/// Every engine that a request gets, one after the other, until none is left.
-fn all_tries(
+/// Returns every endpoint that a request gets, one after the other, until none is left.
+fn all_attempts(
     service: &ServiceEndpoints,
     route: Option<&RegionSet>,
     customer: Option<&RegionSet>,
@@ -65,8 +65,8 @@
     }
 }
 
-fn data_centres(tries: &[Selected]) -> Vec<String> {
-    let mut names: Vec<String> = tries
+fn data_centres(attempts: &[Selected]) -> Vec<String> {
+    let mut names: Vec<String> = attempts
         .iter()
         .map(|selected| selected.endpoint.record.load().data_centre.to_string())
         .collect();
@@ -75,39 +75,43 @@
     names
 }
 
+/// Guards against endpoints that are left out although no limit applies.
 #[test]
 fn without_a_limit_every_endpoint_is_tried() {
-    let tries = all_tries(&service(), None, None, &Prompt::default());
-    assert_eq!(tries.len(), 16);
+    let attempts = all_attempts(&service(), None, None, &Prompt::default());
+    assert_eq!(attempts.len(), 16);
 }
 
+/// Guards against retries outside of the allowed regions.
 #[test]
-fn a_limited_request_stays_in_its_regions_through_all_tries() {
+fn all_attempts_of_a_limited_request_stay_in_its_regions() {
     let north = allowed(&["north"]);
     let service = service();
-    let by_route = all_tries(&service, Some(&north), None, &Prompt::default());
+    let by_route = all_attempts(&service, Some(&north), None, &Prompt::default());
     assert_eq!(data_centres(&by_route), ["dc-0", "dc-1"]);
-    let by_customer = all_tries(&service, None, Some(&north), &Prompt::default());
+    let by_customer = all_attempts(&service, None, Some(&north), &Prompt::default());
     assert_eq!(data_centres(&by_customer), ["dc-0", "dc-1"]);
 }
 
+/// Guards against a limit that overrides the other one, and against endpoints of an unknown region.
 #[test]
-fn both_limits_bind_and_with_nothing_in_common_nothing_is_left() {
+fn a_request_must_satisfy_the_limits_of_route_and_customer() {
     let service = service();
     let north = allowed(&["north"]);
     let both = allowed(&["north", "south"]);
-    let tries = all_tries(&service, Some(&both), Some(&north), &Prompt::default());
-    assert_eq!(data_centres(&tries), ["dc-0", "dc-1"]);
+    let attempts = all_attempts(&service, Some(&both), Some(&north), &Prompt::default());
+    assert_eq!(data_centres(&attempts), ["dc-0", "dc-1"]);
     let south = allowed(&["south"]);
-    let tries = all_tries(&service, Some(&south), Some(&north), &Prompt::default());
-    assert!(tries.is_empty());
+    let attempts = all_attempts(&service, Some(&south), Some(&north), &Prompt::default());
+    assert!(attempts.is_empty());
     let unknown = allowed(&["nowhere"]);
-    assert!(all_tries(&service, Some(&unknown), None, &Prompt::default()).is_empty());
+    assert!(all_attempts(&service, Some(&unknown), None, &Prompt::default()).is_empty());
 }
 
-/// What an engine elsewhere keeps of the prompt would bring its bytes across the border.
+/// Guards against fetching cached parts of a prompt from an engine of another region, which would
+/// move its content out of the allowed regions.
 #[test]
-fn no_part_of_its_prompt_is_taken_from_elsewhere() {
+fn no_part_of_a_limited_prompt_is_fetched_from_another_region() {
     let north = allowed(&["north"]);
     let part = |id, tokens| PromptPart {
         id,
@@ -119,7 +123,7 @@
             tokens: Tokens(6_900),
             max_answer_tokens: Tokens(50),
         };
-        for selected in all_tries(&service(), Some(&north), None, &prompt) {
+        for selected in all_attempts(&service(), Some(&north), None, &prompt) {
             let Some(source) = selected.cache_source else {
                 continue;
             };
--- a/crates/gateway/tests/resend.rs
+++ b/crates/gateway/tests/resend.rs
@@ -1,4 +1,4 @@
-//! May a request be sent again, and why not: the whole table of `decisions::resend`.
+//! Tests of whether a request may be sent again, and if not, why: all cases of `decisions::resend`.
 
 use bridgevane_gateway::decisions::admission::refusal::{Refusal, RefusalReason};
 use bridgevane_gateway::decisions::resend::{
@@ -36,24 +36,26 @@
     }
 }
 
-/// The verdict, and whether a retry was taken from the budget.
+/// Returns the decision, and whether a retry was withdrawn from the budget.
 fn verdict(
     failure: Failure,
     policy: ResendPolicy,
     progress: ResendProgress,
     has_budget: bool,
 ) -> (Result<(), NoResend>, bool) {
-    let is_taken = Cell::new(false);
-    let take = || {
-        is_taken.set(has_budget);
+    let is_withdrawn = Cell::new(false);
+    let withdraw = || {
+        is_withdrawn.set(has_budget);
         has_budget
     };
-    let verdict = check(failure, policy, progress, take);
-    (verdict, is_taken.get())
+    let verdict = check(failure, policy, progress, withdraw);
+    (verdict, is_withdrawn.get())
 }
 
+/// Guards against a request that runs more often than its route allows, and against one that is
+/// refused although it may be sent again.
 #[test]
-fn every_failure_has_one_answer() {
+fn every_failure_has_its_decision() {
     let tried = MAX_ENDPOINTS;
     let misdirected = Failure::Attempt(AttemptError::Misdirected);
     let silent = Failure::Attempt(AttemptError::Silent);
@@ -62,16 +64,22 @@
     let cases = [
         ("not sent is free", NOT_SENT, ONCE, progress(1, 0), free),
         ("not run is paid for", NOT_RUN, ONCE, progress(1, 0), paid),
-        ("so is misdirected", misdirected, ONCE, progress(1, 0), paid),
         (
-            "not sent, to too many",
+            "misdirected is paid for",
+            misdirected,
+            ONCE,
+            progress(1, 0),
+            paid,
+        ),
+        (
+            "not sent, too many endpoints tried",
             NOT_SENT,
             OFTEN,
             progress(tried, 0),
             denied(NoResend::NoEndpointsLeft),
         ),
         (
-            "not run, by too many",
+            "not run, too many endpoints tried",
             NOT_RUN,
             OFTEN,
             progress(tried, 0),
@@ -115,7 +123,7 @@
         ),
         ("hedge", Failure::StillWaiting, OFTEN, progress(1, 0), paid),
         (
-            "hedge, the run that is out counts",
+            "hedge, the pending run counts",
             Failure::StillWaiting,
             OFTEN,
             progress(2, 1),
@@ -155,8 +163,9 @@
     }
 }
 
+/// Guards against retries beyond the budget.
 #[test]
-fn without_a_budget_only_what_is_free_goes_on() {
+fn with_an_empty_budget_only_unsent_requests_are_resent() {
     let empty = (Err(NoResend::BudgetEmpty), false);
     let first = progress(1, 0);
     assert_eq!(verdict(NOT_SENT, ONCE, first, false), (Ok(()), false));
@@ -167,6 +176,7 @@
     assert_eq!(verdict(Failure::StillWaiting, OFTEN, first, false), empty);
 }
 
+/// Guards against resuming a stream that would miss its deadline.
 #[test]
 fn a_stream_without_time_left_is_not_resumed() {
     let late = ResendProgress {
@@ -177,9 +187,10 @@
     assert_eq!(verdict, Err(NoResend::OutOfTime));
 }
 
+/// Guards against a second engine that reads a long prompt because the first one is busy.
 #[test]
-fn an_engine_that_streams_to_others_is_not_hedged() {
-    assert!(!hedging::is_silent(true, true), "it is busy");
+fn a_stream_is_not_hedged_while_its_engine_streams_to_others() {
+    assert!(!hedging::is_silent(true, true), "the engine is busy");
     assert!(hedging::is_silent(true, false));
     assert!(hedging::is_silent(false, true), "plain answers are short");
     let target = DurationMs(1_000);
@@ -187,10 +198,11 @@
     assert_eq!(hedging::delay(target, true), Duration::from_millis(3_000));
 }
 
-/// 408, 421, 429 and 503 promise that a request has not run.
+/// Guards against a client that repeats a request which has run: 408, 421, 429 and 503 say that it
+/// has not.
 #[test]
-fn a_request_that_may_have_run_is_never_refused_with_a_promise() {
-    let promises = [408, 421, 429, 503];
+fn a_request_that_may_have_run_is_never_refused_as_not_run() {
+    let not_run_statuses = [408, 421, 429, 503];
     let full = AttemptError::NotExecuted;
     let not_run = Refusal::after_failure(full, 0, Some(DurationMs(170)));
     assert_eq!(not_run.reason, RefusalReason::Overloaded);
@@ -205,7 +217,7 @@
     ] {
         let refusal = Refusal::after_failure(error, 1, Some(DurationMs(170)));
         let status = refusal.reason.status().as_u16();
-        assert!(!promises.contains(&status), "{error}: {status}");
+        assert!(!not_run_statuses.contains(&status), "{error}: {status}");
     }
     for reason in [
         RefusalReason::NotReady,
--- a/crates/gateway/tests/tie_break.rs
+++ b/crates/gateway/tests/tie_break.rs
@@ -1,8 +1,8 @@
-//! Many daemons before many idle endpoints: where requests go that cost the same everywhere.
+//! Tests of where requests go if many idle endpoints have the same cost.
 //!
-//! The load that is meant: a data centre of 197 daemons before 58 plain endpoints and some hundred engines, with less
-//! than one request a second for each daemon, so that none knows of the others' requests when it sends its
-//! own.
+//! The load: a data centre with 197 daemons, 58 plain endpoints and some hundred engines, and less
+//! than one request a second for each daemon, so that no daemon knows of the others' requests when
+//! it sends its own.
 
 mod support;
 
@@ -21,7 +21,7 @@
 const DAEMONS: u32 = 197;
 const NOW: TimeMs = TimeMs(10_000);
 
-/// A service of one data centre, as one daemon knows it: idle.
+/// Returns a service of one data centre with idle endpoints, as one daemon sees it.
 fn service(endpoints: u32) -> ServiceEndpoints {
     service_in(endpoints, &["dc-0"])
 }
@@ -35,7 +35,7 @@
     records::service(endpoints, 6, data_centre_of)
 }
 
-/// The endpoints that a daemon gives so many requests at once, by index.
+/// Returns the endpoints to which a daemon sends `requests` concurrent requests, by index.
 fn placed(
     service: &ServiceEndpoints,
     daemon: u32,
@@ -60,12 +60,12 @@
         endpoint
     });
     let placed: Vec<Arc<Endpoint>> = placed.collect();
-    // The next daemon doesn't know of them.
+    // The next daemon doesn't know of these requests.
     placed.iter().for_each(|endpoint| endpoint.load.on_ended());
     placed.iter().map(|endpoint| endpoint.index).collect()
 }
 
-/// A short prompt: what is shared of it is worth less than the way to another data centre.
+/// Returns a short prompt, whose shared part is worth less than the cost of another data centre.
 fn prompt(first_part: u64, session: u64) -> Prompt {
     let part = |id, tokens| PromptPart {
         id,
@@ -78,8 +78,10 @@
     }
 }
 
+/// Guards against daemons that all send to the same idle endpoint until they learn of each other's
+/// requests, a second later.
 #[test]
-fn daemons_that_know_nothing_of_each_other_spread_plain_requests() {
+fn plain_requests_of_uncoordinated_daemons_are_spread_over_all_endpoints() {
     let mut counts: HashMap<EndpointIx, u32> = HashMap::new();
     let service = service(58);
     for daemon in 0..DAEMONS {
@@ -88,7 +90,7 @@
         }
     }
     let busiest = counts.values().max().copied().unwrap_or_default();
-    // 3.4 is the mean; an endpoint runs 6 at once and queues 24.
+    // The mean is 3.4; an endpoint runs 6 requests at once and queues 24.
     println!(
         "the busiest got {busiest}, {} of 58 were used",
         counts.len()
@@ -97,22 +99,24 @@
     assert!(counts.len() >= 50, "{} of 58 used", counts.len());
 }
 
-/// A daemon comes back to the endpoint that it has a connection to.
+/// Guards against a daemon that opens a new connection for each request instead of reusing those it
+/// has.
 #[test]
-fn one_daemon_keeps_to_its_own_order() {
-    let orders: HashSet<EndpointIx> = (0..20)
+fn one_daemon_keeps_the_same_order_of_endpoints() {
+    let chosen: HashSet<EndpointIx> = (0..20)
         .flat_map(|_| placed(&service(58), 7, &Prompt::default(), 1))
         .collect();
-    assert_eq!(orders.len(), 1);
+    assert_eq!(chosen.len(), 1);
     let burst = placed(&service(58), 7, &Prompt::default(), 5);
     let used: HashSet<&EndpointIx> = burst.iter().collect();
-    assert_eq!(used.len(), 5, "a burst spreads");
+    assert_eq!(used.len(), 5, "a burst is spread");
 }
 
-/// Sessions whose own engines are elsewhere meet at one engine, which reads the first part once for all.
+/// Guards against sessions that each go to another engine, which all read the same first part, if
+/// their preferred engines are in another data centre.
 #[test]
-fn prompts_that_share_their_first_part_meet_at_one_engine() {
-    let mut meeting_places = HashSet::new();
+fn prompts_that_share_their_first_part_go_to_one_engine() {
+    let mut shared_engines = HashSet::new();
     let service = engines_of_two_data_centres();
     for first_part in 0..8 {
         let mut counts: HashMap<EndpointIx, u32> = HashMap::new();
@@ -124,11 +128,12 @@
         }
         let busiest = counts.iter().max_by_key(|(_, count)| **count);
         let (engine, count) = busiest.expect("an engine");
-        // A quarter of the sessions have neither of their own two engines in this data centre.
-        assert!(*count >= DAEMONS / 6, "{count} met");
-        meeting_places.insert(*engine);
+        // A quarter of the sessions have neither of their two preferred engines in this data
+        // centre.
+        assert!(*count >= DAEMONS / 6, "{count} at one engine");
+        shared_engines.insert(*engine);
     }
-    // 60 engines may be one: by chance 7 or 8 are.
-    let meeting_places = meeting_places.len();
-    assert!(meeting_places >= 5, "{meeting_places} of 8");
+    // Any of 60 engines may be the shared one, so 7 or 8 different ones are expected by chance.
+    let shared_engines = shared_engines.len();
+    assert!(shared_engines >= 5, "{shared_engines} of 8");
 }
