--- a/crates/gateway/src/decisions/replication/candidates.rs
+++ b/crates/gateway/src/decisions/replication/candidates.rs
@@ -1,14 +1,14 @@
-//! Candidates: which daemons are probed in place of the parent.
+//! Candidates: the daemons that are probed in place of the parent.
 //!
-//! Inputs: what the parent said of those above it and beside this daemon, daemons that said to be
-//! fresher, those that led to a circle, and the seeds.
+//! Inputs: the parent's ancestors and its other followers as it reported them, daemons that
+//! reported a fresher proof, those that led to a cycle, and the seeds.
 //!
-//! Rule: one that said to be fresher, the former ancestors from the nearest on, the seeds, former siblings;
-//! [`MAX_CANDIDATES`] at most. Never this daemon, its parent, or one that led to a circle up to
-//! [`PASSED_OVER_FOR`] ago.
+//! Rule: a daemon that reported a fresher proof, the former ancestors from the nearest on, the
+//! seeds, former siblings; [`MAX_CANDIDATES`] at most. This daemon, its parent, and one that led to
+//! a cycle up to [`CYCLE_BACKOFF`] ago are left out.
 //!
-//! Reason: ancestors are the likeliest to be fresh, and whoever sends this daemon on to its own follower
-//! does so again until it has forgotten that follower.
+//! Reason: ancestors are the likeliest to be fresh. A daemon that redirects this one to its own
+//! follower does so again until it has forgotten that follower.
 //!
 //! Tests: `upstream.rs`.
 
@@ -17,35 +17,35 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Daemons that one search probes at most. Not measured, chosen because each that is away takes
-/// 0.3 s, and all must be through while a proof lasts.
+/// The maximum number of daemons probed in one search. Each unreachable daemon takes 0.3 s, and the
+/// search must end before a proof does.
 const MAX_CANDIDATES: usize = 8;
-/// How long a daemon that led to a circle isn't asked. Not measured, chosen because a follower is forgotten
-/// two seconds after its last answer, and a search begins each second.
-const PASSED_OVER_FOR: DurationMs = DurationMs(1_000);
+/// How long a daemon that led to a cycle isn't polled. A follower is forgotten two seconds after
+/// its last response, and a search starts each second.
+const CYCLE_BACKOFF: DurationMs = DurationMs(1_000);
 
-/// Daemons that may become the parent, besides the seeds.
+/// The daemons that may become the parent, besides the seeds.
 #[derive(Debug)]
 pub(super) struct Candidates {
-    own: SocketAddr,
+    own_address: SocketAddr,
     /// The daemons above the parent, the nearest first.
     ancestors: Vec<SocketAddr>,
     siblings: Vec<SocketAddr>,
-    /// A daemon that said to be fresher.
+    /// A daemon that reported a fresher proof.
     fresher: Option<SocketAddr>,
-    /// A daemon that isn't asked until then.
-    passed_over: Option<(SocketAddr, TimeMs)>,
+    /// A daemon that isn't polled until this time.
+    backed_off: Option<(SocketAddr, TimeMs)>,
 }
 
 impl Candidates {
-    /// Nobody is known yet to the daemon at `own`.
-    pub(super) fn new(own: SocketAddr) -> Self {
+    /// Creates the candidates of the daemon at `own_address`, which knows no others yet.
+    pub(super) fn new(own_address: SocketAddr) -> Self {
         Self {
-            own,
+            own_address,
             ancestors: Vec::new(),
             siblings: Vec::new(),
             fresher: None,
-            passed_over: None,
+            backed_off: None,
         }
     }
 
@@ -53,17 +53,17 @@
         !self.ancestors.is_empty()
     }
 
-    /// The parent's own path reaches the source through these, the nearest first.
+    /// Records the path by which the parent reaches the source, the nearest daemon first.
     pub(super) fn on_ancestors(&mut self, ancestors: &[SocketAddr]) {
         self.ancestors = ancestors.to_vec();
     }
 
-    /// The parent names some of its other followers.
+    /// Records some of the parent's other followers.
     pub(super) fn on_siblings(&mut self, siblings: &[SocketAddr]) {
         self.siblings = siblings.to_vec();
     }
 
-    /// A daemon says that it is fresher.
+    /// Records a daemon that reports a fresher proof.
     pub(super) fn on_fresher(&mut self, daemon: SocketAddr) {
         self.fresher = Some(daemon);
     }
@@ -72,23 +72,23 @@
         self.fresher.is_some()
     }
 
-    /// The search is over, whether by the fresher daemon or not.
+    /// Forgets the fresher daemon at the end of a search, whether it was adopted or not.
     pub(super) fn forget_fresher(&mut self) {
         self.fresher = None;
     }
 
-    /// A daemon that was probed can't be adopted.
-    pub(super) fn on_unfit(&mut self, daemon: SocketAddr) {
+    /// Records that a probed daemon can't be adopted.
+    pub(super) fn on_rejected(&mut self, daemon: SocketAddr) {
         self.fresher = self.fresher.filter(|fresher| *fresher != daemon);
     }
 
-    /// Asking this daemon led to a circle.
-    pub(super) fn on_circle(&mut self, now: TimeMs, daemon: SocketAddr) {
-        self.passed_over = Some((daemon, now + PASSED_OVER_FOR));
+    /// Records that polling this daemon led to a cycle.
+    pub(super) fn on_cycle(&mut self, now: TimeMs, daemon: SocketAddr) {
+        self.backed_off = Some((daemon, now + CYCLE_BACKOFF));
     }
 
-    /// Whom to probe in place of the parent, the most promising first.
-    pub(super) fn in_order(
+    /// Returns the daemons to probe in place of the parent, the most promising first.
+    pub(super) fn ranked(
         &self,
         now: TimeMs,
         parent: Option<SocketAddr>,
@@ -96,22 +96,23 @@
     ) -> VecDeque<SocketAddr> {
         let all = (self.fresher.into_iter())
             .chain(self.ancestors.iter().copied())
-            .chain(seeds.to_try(now))
+            .chain(seeds.usable(now))
             .chain(self.siblings.iter().copied());
-        let mut in_order = VecDeque::new();
+        let mut ranked = VecDeque::new();
         for daemon in all {
-            let may_be_asked =
-                daemon != self.own && Some(daemon) != parent && !self.is_passed_over(now, daemon);
-            if may_be_asked && !in_order.contains(&daemon) {
-                in_order.push_back(daemon);
+            let is_eligible = daemon != self.own_address
+                && Some(daemon) != parent
+                && !self.is_backed_off(now, daemon);
+            if is_eligible && !ranked.contains(&daemon) {
+                ranked.push_back(daemon);
             }
         }
-        in_order.truncate(MAX_CANDIDATES);
-        in_order
+        ranked.truncate(MAX_CANDIDATES);
+        ranked
     }
 
-    fn is_passed_over(&self, now: TimeMs, daemon: SocketAddr) -> bool {
-        self.passed_over
-            .is_some_and(|(passed_over, until)| passed_over == daemon && now < until)
+    fn is_backed_off(&self, now: TimeMs, daemon: SocketAddr) -> bool {
+        self.backed_off
+            .is_some_and(|(backed_off, until)| backed_off == daemon && now < until)
     }
 }
--- a/crates/gateway/src/decisions/replication/followers.rs
+++ b/crates/gateway/src/decisions/replication/followers.rs
@@ -1,21 +1,21 @@
-//! Followers: which daemons follow this one, and where the others are sent.
+//! Followers: the daemons that follow this one, and where other daemons are redirected.
 //!
-//! Inputs: a daemon that asks (its VM, data centre, address and tree), those that asked lately, and
-//! this daemon's own source path.
+//! Inputs: a daemon that polls (its VM, data centre, address and subtree), those that polled
+//! recently, and this daemon's own source path.
 //!
-//! Rule: a few daemons of each data centre are answered here; any other is redirected to the one of
-//! them that has the smallest tree, counting those that were redirected to it just now. A daemon through
-//! which this one follows the source isn't answered: it would follow itself. The tree that comes of it
-//! is planned by nobody, and the cost of being followed doesn't grow with the fleet.
+//! Rule: a few daemons of each data centre are served here; any other is redirected to the one of
+//! them with the smallest subtree, counting the daemons that were redirected to it just now. A
+//! daemon through which this one follows the source isn't served: it would follow itself. No daemon
+//! plans the resulting tree, and the load on one daemon doesn't grow with the fleet.
 //!
-//! Measured: commit 19dad9b, docs/design/14 (calls of the store on a grown day 8,283 to 1,835);
-//! docs/design/15 (depth by the smallest tree).
+//! Choosing the smallest subtree keeps the tree shallow. See docs/design/14 (calls of the store on
+//! a day of the larger fleet fell from 8,283 to 1,835) and docs/design/15 (depth).
 //!
-//! What a daemon reports of its tree to another one leaves out what that one reported itself: two that
-//! follow each other for a moment, while seeds are away, would count each other's work again and again
-//! (apie-arena-grown scale-2, seconds 4 to 15: 461 requests reported at an engine that had 10).
+//! The subtree that a daemon reports to another one leaves out what that one reported itself: two
+//! daemons that follow each other for a moment, while seeds are unreachable, would count each
+//! other's work repeatedly (461 requests were reported at an engine that had 10).
 //!
-//! Tests: `upstream.rs::followers_are_few…`, `a_tree_counts…`, `a_follower_that_asks_no_more…`,
+//! Tests: `upstream.rs::followers_are_limited…`, `a_subtree_counts…`, `a_silent_follower…`,
 //! `follow_tree.rs`.
 
 use super::source_path::{MAX_LOCAL_FOLLOWERS, SourcePath};
@@ -24,65 +24,65 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Followers of each other data centre. Not measured, chosen because bytes between data centres
-/// cost more, and the second is there when the first fails.
+/// The maximum number of followers of each other data centre. Traffic between data centres costs
+/// more; the second follower remains when the first fails.
 const MAX_REMOTE_FOLLOWERS: usize = 2;
-/// A follower that asks nothing for so long after its last answer is gone. Not measured, chosen because
-/// it is over three times the 600 ms for which a question is held.
+/// How long a follower is kept after its last response if it sends no poll: over three times the
+/// 600 ms for which a poll is held.
 const FOLLOWER_TTL: DurationMs = DurationMs(2_000);
-/// A redirected daemon is there by then, and counted in the tree. Not measured, chosen because it may
-/// be redirected further, and reports of trees come up level by level.
+/// How long a redirected daemon is counted separately until its new parent's subtree includes it.
+/// It may be redirected further, and reports of subtrees come up level by level.
 const REDIRECT_TTL: DurationMs = DurationMs(2_000);
-/// Siblings that one answer names. Not measured, chosen because the seeds and the ancestors are tried
-/// before them.
+/// The number of siblings in one response. Seeds and ancestors are tried before them.
 const MAX_SIBLINGS: usize = 3;
-/// The largest tree that counts. Chosen because no fleet has so many daemons.
+/// The largest subtree that counts. No fleet has so many daemons.
 const MAX_TREE_SIZE: u32 = 10_000;
-/// The deepest tree that counts. Chosen because eight at each level reach any fleet in five; daemons
-/// that follow each other in a circle would count each other for ever, and get deeper each time.
+/// The deepest subtree that counts. Eight followers at each level reach any fleet in five levels.
+/// Daemons that follow each other in a cycle would count each other without end, at a greater depth
+/// each time.
 const MAX_TREE_DEPTH: u32 = 8;
 
-/// A daemon that asks.
+/// A daemon that polls this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Follower {
     /// Its VM.
     pub vm: VmId,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Where it can be asked itself.
+    /// The address at which it can be polled itself.
     pub address: SocketAddr,
-    /// The daemons that follow it, directly or not, and itself.
+    /// The daemon itself and those that follow it, directly or not.
     pub tree: Tree,
 }
 
 /// A daemon and those that follow it, directly or not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tree {
-    /// How many daemons these are.
+    /// The number of daemons.
     pub size: u32,
-    /// Daemons on the longest way down, the first one included.
+    /// The number of daemons on the longest path down, the first one included.
     pub depth: u32,
-    /// The work that they have under way.
+    /// The work that they have in progress.
     pub work: WorkByEndpoint,
 }
 
-/// Whether a daemon is answered here.
+/// Where a daemon that polls is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowerPlacement {
-    /// It is.
+    /// By this daemon.
     Here,
-    /// It asks there from now on.
+    /// By the daemon at this address from now on.
     Redirect(SocketAddr),
-    /// This daemon follows it, directly or not.
+    /// Not at all: this daemon follows it, directly or not.
     Circle,
 }
 
 #[derive(Debug)]
 struct KnownFollower {
     follower: Follower,
-    /// When it last asked, or got its answer.
+    /// When it last polled, or got its response.
     seen_at: TimeMs,
-    /// Daemons that were redirected to it and may not be in its tree yet.
+    /// The number of daemons that were redirected to it and may not be in its subtree yet.
     redirected: u32,
     redirected_at: TimeMs,
 }
@@ -92,18 +92,22 @@
         now.since(self.seen_at) < FOLLOWER_TTL
     }
 
-    /// It asks again, with what its tree is now.
-    fn renew(&mut self, now: TimeMs, follower: Follower) {
+    /// Records a new poll with its current subtree.
+    fn update(&mut self, now: TimeMs, follower: Follower) {
         let grown_by = follower.tree.size.saturating_sub(self.follower.tree.size);
         self.redirected = self.redirected.saturating_sub(grown_by);
         self.seen_at = now;
         self.follower = follower;
     }
 
-    /// Daemons in its tree, and those that are on their way there.
+    /// Returns the size of its subtree, including daemons just redirected to it.
     fn expected_size(&self, now: TimeMs) -> u32 {
-        let is_expected = now.since(self.redirected_at) < REDIRECT_TTL;
-        let redirected = if is_expected { self.redirected } else { 0 };
+        let is_redirect_recent = now.since(self.redirected_at) < REDIRECT_TTL;
+        let redirected = if is_redirect_recent {
+            self.redirected
+        } else {
+            0
+        };
         self.follower.tree.size.max(1).saturating_add(redirected)
     }
 }
@@ -116,7 +120,7 @@
 }
 
 impl Followers {
-    /// No followers yet, at a daemon of this data centre.
+    /// Creates an empty set for a daemon of this data centre.
     pub fn new(own_data_centre: DataCentreId) -> Self {
         Self {
             own_data_centre,
@@ -124,7 +128,8 @@
         }
     }
 
-    /// A daemon asks; says where it is answered, by a daemon with this source path.
+    /// Decides where a daemon that polls is served; `own_path` is the source path of the daemon
+    /// that decides.
     pub fn place(
         &mut self,
         now: TimeMs,
@@ -137,7 +142,7 @@
             return FollowerPlacement::Circle;
         }
         if let Some(known) = self.by_vm.get_mut(&follower.vm) {
-            known.renew(now, follower);
+            known.update(now, follower);
             return FollowerPlacement::Here;
         }
         let max_followers = if follower.data_centre == self.own_data_centre {
@@ -158,32 +163,33 @@
             .into_iter()
             .min_by_key(|known| known.expected_size(now));
         smallest.map_or(FollowerPlacement::Here, |known| {
-            let joining = follower.tree.size.max(1);
-            known.redirected = known.expected_size(now) - known.follower.tree.size.max(1) + joining;
+            let joining_size = follower.tree.size.max(1);
+            known.redirected =
+                known.expected_size(now) - known.follower.tree.size.max(1) + joining_size;
             known.redirected_at = now;
             FollowerPlacement::Redirect(known.follower.address)
         })
     }
 
-    /// A follower's question was answered: from now on it may take its time until the next one.
+    /// Records the response to a follower's poll: the follower's timeout starts again.
     pub fn on_answered(&mut self, now: TimeMs, vm: &VmId) {
         if let Some(known) = self.by_vm.get_mut(vm) {
             known.seen_at = now;
         }
     }
 
-    /// Some followers of the same data centre as `vm`, without itself.
+    /// Returns some followers of the same data centre as `vm`, without `vm` itself.
     pub fn siblings(&self, now: TimeMs, vm: &VmId) -> Vec<SocketAddr> {
         let Some(known) = self.by_vm.get(vm) else {
             return Vec::new();
         };
         let data_centre = &known.follower.data_centre;
         let is_sibling = |other: &&Follower| other.vm != *vm && other.data_centre == *data_centre;
-        // Those after it in order: not all of them name the same few.
+        // Starts after `vm` in order, so that not all responses name the same few.
         let (before, after): (Vec<&Follower>, Vec<&Follower>) =
             (self.current(now).filter(is_sibling)).partition(|other| other.vm < *vm);
-        let in_turn = after.into_iter().chain(before);
-        in_turn
+        let rotated = after.into_iter().chain(before);
+        rotated
             .map(|other| other.address)
             .take(MAX_SIBLINGS)
             .collect()
@@ -205,7 +211,8 @@
         current.map(|known| &known.follower)
     }
 
-    /// The tree below this daemon, whose own work is given: of the followers that `is_counted`.
+    /// Returns this daemon's subtree with its own work, limited to the followers for which
+    /// `is_counted` holds.
     pub fn tree(
         &self,
         now: TimeMs,
@@ -228,12 +235,12 @@
         tree
     }
 
-    /// How many followers were known when one last asked.
+    /// Returns the number of followers known at the last poll.
     pub fn len(&self) -> usize {
         self.by_vm.len()
     }
 
-    /// Whether there were none.
+    /// Returns whether there were none.
     pub fn is_empty(&self) -> bool {
         self.by_vm.is_empty()
     }
--- a/crates/gateway/src/decisions/replication/hold.rs
+++ b/crates/gateway/src/decisions/replication/hold.rs
@@ -1,38 +1,36 @@
-//! Hold: how long a follower's question is held while there is nothing new to answer.
+//! Hold: how long a follower's poll is held (a long poll) while there is nothing new to return.
 //!
-//! Inputs: whether work is under way that should be reported, and the age of the answering daemon's
-//! proof (ms).
+//! Inputs: whether work is in progress that should be reported, and the age of the answering
+//! daemon's proof (ms).
 //!
-//! Rule: `HOLD`, or `BUSY_HOLD` while there is work; but no longer than until the proof is so old that
-//! followers look for another upstream ([`ProofLimits::leave_from`]).
+//! Rule: `MAX_HOLD`, or `MAX_BUSY_HOLD` while there is work; but not beyond the time at which the
+//! proof is so old that followers look for another upstream ([`ProofLimits::leave_from`]).
 //!
-//! Reason: a held question is the cheapest way to hear of news at once. But who waits for an answer
-//! doesn't look further: while the source turned all seeds away, followers noticed up to 0.6 s late.
+//! Reason: a held poll is the cheapest way to pass on changes at once. But a follower doesn't look
+//! for another upstream while its poll is held: without the limit by the proof's age, followers
+//! noticed up to 0.6 s late that the source refused all seeds, and 2 of 20 runs of
+//! `follow_tree.rs::a_change_is_in_force_in_time…` were over the bound by up to 0.3 s.
 //!
-//! Measured: `follow_tree.rs::a_change_is_in_force_in_time…`: 2 of 20 runs over the bound by up to 0.3 s
-//! without the limit.
-//!
-//! Tests: `upstream.rs::a_question_is_held_…`, `follow_tree.rs`.
+//! Tests: `upstream.rs::a_poll_is_held_…`, `follow_tree.rs`.
 
 use super::proof_limits::ProofLimits;
 use bridgevane_types::DurationMs;
 
-/// How long a question is held when nothing is under way. Not measured by itself (commit 19dad9b),
-/// chosen because a proof may be 1.6 s old, and each daemon on the way may hold it so long. Half
-/// doubles the messages.
-const HOLD: DurationMs = DurationMs(600);
-/// The same while the asking daemon's tree has work under way, or prompts wait anywhere. Not measured by
-/// itself (commit cf81c29); it is how stale the reported queue of an engine may be at each step of the
-/// tree.
-const BUSY_HOLD: DurationMs = DurationMs(200);
+/// How long a poll is held when no work is in progress. A proof may be 1.6 s old, and each daemon
+/// on the path may hold a poll for this time. Half of it doubles the messages.
+const MAX_HOLD: DurationMs = DurationMs(600);
+/// The same while the polling daemon's subtree has work in progress, or prompts wait anywhere: the
+/// reported queue of an engine may be this stale at each level of the tree.
+const MAX_BUSY_HOLD: DurationMs = DurationMs(200);
 
-/// How long a question is held at most, by a daemon whose proof is so old; none: it has no proof.
+/// Returns how long a poll is held at most by a daemon whose proof has this age; `None`: it has no
+/// proof.
 pub fn hold(is_busy: bool, proof_age: Option<DurationMs>, limits: ProofLimits) -> DurationMs {
-    let longest = if is_busy { BUSY_HOLD } else { HOLD };
+    let longest = if is_busy { MAX_BUSY_HOLD } else { MAX_HOLD };
     let left = proof_age.and_then(|age| limits.leave_from.0.checked_sub(age.0));
     match left {
         Some(left) if left > 0 => longest.min(DurationMs(left)),
-        // Followers of such a daemon are looking already; answering at once would only be more to do.
+        // Followers of such a daemon are already searching; answering at once would only add load.
         _ => longest,
     }
 }
--- a/crates/gateway/src/decisions/replication/parent.rs
+++ b/crates/gateway/src/decisions/replication/parent.rs
@@ -1,4 +1,4 @@
-//! Parent: the daemon that this one follows, and the way to it.
+//! Parent: the daemon that this one follows, and the redirects that led to it.
 
 use super::source_path::SourcePath;
 use std::net::SocketAddr;
@@ -7,37 +7,37 @@
 #[derive(Clone, Debug)]
 pub(super) struct Parent {
     pub(super) address: SocketAddr,
-    /// The daemon that was asked before any redirect.
-    pub(super) asked_first: SocketAddr,
-    /// Redirects that led to it and were not answered yet.
+    /// The daemon that was polled before any redirect.
+    pub(super) first_polled: SocketAddr,
+    /// The number of redirects that led to it since the last response with records.
     pub(super) redirects: u32,
     pub(super) has_answered: bool,
-    /// Its own source path, as it last said.
+    /// Its own source path, as last reported.
     pub(super) path: SourcePath,
 }
 
 impl Parent {
-    /// A daemon that wasn't asked yet.
+    /// Creates a parent that wasn't polled yet.
     pub(super) fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            asked_first: address,
+            first_polled: address,
             redirects: 0,
             has_answered: false,
             path: SourcePath::detached(),
         }
     }
 
-    /// The daemon that this one redirects to.
+    /// Returns the daemon that this one redirects to as the new parent.
     pub(super) fn redirected(&self, address: SocketAddr) -> Self {
         Self {
-            asked_first: self.asked_first,
+            first_polled: self.first_polled,
             redirects: self.redirects + 1,
             ..Self::new(address)
         }
     }
 
-    /// It answered with records.
+    /// Records a response with records.
     pub(super) fn on_records(&mut self, path: SourcePath) {
         self.redirects = 0;
         self.has_answered = true;
--- a/crates/gateway/src/decisions/replication/seeds.rs
+++ b/crates/gateway/src/decisions/replication/seeds.rs
@@ -1,12 +1,12 @@
-//! Seeds: the daemons of the settings, which follow the control source.
+//! Seeds: the daemons of the settings that follow the control source.
 //!
-//! Inputs: their addresses, the data centres that they said they are in, and which of them did not
-//! answer lately.
+//! Inputs: their addresses, the data centres that they reported, and which of them did not answer
+//! recently.
 //!
-//! Rule: one of the own data centre first, then the others in an order of each daemon's own; those
-//! that did not answer come last for [`SEED_BACKOFF`].
+//! Rule: a seed of the own data centre first, then the others in an order that differs by daemon;
+//! those that did not answer come last for [`SEED_BACKOFF`].
 //!
-//! Reason: bytes between data centres are dear, and daemons should spread over the seeds.
+//! Reason: traffic between data centres is expensive, and daemons should spread over the seeds.
 //!
 //! Tests: `upstream.rs`.
 
@@ -14,14 +14,14 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a seed that did not answer is passed over. Not measured, chosen because a process that
-/// restarts is back within it.
+/// How long a seed that did not answer is ranked last. A process that restarts is back within this
+/// time.
 const SEED_BACKOFF: DurationMs = DurationMs(2_500);
 
 #[derive(Clone, Debug)]
 struct Seed {
     address: SocketAddr,
-    /// Known once it has answered.
+    /// `None` until it has answered.
     data_centre: Option<DataCentreId>,
     backoff_until: TimeMs,
 }
@@ -34,7 +34,7 @@
 }
 
 impl Seeds {
-    /// The seeds without the daemon at `own` itself.
+    /// Creates the list of seeds without the daemon at `own` itself.
     pub(super) fn new(
         own_data_centre: DataCentreId,
         own: SocketAddr,
@@ -42,7 +42,7 @@
     ) -> Self {
         let others = addresses.iter().filter(|seed| **seed != own);
         let mut others: Vec<SocketAddr> = others.copied().collect();
-        // Daemons spread over the seeds: each has an order of its own.
+        // The order differs by daemon, so that daemons spread over the seeds.
         others.sort_by_key(|seed| xxh3_64(format!("{own} {seed}").as_bytes()));
         let seed = |address| Seed {
             address,
@@ -67,7 +67,7 @@
         self.seeds.iter_mut().find(|seed| seed.address == address)
     }
 
-    /// A daemon answered from this data centre.
+    /// Records a response of a daemon in this data centre.
     pub(super) fn on_answered(&mut self, address: SocketAddr, data_centre: &DataCentreId) {
         if let Some(seed) = self.find(address) {
             seed.data_centre = Some(data_centre.clone());
@@ -75,23 +75,32 @@
         }
     }
 
-    /// A daemon did not answer.
+    /// Records that a daemon did not answer.
     pub(super) fn on_failed(&mut self, now: TimeMs, address: SocketAddr) {
         if let Some(seed) = self.find(address) {
             seed.backoff_until = now + SEED_BACKOFF;
         }
     }
 
-    /// The seeds that aren't known to be away, the best one first; all if all are away.
-    pub(super) fn to_try(&self, now: TimeMs) -> Vec<SocketAddr> {
+    /// Returns the seeds that aren't backed off, the best one first; all seeds if all are backed
+    /// off.
+    pub(super) fn usable(&self, now: TimeMs) -> Vec<SocketAddr> {
         let ranked = self.by_rank(now);
-        let is_away = |seed: &Seed| now < seed.backoff_until;
-        let near = self.seeds.iter().filter(|seed| !is_away(seed)).count();
-        let tried = if near > 0 { near } else { ranked.len() };
+        let is_backed_off = |seed: &Seed| now < seed.backoff_until;
+        let available = self
+            .seeds
+            .iter()
+            .filter(|seed| !is_backed_off(seed))
+            .count();
+        let tried = if available > 0 {
+            available
+        } else {
+            ranked.len()
+        };
         ranked.into_iter().take(tried).collect()
     }
 
-    /// The seeds, the best one first; those that are away come last.
+    /// Returns all seeds, the best one first; those that are backed off come last.
     pub(super) fn by_rank(&self, now: TimeMs) -> Vec<SocketAddr> {
         let rank = |seed: &&Seed| {
             let distance = match &seed.data_centre {
@@ -106,8 +115,9 @@
         ranked.iter().map(|seed| seed.address).collect()
     }
 
-    /// A seed that may be in this data centre and isn't known to be away, while none is known to be.
-    pub(super) fn to_locate(&self, now: TimeMs) -> Option<SocketAddr> {
+    /// Returns a seed of unknown data centre that isn't backed off, unless a seed of this data
+    /// centre is known.
+    pub(super) fn next_unlocated(&self, now: TimeMs) -> Option<SocketAddr> {
         if self.local(now).is_some() {
             return None;
         }
@@ -115,11 +125,11 @@
         self.seeds.iter().find(unknown).map(|seed| seed.address)
     }
 
-    /// A seed of this data centre that isn't known to be away.
+    /// Returns a seed of this data centre that isn't backed off.
     pub(super) fn local(&self, now: TimeMs) -> Option<SocketAddr> {
         let is_local = |seed: &&Seed| {
-            let is_near = seed.data_centre.as_ref() == Some(&self.own_data_centre);
-            is_near && now >= seed.backoff_until
+            let is_in_own_data_centre = seed.data_centre.as_ref() == Some(&self.own_data_centre);
+            is_in_own_data_centre && now >= seed.backoff_until
         };
         self.seeds.iter().find(is_local).map(|seed| seed.address)
     }
--- a/crates/gateway/src/decisions/replication/upstream.rs
+++ b/crates/gateway/src/decisions/replication/upstream.rs
@@ -1,32 +1,37 @@
-//! Upstream: whom this daemon follows, the control source or another daemon.
+//! Upstream: what this daemon follows, the control source or another daemon.
 //!
-//! Inputs: the seeds of the settings, whether this daemon is one of them, and what became of
-//! earlier questions: answers with their proof's age (ms) and source path, redirects, failures.
+//! Inputs: the seeds of the settings, whether this daemon is one of them, and the results of
+//! earlier polls: responses with the age of their proof (ms) and their source path, redirects,
+//! failures.
 //!
 //! Rules:
-//! - Seeds follow the source, and other daemons while it does not answer.
+//! - Seeds follow the source, and other daemons while the source does not answer.
 //! - Any other daemon has a parent: a seed, or the daemon that it is redirected to. It keeps its
-//!   parent until that gives no answer, has this daemon in its own source path (a circle), or lets
-//!   its proof get too old ([`ProofLimits::leave_from`]).
-//! - Then it probes others, one after the other (`candidates.rs`), and adopts the first whose proof is
-//!   young ([`ProofLimits::adopt_below`]) and whose source path doesn't lead back here.
-//! - Its parent is asked again after each probe that fails: it may have found a fresh one meanwhile.
-//! - Without a parent, and with a proof as old as [`ProofLimits::leave_from`], it asks the source before it
-//!   probes any more.
-//! - If none can be adopted, it asks the source in its turn ([`super::source_pacing`]), and goes on looking. A
-//!   question that its stale parent still holds is given up for the turn.
-//! - Who becomes fresh in another way tells its former parent, which is stale, and may adopt it: one
-//!   daemon that reaches the source is enough for all.
-//! - Of two daemons that both ask the source, the one with the larger address follows the other.
-//! - A daemon that is deeper below a seed than the fleet needs, or follows one of another data centre
-//!   though its own has a seed, looks for a better parent now and then.
+//!   parent until the parent gives no response, has this daemon in its own source path (a cycle),
+//!   or lets its proof get too old ([`ProofLimits::leave_from`]).
+//! - Then it probes other daemons, one after the other (`candidates.rs`), and adopts the first
+//!   whose proof is young ([`ProofLimits::adopt_below`]) and whose source path doesn't contain this
+//!   daemon.
+//! - Its parent is polled again after each probe that fails: the parent may have found a fresh
+//!   upstream meanwhile.
+//! - Without a parent, and with a proof as old as [`ProofLimits::leave_from`], it polls the source
+//!   before it probes any more daemons.
+//! - If no daemon can be adopted, it polls the source in its slot ([`super::source_pacing`]), and
+//!   goes on searching. A poll that its stale parent still holds is cancelled when the slot comes.
+//! - A daemon that becomes fresh through another upstream notifies its former, stale parent, which
+//!   may adopt it: one daemon that reaches the source is enough for the whole fleet.
+//! - Of two daemons that both poll the source, the one with the larger address follows the other.
+//! - A daemon that is deeper below a seed than the size of the fleet requires, or that follows a
+//!   daemon of another data centre though its own has a seed, searches for a better parent from
+//!   time to time.
 //!
-//! Reason: the source bears a few callers, not one for each daemon, and a daemon that it turns away
-//! goes on with what its neighbours know.
+//! Reason: the source can serve a few callers, not one for each daemon, and a daemon that the
+//! source refuses continues with the state of its peers.
 //!
-//! Measured: docs/design/15.
+//! See docs/design/15.
 //!
-//! Tests: `upstream.rs`; `follow_tree.rs` (all orders of a small fleet, long runs of large ones).
+//! Tests: `upstream.rs`; `follow_tree.rs` (all orders of faults in a small fleet, long runs of
+//! large ones).
 
 use super::candidates::Candidates;
 use super::parent::Parent;
@@ -39,49 +44,49 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// How long after its start a daemon waits for others that may be starting, too. Not measured,
-/// chosen because VMs of a day start within 0.3 s of each other, and a seed reads everything in
-/// about as long.
-const START_TOGETHER: DurationMs = DurationMs(800);
-/// The pause between two searches of a daemon whose parent answers, but is stale. Not measured,
-/// chosen because a search is some six questions; half would double them in an outage.
-const SEARCH_PAUSE: DurationMs = DurationMs(1_000);
-/// The pause between two looks for a better parent. Not measured, chosen because a daemon that is too
-/// deep works as well, only its proofs are some milliseconds older.
-const IMPROVE_PAUSE: DurationMs = DurationMs(3_000);
-/// Redirects that are followed in a row. Chosen because a tree of any fleet is less deep.
+/// How long after its start a daemon waits for peers that may be starting, too, before it polls the
+/// source. The VMs of a deployment start within 0.3 s of each other, and a seed takes about as long
+/// to read the full state.
+const STARTUP_WAIT: DurationMs = DurationMs(800);
+/// The pause between two searches of a daemon whose parent answers, but is stale. A search takes
+/// some six polls; half the pause would double their number in an outage.
+const SEARCH_INTERVAL: DurationMs = DurationMs(1_000);
+/// The pause between two searches for a better parent. A daemon that is too deep works as well; its
+/// proofs are only some milliseconds older.
+const IMPROVE_INTERVAL: DurationMs = DurationMs(3_000);
+/// The number of redirects that are followed in a row. The tree of any fleet is less deep.
 const MAX_REDIRECTS: u32 = 8;
 
-/// Whom to ask next, and for what.
+/// The next daemon or source to poll, and the purpose.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Upstream {
-    /// The control source, for everything or for changes.
+    /// The control source, for the full state or for changes.
     #[display("source")]
     Source,
     /// Another daemon, for the same; it counts this one among its followers.
     #[display("{_0}")]
     Peer(SocketAddr),
-    /// Another daemon, for its place in the tree and the age of its proof.
+    /// Another daemon, for its place in the tree and the age of its proof only.
     #[display("looking at {_0}")]
     Probe(SocketAddr),
 }
 
-/// What another daemon says of itself as an upstream.
+/// What another daemon reports about itself as an upstream.
 #[derive(Clone, Debug)]
 pub struct PeerReport {
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// The age of its proof, if it has one.
     pub proof_age: Option<DurationMs>,
-    /// How it follows the source.
+    /// Its path to the source.
     pub path: SourcePath,
-    /// Where to ask from now on, if it redirects.
+    /// The daemon to poll from now on, if this one redirects.
     pub redirect: Option<SocketAddr>,
-    /// Some others that follow it; not in every answer.
+    /// Some of its other followers; not in every response.
     pub siblings: Vec<SocketAddr>,
 }
 
-/// Why a daemon asks the source. The text is the cause in metrics.
+/// Why a daemon polls the source. The text is the cause in metrics.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum SourceCause {
     /// It is a seed, or knows no other daemon.
@@ -90,18 +95,18 @@
     /// It has lost its parent and found no other.
     #[display("no parent")]
     NoParent,
-    /// Its parent answers, but its proof is old, and nobody has a newer one.
+    /// Its parent answers, but has an old proof, and no other daemon has a newer one.
     #[display("stale parent")]
     StaleParent,
 }
 
-/// Daemons to be probed.
+/// The daemons still to be probed in a search for a parent.
 #[derive(Clone, Debug)]
 struct Search {
-    /// Seeds whose data centres aren't known are probed first.
+    /// Seeds of unknown data centre are probed first.
     is_locating: bool,
     queue: VecDeque<SocketAddr>,
-    /// The parent is well: only a better place is looked for.
+    /// The parent is fresh: the search is for a better place only.
     is_improvement: bool,
 }
 
@@ -109,41 +114,42 @@
 #[derive(Debug)]
 pub struct UpstreamSelector {
     own_data_centre: DataCentreId,
-    own: SocketAddr,
-    /// This daemon can't be followed, or knows nobody.
-    is_alone: bool,
+    own_address: SocketAddr,
+    /// This daemon has no address at which others can poll it, or knows no seeds.
+    is_standalone: bool,
     is_seed: bool,
     started_at: TimeMs,
     limits: ProofLimits,
     seeds: Seeds,
-    source: SourcePacing,
+    source_pacing: SourcePacing,
     fleet_size: u32,
-    /// When this daemon's newest proof was asked for.
+    /// When the poll that gave this daemon's newest proof was sent.
     proved_at: Option<TimeMs>,
     parent: Option<Parent>,
-    /// The newest answer came from the source.
-    is_at_source: bool,
+    /// The source answered the last poll of it, and no daemon was adopted since.
+    follows_source: bool,
     candidates: Candidates,
     search: Option<Search>,
     search_not_before: TimeMs,
     improve_not_before: TimeMs,
-    /// Searches since this daemon's proof was last young enough.
-    vain_searches: u32,
-    /// Whether another daemon has answered since then.
-    do_others_answer: bool,
-    /// A stale former parent, to be told when this daemon is fresh.
+    /// The number of searches without a result since this daemon's proof was last young enough.
+    failed_searches: u32,
+    /// Whether another daemon has answered since the last parent was lost.
+    has_peer_answered: bool,
+    /// A stale former parent, to be notified when this daemon is fresh.
     stale_parent: Option<SocketAddr>,
-    /// A probe took long: the parent is asked before the next one.
-    must_ask_parent: bool,
+    /// A probe failed: the parent is polled before the next probe.
+    must_poll_parent: bool,
     must_pause: bool,
 }
 
-/// Stands for the address of a daemon that has none; nobody asks there.
+/// Stands for the address of a daemon that has none; it is never polled.
 const NO_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
 impl UpstreamSelector {
-    /// A daemon at `own` that knows these seeds; without an address it follows the source.
+    /// Creates the selector of a daemon at `own` that knows these seeds; without an address the
+    /// daemon follows the source.
     pub fn new(
         now: TimeMs,
         own_data_centre: DataCentreId,
@@ -156,44 +162,47 @@
         let seeds = Seeds::new(own_data_centre.clone(), address, seeds);
         Self {
             own_data_centre,
-            own: address,
-            is_alone: own.is_none() || seeds.is_empty(),
+            own_address: address,
+            is_standalone: own.is_none() || seeds.is_empty(),
             is_seed,
             started_at: now,
             limits,
             seeds,
-            source: SourcePacing::new(address, is_seed, limits),
+            source_pacing: SourcePacing::new(address, is_seed, limits),
             fleet_size: 0,
             proved_at: None,
             parent: None,
-            is_at_source: false,
+            follows_source: false,
             candidates: Candidates::new(address),
             search: None,
             search_not_before: TimeMs(0),
             improve_not_before: TimeMs(0),
-            vain_searches: 0,
-            do_others_answer: false,
+            failed_searches: 0,
+            has_peer_answered: false,
             stale_parent: None,
-            must_ask_parent: false,
+            must_poll_parent: false,
             must_pause: false,
         }
     }
 
-    /// Whom to ask now.
+    /// Returns what to poll now.
     pub fn select(&mut self, now: TimeMs) -> Upstream {
-        if self.is_alone || self.must_ask_source(now) {
+        if self.is_standalone || self.must_poll_source(now) {
             return Upstream::Source;
         }
-        if let Some(former) = self.parent_to_tell(now) {
+        if let Some(former) = self.parent_to_notify(now) {
             return Upstream::Probe(former);
         }
-        self.begin_due_search(now);
-        if let Some(parent) = self.parent.as_ref().filter(|_| self.must_ask_parent) {
+        self.start_due_search(now);
+        if let Some(parent) = self.parent.as_ref().filter(|_| self.must_poll_parent) {
             return Upstream::Peer(parent.address);
         }
         if let Some(search) = &self.search {
-            let unlocated = self.seeds.to_locate(now).filter(|_| search.is_locating);
-            if let Some(address) = unlocated.or(search.queue.front().copied()) {
+            let unlocated_seed = self
+                .seeds
+                .next_unlocated(now)
+                .filter(|_| search.is_locating);
+            if let Some(address) = unlocated_seed.or(search.queue.front().copied()) {
                 return Upstream::Probe(address);
             }
         }
@@ -203,27 +212,28 @@
         }
     }
 
-    /// When a question to the parent must be given up, because this daemon's turn at the source comes.
+    /// Returns when a poll of the parent must be cancelled because this daemon's slot at the source
+    /// comes; `None` if no slot is ahead.
     pub fn source_turn(&self, now: TimeMs) -> Option<TimeMs> {
         let is_stale = !self.is_proof_younger(now, self.limits.leave_from);
-        let has_turn = !self.is_seed() && is_stale && self.vain_searches > 0;
-        // A turn that has come is taken at the next step, unless something else must come first.
-        let turn = has_turn.then(|| self.source.not_before());
+        let has_turn = !self.is_seed() && is_stale && self.failed_searches > 0;
+        // A slot that has come is used at the next step, unless another rule takes precedence.
+        let turn = has_turn.then(|| self.source_pacing.not_before());
         turn.filter(|turn| *turn > now)
     }
 
-    /// True once after a step that brought nothing: the next one should wait a little.
+    /// Returns true once after a step without a result: the next step should wait a little.
     pub fn take_pause(&mut self) -> bool {
         std::mem::take(&mut self.must_pause)
     }
 
-    /// How this daemon follows the source.
+    /// Returns this daemon's path to the source.
     pub fn path(&self) -> SourcePath {
-        if self.is_at_source {
+        if self.follows_source {
             return SourcePath::direct();
         }
         let parent = self.parent.as_ref();
-        let path = parent.and_then(|parent| parent.path.through(parent.address));
+        let path = parent.and_then(|parent| parent.path.with_upstream(parent.address));
         path.unwrap_or(SourcePath::detached())
     }
 
@@ -239,48 +249,51 @@
         self.proof_age(now).is_some_and(|age| age < limit)
     }
 
-    /// Seeds ask the source whenever they may; the others when they have found no parent.
-    fn must_ask_source(&self, now: TimeMs) -> bool {
-        // A fresher daemon is a question away; the source may not answer for long.
-        if !self.source.may_ask(now) || self.candidates.has_fresher() {
+    /// Returns whether the source is polled now: by seeds whenever pacing allows, by others without
+    /// a parent.
+    fn must_poll_source(&self, now: TimeMs) -> bool {
+        // A fresher daemon answers within one round trip; the source may take long to answer.
+        if !self.source_pacing.may_poll(now) || self.candidates.has_fresher() {
             return false;
         }
         if self.is_seed {
             return true;
         }
-        let is_root = self.is_at_source && self.parent.is_none();
+        let is_root = self.follows_source && self.parent.is_none();
         if is_root {
-            // Others may follow it: its proof is kept young.
+            // Other daemons may follow this one: its proof is kept young.
             return true;
         }
-        let is_starting = now.since(self.started_at) < START_TOGETHER;
-        let is_kept = self.parent.is_some() && self.is_proof_younger(now, self.limits.leave_from);
-        if is_starting || is_kept {
+        let is_starting = now.since(self.started_at) < STARTUP_WAIT;
+        let keeps_parent =
+            self.parent.is_some() && self.is_proof_younger(now, self.limits.leave_from);
+        if is_starting || keeps_parent {
             return false;
         }
-        self.vain_searches > 0 || self.is_orphaned_for_long(now) || self.is_isolated(now)
+        self.failed_searches > 0 || self.is_orphaned_and_stale(now) || self.is_isolated(now)
     }
 
-    /// Its parent is gone, and those that it has probed since were silent or stale, too: few daemons are in that state, and
-    /// one that went on probing could miss a change for longer than it may.
-    fn is_orphaned_for_long(&self, now: TimeMs) -> bool {
+    /// Returns whether the parent is lost and all daemons probed since were silent or stale. Few
+    /// daemons are in that state, and one that went on probing could miss a change for longer than
+    /// allowed.
+    fn is_orphaned_and_stale(&self, now: TimeMs) -> bool {
         let is_stale = !self.is_proof_younger(now, self.limits.leave_from);
         self.proved_at.is_some() && self.parent.is_none() && is_stale
     }
 
-    /// No other daemon answers.
+    /// Returns whether no other daemon answers and this daemon's proof is close to its end.
     fn is_isolated(&self, now: TimeMs) -> bool {
         let is_late = !self.is_proof_younger(now, self.limits.source_from);
-        self.proved_at.is_some() && !self.do_others_answer && is_late
+        self.proved_at.is_some() && !self.has_peer_answered && is_late
     }
 
-    /// The stale former parent, once this daemon is fresh.
-    fn parent_to_tell(&self, now: TimeMs) -> Option<SocketAddr> {
+    /// Returns the stale former parent once this daemon is fresh.
+    fn parent_to_notify(&self, now: TimeMs) -> Option<SocketAddr> {
         let is_fresh = self.is_proof_younger(now, self.limits.adopt_below);
         self.stale_parent.filter(|_| is_fresh)
     }
 
-    fn begin_due_search(&mut self, now: TimeMs) {
+    fn start_due_search(&mut self, now: TimeMs) {
         if self.search.is_some() {
             return;
         }
@@ -288,61 +301,63 @@
         if self.parent.is_none() || (is_stale && now >= self.search_not_before) {
             self.search = Some(Search {
                 is_locating: !self.candidates.has_ancestors()
-                    && self.seeds.to_locate(now).is_some(),
+                    && self.seeds.next_unlocated(now).is_some(),
                 queue: self.candidates(now),
                 is_improvement: false,
             });
         }
     }
 
-    /// Whom to probe in place of the parent, the most promising first.
+    /// Returns the daemons to probe in place of the parent, the most promising first.
     fn candidates(&self, now: TimeMs) -> VecDeque<SocketAddr> {
         let parent = self.parent.as_ref().map(|parent| parent.address);
-        self.candidates.in_order(now, parent, &self.seeds)
+        self.candidates.ranked(now, parent, &self.seeds)
     }
 
-    /// The source answered a question of `asked_at`.
+    /// Records that the source answered a poll sent at `asked_at`.
     pub fn on_source_answered(&mut self, now: TimeMs, asked_at: TimeMs) {
-        self.source.on_answered(now);
+        self.source_pacing.on_answered(now);
         let former = self.parent.take();
-        if !self.is_seed && self.vain_searches > 0 {
+        if !self.is_seed && self.failed_searches > 0 {
             self.stale_parent = former.map(|parent| parent.address);
         }
         self.search = None;
-        self.is_at_source = true;
-        self.prove(now, asked_at);
+        self.follows_source = true;
+        self.record_proof(now, asked_at);
     }
 
-    /// The source did not answer, or turned this daemon away.
+    /// Records that the source did not answer, or refused this daemon.
     pub fn on_source_failed(&mut self, now: TimeMs) {
-        self.source.on_failed(now, self.do_others_answer);
-        self.is_at_source = false;
+        self.source_pacing.on_failed(now, self.has_peer_answered);
+        self.follows_source = false;
         self.must_pause = true;
     }
 
-    /// It is known how many daemons there are; 0: it isn't.
+    /// Sets the number of daemons; 0 means unknown.
     pub fn on_fleet_size(&mut self, daemons: u32) {
         self.fleet_size = daemons;
-        self.source.on_fleet_size(daemons);
+        self.source_pacing.on_fleet_size(daemons);
     }
 
-    /// This daemon has a newer proof, in whatever way it came.
+    /// Records a newer proof of this daemon, from any origin.
     pub fn on_proved(&mut self, now: TimeMs, proved_at: Option<TimeMs>) {
         if let Some(proved_at) = proved_at {
-            self.prove(now, proved_at);
+            self.record_proof(now, proved_at);
         }
     }
 
-    /// Another daemon says that its proof is of `proved_at`.
+    /// Records that another daemon reports a proof of `proved_at`, and starts a search with it if
+    /// needed.
     pub fn on_fresher_daemon(&mut self, now: TimeMs, daemon: SocketAddr, proved_at: TimeMs) {
         let is_fresh = now.since(proved_at) < self.limits.adopt_below;
         let is_needed = !self.is_proof_younger(now, self.limits.adopt_below);
-        if !is_fresh || !is_needed || self.is_parent(daemon) || self.is_alone {
+        if !is_fresh || !is_needed || self.is_parent(daemon) || self.is_standalone {
             return;
         }
         self.candidates.on_fresher(daemon);
-        // A parent that is silent would be asked again for each fresher daemon, and never be given up.
-        self.must_ask_parent = false;
+        // Otherwise a silent parent would be polled again for each fresher daemon and never be
+        // dropped.
+        self.must_poll_parent = false;
         self.search = Some(Search {
             is_locating: false,
             queue: self.candidates(now),
@@ -350,10 +365,10 @@
         });
     }
 
-    /// A daemon answered a probe.
+    /// Records a daemon's response to a probe.
     pub fn on_probed(&mut self, now: TimeMs, peer: SocketAddr, report: &PeerReport) {
         self.seeds.on_answered(peer, &report.data_centre);
-        self.do_others_answer = true;
+        self.has_peer_answered = true;
         if self.stale_parent == Some(peer) {
             self.stale_parent = None;
             return;
@@ -364,22 +379,23 @@
         if self.is_adoptable(now, peer, report) {
             self.adopt(now, peer);
         } else {
-            self.end_probe(now, peer);
+            self.reject_probed(now, peer);
         }
     }
 
-    /// Whether seeds are still to be located; after the last one the search begins with the best.
+    /// Returns whether seeds are still to be located; after the last one the search starts with the
+    /// best.
     fn is_locating(&mut self, now: TimeMs) -> bool {
         if !(self.search.as_ref()).is_some_and(|search| search.is_locating) {
             return false;
         }
-        let is_over = self.seeds.to_locate(now).is_none();
-        let improved = self.seeds.local(now).into_iter().collect();
+        let is_located = self.seeds.next_unlocated(now).is_none();
+        let better = self.seeds.local(now).into_iter().collect();
         let candidates = self.candidates(now);
-        if let Some(search) = self.search.as_mut().filter(|_| is_over) {
+        if let Some(search) = self.search.as_mut().filter(|_| is_located) {
             search.is_locating = false;
             search.queue = if search.is_improvement {
-                improved
+                better
             } else {
                 candidates
             };
@@ -396,15 +412,15 @@
             let has_nothing = self.parent.is_none() && self.proved_at.is_none();
             return has_nothing && !self.is_seed && self.seeds.contains(peer);
         }
-        let is_root = self.is_at_source && self.is_proof_younger(now, self.limits.leave_from);
+        let is_root = self.follows_source && self.is_proof_younger(now, self.limits.leave_from);
         if !is_root {
             return true;
         }
         let root = report.path.daemons().last().copied().unwrap_or(peer);
-        let goes_first = self.seeds.contains(root) || root < self.own;
-        // A seed whose call of the source hangs looks well for a while.
+        let has_priority = self.seeds.contains(root) || root < self.own_address;
+        // A seed whose poll of the source hangs appears fresh for a while.
         let is_newer = report.proof_age < self.proof_age(now);
-        goes_first && is_newer
+        has_priority && is_newer
     }
 
     fn is_young(&self, report: &PeerReport) -> bool {
@@ -414,23 +430,23 @@
     fn adopt(&mut self, now: TimeMs, address: SocketAddr) {
         let is_stale = !self.is_proof_younger(now, self.limits.leave_from);
         let former = self.parent.replace(Parent::new(address));
-        self.is_at_source = false;
+        self.follows_source = false;
         if is_stale {
             self.stale_parent = former.map(|parent| parent.address);
         }
         self.search = None;
         self.candidates.forget_fresher();
-        self.search_not_before = now + SEARCH_PAUSE;
-        self.source.on_adopted(now);
+        self.search_not_before = now + SEARCH_INTERVAL;
+        self.source_pacing.on_adopted(now);
     }
 
-    /// A probed daemon can't be adopted: the next one is probed, if there is one.
-    fn end_probe(&mut self, now: TimeMs, peer: SocketAddr) {
+    /// Removes a probed daemon that can't be adopted; ends the search if it was the last one.
+    fn reject_probed(&mut self, now: TimeMs, peer: SocketAddr) {
         let Some(search) = &mut self.search else {
             return;
         };
         search.queue.retain(|address| *address != peer);
-        self.candidates.on_unfit(peer);
+        self.candidates.on_rejected(peer);
         if !search.queue.is_empty() {
             return;
         }
@@ -440,20 +456,20 @@
         if is_improvement {
             return;
         }
-        self.vain_searches += 1;
-        self.search_not_before = now + SEARCH_PAUSE;
+        self.failed_searches += 1;
+        self.search_not_before = now + SEARCH_INTERVAL;
         self.must_pause = true;
-        if self.vain_searches == 1 && !self.is_at_source {
-            self.source.on_detached(now, self.parent.is_some());
+        if self.failed_searches == 1 && !self.follows_source {
+            self.source_pacing.on_detached(now, self.parent.is_some());
         }
     }
 
-    /// Whether this daemon follows the source as long as that answers.
+    /// Returns whether this daemon follows the source while the source answers.
     pub fn is_seed(&self) -> bool {
-        self.is_seed || self.is_alone
+        self.is_seed || self.is_standalone
     }
 
-    /// Why this daemon asks the source, if it does so now.
+    /// Returns why this daemon polls the source, if it does so now.
     pub fn source_cause(&self) -> SourceCause {
         match (self.is_seed(), &self.parent) {
             (true, _) => SourceCause::Seed,
@@ -462,36 +478,37 @@
         }
     }
 
-    /// Whether a daemon with this source path follows this one, directly or not.
+    /// Returns whether a daemon with this source path follows this one, directly or not.
     pub fn leads_back(&self, path: &SourcePath) -> bool {
-        path.contains(self.own)
+        path.contains(self.own_address)
     }
 
-    /// The parent follows this daemon: both would follow nobody else. Whoever sends it on there would do
-    /// so again, until it has forgotten that follower.
+    /// Drops the parent because it follows this daemon: neither would follow any other daemon. A
+    /// daemon that redirected this one there would do so again until it has forgotten that
+    /// follower.
     pub fn on_circle(&mut self, now: TimeMs, peer: SocketAddr) {
         let Some(parent) = self.parent.take_if(|parent| parent.address == peer) else {
             return;
         };
         self.must_pause = true;
-        self.candidates.on_circle(now, parent.asked_first);
+        self.candidates.on_cycle(now, parent.first_polled);
     }
 
-    /// The parent answered, and doesn't follow this daemon.
+    /// Records a response of the parent, which doesn't follow this daemon.
     pub fn on_peer_answered(&mut self, now: TimeMs, peer: SocketAddr, report: &PeerReport) {
         self.seeds.on_answered(peer, &report.data_centre);
-        self.do_others_answer = true;
+        self.has_peer_answered = true;
         let Some(parent) = self.parent.as_mut().filter(|parent| parent.address == peer) else {
             return;
         };
         if let Some(redirect) = report.redirect {
             *parent = parent.redirected(redirect);
-            if parent.redirects > MAX_REDIRECTS || redirect == self.own {
+            if parent.redirects > MAX_REDIRECTS || redirect == self.own_address {
                 self.lose_parent(now);
             }
             return;
         }
-        self.must_ask_parent = false;
+        self.must_poll_parent = false;
         parent.on_records(report.path.clone());
         if report.path.reaches_source() {
             self.candidates.on_ancestors(report.path.daemons());
@@ -500,22 +517,22 @@
             self.candidates.on_siblings(&report.siblings);
         }
         if let Some(age) = report.proof_age {
-            self.prove(now, TimeMs(now.0.saturating_sub(age.0)));
+            self.record_proof(now, TimeMs(now.0.saturating_sub(age.0)));
         }
-        self.end_needless_search(now);
+        self.cancel_unneeded_search(now);
         self.look_for_better_parent(now, report);
     }
 
-    /// The parent is fresh again: nothing else is needed.
-    fn end_needless_search(&mut self, now: TimeMs) {
+    /// Ends a search for a fresher parent once this daemon is fresh again.
+    fn cancel_unneeded_search(&mut self, now: TimeMs) {
         let is_fresh = self.is_proof_younger(now, self.limits.adopt_below);
-        let is_needless = |search: &Search| is_fresh && !search.is_improvement;
-        if self.search.as_ref().is_some_and(is_needless) {
+        let is_unneeded = |search: &Search| is_fresh && !search.is_improvement;
+        if self.search.as_ref().is_some_and(is_unneeded) {
             self.search = None;
         }
     }
 
-    /// Another daemon did not answer.
+    /// Records that another daemon did not answer.
     pub fn on_peer_failed(&mut self, now: TimeMs, peer: SocketAddr) {
         self.seeds.on_failed(now, peer);
         if self.stale_parent == Some(peer) {
@@ -524,46 +541,48 @@
         if self.is_parent(peer) {
             return self.lose_parent(now);
         }
-        self.must_ask_parent = self.parent.is_some();
+        self.must_poll_parent = self.parent.is_some();
         if !self.is_locating(now) {
-            self.end_probe(now, peer);
+            self.reject_probed(now, peer);
         }
     }
 
-    /// The parent is gone. One that never answered is likely to be named again at once, unless the source is asked next.
+    /// Drops the parent. If it never answered, the source may be polled next: the same daemon is
+    /// likely to be found again at once.
     fn lose_parent(&mut self, now: TimeMs) {
         let lost = self.parent.take();
         let has_answered = lost.is_some_and(|parent| parent.has_answered);
         if !has_answered {
-            self.source.on_adoption_failed();
+            self.source_pacing.on_adoption_failed();
         }
-        self.must_pause = !has_answered && !self.is_orphaned_for_long(now);
+        self.must_pause = !has_answered && !self.is_orphaned_and_stale(now);
         self.search = None;
-        self.must_ask_parent = false;
-        self.do_others_answer = false;
+        self.must_poll_parent = false;
+        self.has_peer_answered = false;
     }
 
-    /// This daemon's configuration was the newest at `proved_at`.
-    fn prove(&mut self, now: TimeMs, proved_at: TimeMs) {
+    /// Records that this daemon's state was the newest at `proved_at`.
+    fn record_proof(&mut self, now: TimeMs, proved_at: TimeMs) {
         self.proved_at = self.proved_at.max(Some(proved_at));
         if self.is_proof_younger(now, self.limits.leave_from) {
-            self.vain_searches = 0;
+            self.failed_searches = 0;
         }
     }
 
-    /// Begins to look for a better parent where there may be one.
+    /// Starts a search for a better parent if there may be one.
     fn look_for_better_parent(&mut self, now: TimeMs, report: &PeerReport) {
         if self.search.is_some() || self.is_seed || now < self.improve_not_before {
             return;
         }
         let depth = report.path.depth() + 1;
-        // While another daemon stands in for the seeds, everyone is a little deeper for a while.
+        // While another daemon takes the place of the seeds, all daemons are a little deeper for a
+        // while.
         let root = report.path.daemons().last();
         let has_seed_as_root = root.is_none_or(|root| self.seeds.contains(*root));
         let is_deep =
             has_seed_as_root && self.fleet_size > 0 && depth > needed_depth(self.fleet_size);
         let is_remote = report.data_centre != self.own_data_centre;
-        let may_locate = is_remote && self.seeds.to_locate(now).is_some();
+        let may_locate = is_remote && self.seeds.next_unlocated(now).is_some();
         let best = if is_remote {
             self.seeds.local(now)
         } else {
@@ -574,7 +593,7 @@
         if queue.is_empty() && !may_locate {
             return;
         }
-        self.improve_not_before = now + IMPROVE_PAUSE;
+        self.improve_not_before = now + IMPROVE_INTERVAL;
         self.search = Some(Search {
             is_locating: may_locate,
             queue,
--- a/crates/gateway/tests/follow_tree.rs
+++ b/crates/gateway/tests/follow_tree.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_large_fleet_starts_as_a_shallow_tree_and_only_seeds_ask_the_source() {
+fn a_large_fleet_starts_as_a_shallow_tree_and_only_seeds_poll_the_source() {
     for seed in 0..5 {
         let mut fleet = large(seed);
         fleet.run(10_000);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn seeds_that_are_lost_one_by_one_are_replaced_by_the_others() {
+fn the_fleet_stays_fresh_while_its_seeds_are_lost_one_by_one() {
     for seed in 0..3 {
         let mut fleet = started(seed);
         for lost in 0..2 {
@@ -120,7 +120,7 @@
 
 /// trouble-1 of the large site: 215 daemons asked the source in one second though 88 were cut off.
 #[test]
-fn a_third_that_is_cut_off_from_the_rest_goes_on() {
+fn both_parts_of_a_partitioned_fleet_stay_fresh() {
     for seed in 0..3 {
         let mut fleet = started(seed);
         let from_s = fleet.now / 1_000;
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn daemons_that_are_cut_off_from_everyone_ask_the_source_themselves() {
+fn isolated_daemons_poll_the_source_themselves() {
     let mut fleet = started(1);
     for (number, at) in (10..40).enumerate() {
         fleet.group[at] = 1 + number as u32;
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_data_centre_without_a_seed_that_is_cut_off_goes_on_by_few_callers() {
+fn a_partitioned_data_centre_without_a_seed_stays_fresh_with_few_polls() {
     for seed in 0..3 {
         let mut fleet = started(seed);
         let from_s = fleet.now / 1_000;
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn everyone_killed_is_back_by_the_seeds() {
+fn after_a_restart_of_all_daemons_only_seeds_poll_the_source() {
     for seed in 0..3 {
         let mut fleet = started(seed);
         let all = fleet.all();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn daemons_that_were_frozen_find_their_place_again() {
+fn frozen_daemons_rejoin_the_tree() {
     for seed in 0..3 {
         let mut fleet = started(seed);
         let from_s = fleet.now / 1_000;
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn while_the_source_is_away_the_fleet_asks_it_seldom_and_is_fresh_soon_after() {
+fn an_outage_of_the_source_causes_few_polls_and_the_fleet_recovers_in_time() {
     for seed in 0..3 {
         let mut fleet = started(seed);
         let from_s = fleet.now / 1_000;
@@ -220,7 +220,7 @@
 
 /// The store refuses some VMs, all seeds among them: one that it answers is enough for all.
 #[test]
-fn what_the_source_tells_one_daemon_reaches_all() {
+fn a_state_that_one_daemon_reads_reaches_all() {
     for seed in 0..3 {
         let mut fleet = started(seed);
         let from_s = fleet.now / 1_000;
@@ -240,7 +240,7 @@
 /// apie-arena `hunt-63da-11`: the store turned all seeds away, others waited for them until their proofs
 /// were 2.8 s old, and a change was in force after 3 s where 2 are allowed.
 #[test]
-fn a_change_is_in_force_in_time_while_the_source_turns_all_seeds_away() {
+fn a_change_is_in_force_in_time_while_the_source_refuses_all_seeds() {
     let bound = DurationMs(2_000);
     for seed in 0..200 {
         let mut fleet = Fleet::with_bound(&[4, 2, 3], 3, seed, bound);
@@ -261,7 +261,7 @@
 /// answered, and one that had adopted a silent daemon had to wait before it could ask the source. Proof: on the code before,
 /// proofs were up to 5.9 s old here, and nearly all of it was spent on questions to silent daemons.
 #[test]
-fn a_change_is_in_force_in_time_while_nearly_half_of_the_daemons_stand_still() {
+fn a_change_is_in_force_in_time_while_nearly_half_of_the_daemons_are_frozen() {
     for seed in 0..100 {
         assert_in_force_in_time(29, seed);
     }
--- a/crates/gateway/tests/upstream.rs
+++ b/crates/gateway/tests/upstream.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn seeds_follow_the_source_and_so_does_who_knows_none() {
+fn seeds_and_daemons_without_seeds_follow_the_source() {
     assert_eq!(selector(2).select(LATER), Upstream::Source);
     let dc = || "dc-1".into();
     let mut alone = UpstreamSelector::new(TimeMs(0), dc(), None, &seeds(), limits());
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_seed_of_the_own_data_centre_is_found_and_kept() {
+fn a_seed_of_the_own_data_centre_becomes_the_parent_and_stays() {
     let mut selector = selector(9);
     let near = address(3);
     let mut probes = 0;
@@ -159,7 +159,7 @@
 
 /// It went to the source at once before; now to the other seeds, and only then to the source.
 #[test]
-fn a_seed_that_does_not_say_where_it_is_is_left_for_the_other_seeds() {
+fn a_seed_that_does_not_answer_is_skipped_for_the_other_seeds() {
     let mut selector = selector(9);
     let first = probed(selector.select(LATER));
     selector.on_peer_failed(LATER, first);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn who_is_sent_on_by_a_daemon_that_tells_nothing_else_goes_there() {
+fn a_redirect_without_a_proof_is_followed() {
     let mut selector = selector(9);
     let first = settle(&mut selector, LATER);
     let mut sent_on = report("dc-1", None);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn who_is_sent_on_goes_there_until_that_fails() {
+fn a_redirected_daemon_returns_to_its_first_parent_when_the_new_one_fails() {
     let mut selector = selector(9);
     let first = settle(&mut selector, LATER);
     let mut sent_on = report("dc-1", None);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn redirects_that_lead_nowhere_end() {
+fn a_chain_of_redirects_ends_after_a_limit() {
     let mut selector = selector(9);
     let mut asked = settle(&mut selector, LATER);
     let mut redirects = 0;
@@ -216,7 +216,7 @@
 
 /// Lost upstreams: the nearest ancestor first, then seeds; nobody asks the source while one is fresh.
 #[test]
-fn who_loses_its_parent_asks_its_ancestors_and_the_seeds_before_the_source() {
+fn an_orphan_probes_its_ancestors_and_the_seeds_before_the_source() {
     let (mut selector, parent) = settled(9, LATER);
     let mut below = report("dc-1", FRESH);
     below.path = path(&[31, 32]);
@@ -235,7 +235,7 @@
 
 /// A parent whose proof gets old is kept until a fresher one is found.
 #[test]
-fn a_stale_parent_is_left_for_a_fresher_daemon_and_told() {
+fn a_stale_parent_is_replaced_by_a_fresher_daemon_and_notified() {
     let (mut selector, parent) = settled(9, LATER);
     let limits = limits();
     let soon = LATER + DurationMs(limits.leave_from.0 - FRESH.unwrap().0 - 1);
@@ -256,7 +256,7 @@
 
 /// The large site: 116 to 295 daemons asked the source in the same second.
 #[test]
-fn daemons_that_hear_nothing_new_ask_the_source_in_turn() {
+fn daemons_with_stale_parents_spread_their_polls_of_the_source() {
     let mut moments = Vec::new();
     for own in 10..305 {
         let (mut selector, _) = settled(own, LATER);
@@ -286,7 +286,7 @@
 
 /// A daemon that reaches nobody else asks the source while its proof still lasts.
 #[test]
-fn an_isolated_daemon_asks_the_source_in_time() {
+fn an_isolated_daemon_polls_the_source_before_its_proof_expires() {
     for own in 10..60 {
         let (mut selector, _) = settled(own, LATER);
         selector.on_fleet_size(295);
@@ -314,7 +314,7 @@
 
 /// Who has asked the source goes back to the others as soon as one of them is fresh.
 #[test]
-fn who_asked_the_source_leaves_it_for_a_fresh_neighbour() {
+fn a_daemon_that_polled_the_source_returns_to_a_fresh_peer() {
     let (mut selector, parent) = settled(9, LATER);
     let waited = time_until_source(&mut selector, LATER, answer_stale);
     let now = LATER + waited;
@@ -335,7 +335,7 @@
 
 /// Two that both ask the source don't follow each other in turn.
 #[test]
-fn of_two_that_ask_the_source_the_larger_address_follows_the_other() {
+fn of_two_daemons_at_the_source_the_larger_address_follows_the_other() {
     for (own, follows) in [(9, false), (30, true)] {
         let (mut selector, _) = settled(own, LATER);
         let waited = time_until_source(&mut selector, LATER, answer_stale);
@@ -358,7 +358,7 @@
 
 /// The large site: whole data centres followed each other in circles of three and four.
 #[test]
-fn a_daemon_that_follows_this_one_is_no_parent() {
+fn a_daemon_that_follows_this_one_is_never_adopted() {
     let (mut selector, parent) = settled(9, LATER);
     let mut below = report("dc-1", FRESH);
     below.path = path(&[20, 9, 1]);
@@ -371,7 +371,7 @@
 
 /// A seed was sent on to its own followers sixty times in 0.2 s, and looked nowhere else.
 #[test]
-fn whoever_sends_a_daemon_on_to_its_own_follower_is_passed_over_for_a_while() {
+fn a_daemon_that_redirects_into_a_cycle_is_skipped_for_a_while() {
     for (waits_ms, is_asked) in [(0, false), (900, false), (1_000, true)] {
         let (mut selector, seed) = settled(9, LATER);
         let mut redirecting = report("dc-1", None);
@@ -397,7 +397,7 @@
 
 /// Those below the daemon left it, since it asked the source again only once its own proof was stale.
 #[test]
-fn a_daemon_that_stands_in_for_a_seed_asks_the_source_before_its_followers_leave() {
+fn a_substitute_root_polls_the_source_before_its_followers_leave() {
     let asked_at = LATER + DurationMs(5_000);
     let mut selector = root(9, asked_at);
     let waited = time_until_source(&mut selector, asked_at, |selector, now, upstream| {
@@ -437,7 +437,7 @@
 
 /// Seeds whose calls of the source hung took daemons in that the source had just answered.
 #[test]
-fn a_daemon_that_stands_in_for_a_seed_follows_only_what_is_newer() {
+fn a_substitute_root_adopts_only_a_daemon_with_a_newer_proof() {
     let asked_at = LATER + DurationMs(5_000);
     let later = asked_at + DurationMs(300);
     let mut selector = root(9, asked_at);
@@ -448,7 +448,7 @@
 
 /// Seeds kept waiting for the source until their followers left them: 29 in one moment.
 #[test]
-fn a_seed_takes_a_fresher_daemon_before_its_own_followers_leave() {
+fn a_seed_probes_a_fresher_daemon_before_its_followers_leave() {
     let proved_at = LATER;
     for (age, takes) in [
         (limits().adopt_below, true),
@@ -465,7 +465,7 @@
 
 /// Who waited for a stale parent's answer came late to its turn.
 #[test]
-fn a_question_to_a_stale_parent_is_given_up_for_the_turn_at_the_source() {
+fn a_poll_of_a_stale_parent_ends_at_the_slot_at_the_source() {
     let (mut selector, parent) = settled(9, LATER);
     assert_eq!(selector.source_turn(LATER), None, "the parent is well");
     let stale = LATER + DurationMs(limits().leave_from.0);
@@ -488,7 +488,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_too_deep_looks_for_a_better_place() {
+fn a_daemon_too_deep_below_the_best_seed_keeps_its_parent() {
     assert_eq!(needed_depth(295), 4);
     assert_eq!(needed_depth(1_000), 5);
     let (mut selector, parent) = settled(9, LATER);
@@ -506,7 +506,7 @@
 /// Seventy daemons left their parents in the same moment when the seeds followed another daemon for a
 /// while, and again when that was over.
 #[test]
-fn nobody_looks_for_a_better_place_while_another_daemon_stands_in_for_the_seeds() {
+fn no_daemon_searches_for_a_better_place_below_a_substitute_root() {
     for (root, looks) in [(1, true), (40, false)] {
         let (mut selector, seed) = settled(9, LATER);
         selector.on_fleet_size(295);
@@ -522,7 +522,7 @@
 }
 
 #[test]
-fn whom_the_source_turns_away_goes_to_the_others() {
+fn a_daemon_that_the_source_refuses_turns_to_its_peers() {
     let (mut child, first) = settled(9, LATER);
     child.on_peer_failed(LATER, first);
     let (_, last) = fail_probes(&mut child, LATER);
@@ -555,7 +555,7 @@
 }
 
 #[test]
-fn while_nobody_knows_anything_the_source_is_asked_seldom() {
+fn the_source_is_polled_rarely_while_every_daemon_is_stale() {
     let (mut child, _) = settled(9, LATER);
     let mut calls = 0;
     for step in 0..100 {
@@ -572,7 +572,7 @@
 }
 
 #[test]
-fn daemons_that_start_together_wait_for_each_other() {
+fn a_starting_daemon_waits_for_its_peers_before_it_polls_the_source() {
     let mut child = selector(9);
     for step in 0..8 {
         let now = TimeMs(step * 100);
@@ -594,7 +594,7 @@
 /// apie-arena `hunt-63da-11`: connections to the store fell silent for good; a change was in force 3 s
 /// after it, where 2 are allowed.
 #[test]
-fn a_seed_that_gets_no_answer_asks_again_at_once_and_for_an_answer_at_once() {
+fn a_seed_without_a_response_polls_again_at_once_without_waiting() {
     let mut seed = selector(2);
     assert_eq!(seed.select(LATER), Upstream::Source);
     seed.on_source_failed(LATER);
@@ -618,7 +618,7 @@
 
 /// Who waits for an answer doesn't look further.
 #[test]
-fn a_question_is_held_no_longer_than_the_proof_is_good_for() {
+fn a_poll_is_held_no_longer_than_the_proof_lasts() {
     let limits = limits();
     let aged = |age: u64| hold(false, Some(DurationMs(age)), limits).0;
     assert_eq!(aged(0), 600);
@@ -635,7 +635,7 @@
 
 /// What changed in an outage must soon be in force after it, also where daemons served on.
 #[test]
-fn a_seed_asks_a_source_that_is_away_every_second() {
+fn a_seed_polls_an_unavailable_source_every_second() {
     let mut seed = selector(2);
     let mut now = LATER;
     for _ in 0..5 {
@@ -673,7 +673,7 @@
 }
 
 #[test]
-fn a_tree_counts_those_that_ask_and_theirs() {
+fn a_subtree_counts_direct_and_indirect_followers() {
     let mut followers = Followers::new("dc-1".into());
     assert_eq!(tree(&followers, LATER).size, 1);
     for at in 0..4 {
@@ -698,7 +698,7 @@
 /// apie-arena-grown scale-2: while a seed was cut off, daemons that followed each other reported each
 /// other's work back, and counted 461 requests at an engine that had 10.
 #[test]
-fn daemons_that_follow_each_other_do_not_count_their_work_again_and_again() {
+fn work_is_not_counted_repeatedly_in_a_cycle() {
     let own = |running| {
         let mut work = WorkByEndpoint::default();
         let at_endpoint = Work {
@@ -736,7 +736,7 @@
 }
 
 #[test]
-fn followers_are_few_and_the_others_are_spread_over_them() {
+fn followers_are_limited_and_redirects_spread_over_them() {
     let mut followers = Followers::new("dc-1".into());
     let mut redirects = std::collections::BTreeMap::new();
     for at in 0..30 {
@@ -763,7 +763,7 @@
 }
 
 #[test]
-fn a_follower_that_asks_no_more_makes_room() {
+fn a_silent_follower_frees_its_place() {
     let mut followers = Followers::new("dc-1".into());
     for at in 0..8 {
         followers.place(
@@ -782,7 +782,7 @@
 }
 
 #[test]
-fn whom_a_daemon_follows_is_not_answered_by_it() {
+fn an_ancestor_is_refused_as_a_follower() {
     let mut followers = Followers::new("dc-1".into());
     let above = follower("vm-7", "dc-1", 7);
     let own_path = path(&[5, 7, 1]);
@@ -793,7 +793,7 @@
 
 /// A question that was held, or an answer that was long, is no silence of the follower.
 #[test]
-fn a_follower_lives_from_its_last_answer_on() {
+fn the_timeout_of_a_follower_starts_at_its_last_response() {
     let mut followers = Followers::new("dc-1".into());
     followers.place(LATER, follower("vm-1", "dc-1", 1), &SourcePath::direct());
     let answered = LATER + DurationMs(1_900);
@@ -803,7 +803,7 @@
 }
 
 #[test]
-fn a_daemon_is_sent_to_the_smallest_tree() {
+fn a_new_follower_is_redirected_to_the_smallest_subtree() {
     let mut followers = Followers::new("dc-1".into());
     for at in 0..8 {
         let mut known = follower(&format!("vm-{at}"), "dc-1", at);
