--- a/crates/gateway/src/decisions/duties/duty_state.rs
+++ b/crates/gateway/src/decisions/duties/duty_state.rs
@@ -1,9 +1,10 @@
 //! Duty state: what a holder leaves for its successor, under one key of the platform's store.
 //!
-//! Rule: usage is written here, under the condition that the holder's key is still its own, before
-//! the platform is told. A successor reads it in the write that makes it the holder, tells the same
-//! counts again (the platform ignores an exact repeat), and goes on with the next window. So two
-//! holders never tell different counts for one window, whatever the first one's calls came to.
+//! Rule: usage is written here, under the condition that the holder still owns the holder's key,
+//! before it is submitted to the platform. A successor reads it in the write that makes it the
+//! holder, submits the same counts again (the platform ignores an exact repeat), and continues with
+//! the next window. So two holders never submit different counts for one window, whether the first
+//! one's calls succeeded or not.
 //!
 //! Tests: `duties_usage.rs`, `duties_search.rs`.
 
@@ -13,11 +14,11 @@
 use bridgevane_types::ServiceName;
 use std::collections::BTreeMap;
 
-/// Windows whose counts are kept for a successor. Chosen because usage may be late by two of the
-/// users' windows: what is older needs no repeat.
+/// The number of windows whose counts are kept for a successor. Usage may be late by two windows of
+/// the usual width; older windows need no repeat.
 const KEPT_WINDOWS: usize = 4;
 
-/// The usage of one window, as the platform is told it.
+/// The usage of one window, as submitted to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WindowUsage {
     /// The window.
@@ -26,21 +27,21 @@
     pub counts: UsageCounts,
 }
 
-/// The state.
+/// The state that holders pass on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyState {
-    /// Who wrote it.
+    /// The process that wrote it.
     pub holder: DaemonLife,
-    /// The newest windows that are fixed, oldest first.
+    /// The newest windows with final counts, oldest first.
     pub told: Vec<WindowUsage>,
-    /// Daemons that took part in the newest of them.
+    /// The number of daemons that closed the newest of these windows.
     pub daemons: usize,
-    /// Engines that each service needs, in engines that aren't taken back.
+    /// The number of engines that each service needs, counted as permanent engines.
     pub needed_engines: BTreeMap<ServiceName, u32>,
 }
 
 impl DutyState {
-    /// The state of a first holder.
+    /// Returns the state of a first holder.
     pub fn first(holder: DaemonLife) -> Self {
         Self {
             holder,
@@ -50,12 +51,12 @@
         }
     }
 
-    /// The same state under another holder.
+    /// Returns the same state under another holder.
     pub fn taken_over(self, holder: DaemonLife) -> Self {
         Self { holder, ..self }
     }
 
-    /// The state with one more window fixed, in which so many daemons took part.
+    /// Returns the state with one more window, which this number of daemons closed.
     pub fn with_window(&self, usage: WindowUsage, daemons: usize) -> Self {
         let mut state = self.clone();
         state.told.push(usage);
@@ -65,14 +66,14 @@
         state
     }
 
-    /// The state with another number of engines that a service needs.
+    /// Returns the state with another number of engines that a service needs.
     pub fn with_needed_engines(&self, service: &ServiceName, engines: u32) -> Self {
         let mut state = self.clone();
         state.needed_engines.insert(service.clone(), engines);
         state
     }
 
-    /// The newest window that is fixed.
+    /// Returns the newest window with final counts.
     pub fn newest_window(&self) -> Option<UsageWindow> {
         self.told.last().map(|usage| usage.window)
     }
--- a/crates/gateway/src/decisions/duties/engine_orders.rs
+++ b/crates/gateway/src/decisions/duties/engine_orders.rs
@@ -1,20 +1,20 @@
-//! Engine orders: which order for engines is given next, so that what runs becomes what is planned.
+//! Engine orders: which order for engines is placed next, so that the planned engines run.
 //!
-//! Inputs: the plan, the engines that run, the orders of this tenure with their moments and
-//! outcomes, and the operator's limits.
+//! Inputs: the plan, the engines that run, the orders of this tenure with their times and outcomes,
+//! and the operator's limits.
 //!
 //! Rules:
-//! 1. Permanent engines are given up only where the reclaimable ones that take their place run
-//!    already: no order lowers what serves. While the fleet has no work at all, they are given up at
-//!    once: there is nobody to serve, and a fleet that starts pays for them twice meanwhile (0.03 of
-//!    a day's worth at the users' site). Before the need is settled nothing is ordered of the
-//!    permanent engines: there may be more of them than are seen, and any number could be fewer.
-//! 2. The platform's limit holds for both kinds together: reclaimable engines are ordered up to what
-//!    the permanent ones leave.
-//! 3. An order that hasn't brought its engines some time after they should have started is given
-//!    again: it may be lost, or its engines were taken back. One that the platform couldn't fill is
-//!    tried again after a pause, and its data centre counts as having none until then.
-//! 4. A new holder knows no orders and gives all of them once.
+//! 1. Permanent engines are given up only where the reclaimable ones that replace them already run:
+//!    no order lowers the capacity. While the fleet has no work at all, they are given up at once:
+//!    there are no requests to serve, and a starting fleet would pay for both kinds in the meantime
+//!    (0.03 of a day's worth). Before the need is settled no permanent engines are ordered: more of
+//!    them may run than are seen, and any number could be too low.
+//! 2. The platform's limit holds for both kinds together: reclaimable engines are ordered up to
+//!    what the permanent ones leave.
+//! 3. An order whose engines don't run some time after they should have started is placed again: it
+//!    may be lost, or its engines were reclaimed. One that the platform couldn't fill is retried
+//!    after a pause, and its data centre counts as having no reclaimable engines until then.
+//! 4. A new holder knows no orders and places all of them once.
 //!
 //! Tests: `duties_engines.rs`.
 
@@ -23,61 +23,61 @@
 use derive_more::Display;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after an engine should have started its order is given again. Not measured, chosen as
-/// three heartbeats of an engine: its record shows that it runs.
-const REPEAT_SLACK: DurationMs = DurationMs(3_600);
-/// The pause after an order that the platform couldn't fill. Not measured, chosen because engines
-/// that are taken back are so for some ten seconds, and a call costs little.
+/// How long after an engine should have started its order is placed again: three heartbeats of an
+/// engine, whose record shows that it runs.
+const REORDER_MARGIN: DurationMs = DurationMs(3_600);
+/// The pause after an order that the platform couldn't fill. Reclaimed engines are unavailable for
+/// some ten seconds, and a call costs little.
 const UNAVAILABLE_PAUSE: DurationMs = DurationMs(2_000);
 
-/// Where engines of which kind are ordered.
+/// The data centre and kind of ordered engines.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderKey {
     /// The data centre.
     pub data_centre: DataCentreId,
-    /// Their kind.
+    /// The kind of the engines.
     pub kind: EngineKind,
 }
 
-/// One order: so many engines of a kind in a data centre.
+/// An order for a number of engines of one kind in one data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// Where, and of which kind.
+    /// The data centre and kind.
     pub key: OrderKey,
-    /// How many.
+    /// The number of engines.
     pub count: u32,
 }
 
-/// What became of an order. The text is the outcome in logs.
+/// The outcome of an order. The text is the outcome in logs.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The platform took it.
+    /// The platform accepted it.
     #[display("taken")]
     Taken,
-    /// There are none of the kind at present.
+    /// No engines of the kind are available at present.
     #[display("unavailable")]
     Unavailable,
 }
 
-/// What the next order is made of.
+/// The inputs of the next order.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderInputs<'a> {
-    /// Now.
+    /// The current time.
     pub now: TimeMs,
     /// The engines that should run.
     pub planned: &'a EnginesByDataCentre,
-    /// Those that do.
+    /// The engines that run.
     pub running: &'a EnginesByDataCentre,
     /// The operator's limits.
     pub scaling: &'a EngineScaling,
-    /// Whether the need is settled that the plan is made for.
+    /// Whether the need behind the plan is settled.
     pub is_settled: bool,
     /// Whether the fleet has no work.
     pub is_idle: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct AnsweredOrder {
     count: u32,
     at: TimeMs,
     outcome: OrderOutcome,
@@ -86,58 +86,58 @@
 /// The orders of one service in one tenure.
 #[derive(Debug, Default)]
 pub struct OrderBook {
-    given: BTreeMap<OrderKey, Given>,
+    answered: BTreeMap<OrderKey, AnsweredOrder>,
 }
 
 impl OrderBook {
-    /// An order was answered.
+    /// Records the platform's response to an order.
     pub fn on_answered(&mut self, now: TimeMs, order: &EngineOrder, outcome: OrderOutcome) {
-        let given = Given {
+        let answered = AnsweredOrder {
             count: order.count,
             at: now,
             outcome,
         };
-        self.given.insert(order.key.clone(), given);
+        self.answered.insert(order.key.clone(), answered);
     }
 
-    /// Data centres that had no reclaimable engines to give when they were last asked.
+    /// Returns the data centres that had no reclaimable engines available at their last order.
     pub fn without_reclaimable(&self) -> BTreeSet<DataCentreId> {
         let unavailable = self
-            .given
+            .answered
             .iter()
-            .filter(|(_, given)| given.outcome == OrderOutcome::Unavailable);
+            .filter(|(_, answered)| answered.outcome == OrderOutcome::Unavailable);
         unavailable
             .map(|(key, _)| key.data_centre.clone())
             .collect()
     }
 
-    /// The next order; none: nothing is to be ordered now.
+    /// Returns the next order; `None` if no order is due.
     pub fn next(&self, inputs: &OrderInputs<'_>) -> Option<EngineOrder> {
         let orders = inputs.planned.iter().flat_map(|(data_centre, planned)| {
             let running = inputs.running.get(data_centre).copied();
-            self.orders_of(inputs, data_centre, *planned, running.unwrap_or_default())
+            self.wanted_orders(inputs, data_centre, *planned, running.unwrap_or_default())
         });
         let mut due = orders.filter(|wanted| self.is_due(inputs, wanted));
         due.next().map(|wanted| wanted.order)
     }
 
-    /// What a data centre should have ordered now, in the order of giving.
-    fn orders_of(
+    /// Returns the orders that should be in effect in a data centre now, in the order of placing.
+    fn wanted_orders(
         &self,
         inputs: &OrderInputs<'_>,
         data_centre: &DataCentreId,
         planned: EngineCounts,
         running: EngineCounts,
-    ) -> [Wanted; 2] {
+    ) -> [WantedOrder; 2] {
         let key = |kind| OrderKey {
             data_centre: data_centre.clone(),
             kind,
         };
         let permanent_now = self.ordered(&key(EngineKind::Permanent), running.permanent);
         let replaced = permanent_now.saturating_sub(planned.permanent);
-        let room = inputs.scaling.max.saturating_sub(permanent_now);
-        let reclaimable = planned.reclaimable.min(room);
-        // They take the place of the permanent ones as far as they run.
+        let available = inputs.scaling.max.saturating_sub(permanent_now);
+        let reclaimable = planned.reclaimable.min(available);
+        // Reclaimable engines replace permanent ones only as far as they run.
         let is_replaced = inputs.is_idle || running.reclaimable >= replaced.min(reclaimable);
         let may_give_up = inputs.is_settled && is_replaced;
         let permanent = if replaced > 0 && !may_give_up {
@@ -145,7 +145,7 @@
         } else {
             planned.permanent
         };
-        let wanted = |kind, count| Wanted {
+        let wanted = |kind, count| WantedOrder {
             running: running.of(kind),
             order: EngineOrder {
                 key: key(kind),
@@ -158,32 +158,34 @@
         ]
     }
 
-    /// The engines that were last ordered; those that run where none were.
+    /// Returns the number of engines last ordered; without an order, the number that run.
     fn ordered(&self, key: &OrderKey, running: u32) -> u32 {
-        self.given.get(key).map_or(running, |given| given.count)
+        self.answered
+            .get(key)
+            .map_or(running, |answered| answered.count)
     }
 
-    fn is_due(&self, inputs: &OrderInputs<'_>, wanted: &Wanted) -> bool {
+    fn is_due(&self, inputs: &OrderInputs<'_>, wanted: &WantedOrder) -> bool {
         let now = inputs.now;
         if wanted.order.key.kind == EngineKind::Permanent && !inputs.is_settled {
             return false;
         }
-        let Some(given) = self.given.get(&wanted.order.key) else {
-            // What runs as it is needs no order before the need is settled.
+        let Some(answered) = self.answered.get(&wanted.order.key) else {
+            // Running engines that match the plan need no order before the need is settled.
             return inputs.is_settled || wanted.order.count != wanted.running;
         };
-        if given.outcome == OrderOutcome::Unavailable {
-            return now >= given.at + UNAVAILABLE_PAUSE;
+        if answered.outcome == OrderOutcome::Unavailable {
+            return now >= answered.at + UNAVAILABLE_PAUSE;
         }
-        let should_run_at = given.at + inputs.scaling.boot_ms + REPEAT_SLACK;
+        let should_run_at = answered.at + inputs.scaling.boot_ms + REORDER_MARGIN;
         let is_overdue = wanted.running < wanted.order.count && now >= should_run_at;
-        given.count != wanted.order.count || is_overdue
+        answered.count != wanted.order.count || is_overdue
     }
 }
 
-/// An order that should stand, and what runs of its kind.
+/// An order that should be in effect, and the number of engines of its kind that run.
 #[derive(Clone, Debug)]
-struct Wanted {
+struct WantedOrder {
     running: u32,
     order: EngineOrder,
 }
--- a/crates/gateway/src/decisions/duties/mod.rs
+++ b/crates/gateway/src/decisions/duties/mod.rs
@@ -2,17 +2,17 @@
 //!
 //! | question | module |
 //! |---|---|
-//! | who may hold the duties, and until when may it act? | [`tenure`] |
-//! | to which window does a moment belong, and when is its usage due? | [`usage_window`] |
+//! | which daemon may hold the duties, and until when may it act? | [`tenure`] |
+//! | to which window does a time belong, and when is its usage due? | [`usage_window`] |
 //! | does a run count as usage, and from when? | [`usage_start`] |
-//! | how many requests did the fleet begin in a window, and are all counted? | [`usage_collection`] |
+//! | how many requests did the fleet start in a window, and are all counted? | [`usage_collection`] |
 //! | what does a successor need to know? | [`duty_state`] |
 //! | how many engines does a service need? | [`engine_need`] |
-//! | how many of which kind should run where? | [`engine_plan`] |
-//! | which order is given next? | [`engine_orders`] |
+//! | how many engines of which kind should run in each data centre? | [`engine_plan`] |
+//! | which order is placed next? | [`engine_orders`] |
 //!
-//! Nothing is agreed on among daemons: the platform's store decides who holds the duties, by a key
-//! under a lease (docs/design/16).
+//! Daemons agree on nothing among themselves: the platform's store decides which one holds the
+//! duties, by a key under a lease (docs/design/16).
 
 pub mod duty_state;
 pub mod engine_need;
--- a/crates/gateway/src/decisions/duties/usage_collection.rs
+++ b/crates/gateway/src/decisions/duties/usage_collection.rs
@@ -1,16 +1,16 @@
-//! Usage collection: what the holder of the duties has heard of all daemons' counts.
+//! Usage collection: the counts of all daemons as reported to the holder of the duties.
 //!
-//! Inputs: daemons' reports (who, in which life of its process, which windows it has closed, its
-//! counts by window) and the moments at which they came.
+//! Inputs: daemons' reports (the daemon and its incarnation, the windows that it has closed, its
+//! counts by window) and the times at which they arrived.
 //!
 //! Rules:
-//! 1. Counts are kept by daemon and life; of two reports the larger count of each customer stays.
-//!    So a report may come again, late, or after a newer one.
-//! 2. A window is complete when every daemon that was heard lately has closed it, and no fewer
-//!    daemons than took part in the last window that was told. A daemon that is cut off is waited
-//!    for, as long as the window's time allows ([`super::usage_window`]); one that is silent for
-//!    `EXPECTED_FOR`, or that has a later life, isn't. Nothing is complete before the holder has
-//!    collected for `COLLECTED_AFTER`: it doesn't know yet who is there.
+//! 1. Counts are kept by daemon and incarnation; of two reports the larger count of each customer
+//!    is kept. So a report may arrive again, late, or after a newer one.
+//! 2. A window is complete when every daemon that reported recently has closed it, and no fewer
+//!    daemons than for the last submitted window. A partitioned daemon is awaited as long as the
+//!    window's deadline allows ([`super::usage_window`]); one that is silent for `DAEMON_TTL`, or
+//!    that has a newer incarnation, isn't. No window is complete before the holder has collected
+//!    for `MIN_COLLECTION_TIME`: until then it doesn't know all daemons.
 //!
 //! Tests: `duties_usage.rs`.
 
@@ -19,16 +19,16 @@
 use bridgevane_types::{DurationMs, Incarnation, TimeMs, VmId};
 use std::collections::BTreeMap;
 
-/// How long a silent daemon is waited for. Not measured, chosen as half as long again as usage may
-/// be late: whoever is silent for longer can't tell anything in time.
-const EXPECTED_FOR: DurationMs = DurationMs(15_000);
+/// How long a silent daemon is awaited: one and a half times as long as usage may be late. A daemon
+/// that is silent for longer can't report any usage in time.
+const DAEMON_TTL: DurationMs = DurationMs(15_000);
 
-/// How long a new holder collects before any window is complete. Not measured by itself, chosen
-/// because daemons hear of a holder within some two seconds and report each second; with none, the
-/// first windows of a fleet that starts were told without most of it.
-const COLLECTED_AFTER: DurationMs = DurationMs(3_500);
+/// How long a new holder collects before any window is complete. Daemons learn of a holder within
+/// some two seconds and report each second; without this delay, the first windows of a starting
+/// fleet were submitted without most of its counts.
+const MIN_COLLECTION_TIME: DurationMs = DurationMs(3_500);
 
-/// One life of a daemon's process.
+/// One incarnation of a daemon's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DaemonLife {
     /// Its VM.
@@ -37,88 +37,90 @@
     pub incarnation: Incarnation,
 }
 
-/// What a daemon reports of its usage.
+/// A daemon's report of its usage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
-    /// Who reports.
+    /// The reporting daemon.
     pub daemon: DaemonLife,
     /// Every window before this one is closed: its counts are final.
     pub first_open: UsageWindow,
-    /// Counts by window.
+    /// The counts by window.
     pub windows: Vec<(UsageWindow, UsageCounts)>,
 }
 
 #[derive(Debug)]
-struct KnownDaemon {
-    heard_at: TimeMs,
+struct DaemonUsage {
+    last_report_at: TimeMs,
     first_open: UsageWindow,
     windows: BTreeMap<UsageWindow, UsageCounts>,
 }
 
-/// What is known of all daemons' usage.
+/// The reported usage of all daemons.
 #[derive(Debug)]
 pub struct UsageCollection {
-    by_daemon: BTreeMap<DaemonLife, KnownDaemon>,
-    /// When the holder began.
-    began_at: TimeMs,
-    /// Daemons that took part in the last window that was told before.
-    daemons_before: usize,
+    by_daemon: BTreeMap<DaemonLife, DaemonUsage>,
+    /// When the holder started to collect.
+    started_at: TimeMs,
+    /// The number of daemons that closed the last submitted window.
+    expected_daemons: usize,
 }
 
 impl UsageCollection {
-    /// A collection of a holder that begins at `now`, where `daemons` took part in the last window.
+    /// Creates the collection of a holder that starts at `now`, where `daemons` closed the last
+    /// submitted window.
     pub fn new(now: TimeMs, daemons: usize) -> Self {
         Self {
             by_daemon: BTreeMap::new(),
-            began_at: now,
-            daemons_before: daemons,
+            started_at: now,
+            expected_daemons: daemons,
         }
     }
 
-    /// A daemon reports.
+    /// Records a daemon's report.
     pub fn on_report(&mut self, now: TimeMs, report: UsageReport) {
-        let known = self.by_daemon.entry(report.daemon).or_insert(KnownDaemon {
-            heard_at: now,
+        let known = self.by_daemon.entry(report.daemon).or_insert(DaemonUsage {
+            last_report_at: now,
             first_open: report.first_open,
             windows: BTreeMap::new(),
         });
-        known.heard_at = now;
+        known.last_report_at = now;
         known.first_open = known.first_open.max(report.first_open);
         for (window, counts) in report.windows {
-            known.windows.entry(window).or_default().raise_to(&counts);
+            known.windows.entry(window).or_default().merge_max(&counts);
         }
     }
 
-    /// How many daemons have closed a window.
+    /// Returns how many daemons have closed a window.
     pub fn daemons_closed(&self, window: UsageWindow) -> usize {
         let known = self.by_daemon.values();
         known.filter(|known| known.first_open > window).count()
     }
 
-    /// Whether every daemon that is expected has closed a window.
+    /// Returns whether every daemon that is awaited has closed a window.
     pub fn is_complete(&self, now: TimeMs, window: UsageWindow) -> bool {
-        let held_for = now.since(self.began_at);
-        if held_for < COLLECTED_AFTER {
+        let collecting_for = now.since(self.started_at);
+        if collecting_for < MIN_COLLECTION_TIME {
             return false;
         }
-        let is_missing = |(daemon, known): (&DaemonLife, &KnownDaemon)| {
-            known.first_open <= window && self.is_expected(now, daemon, known)
+        let is_missing = |(daemon, known): (&DaemonLife, &DaemonUsage)| {
+            known.first_open <= window && self.is_awaited(now, daemon, known)
         };
         if self.by_daemon.iter().any(is_missing) {
             return false;
         }
-        let is_new = held_for < EXPECTED_FOR;
-        !is_new || self.daemons_closed(window) >= self.daemons_before
+        let is_new_holder = collecting_for < DAEMON_TTL;
+        !is_new_holder || self.daemons_closed(window) >= self.expected_daemons
     }
 
-    fn is_expected(&self, now: TimeMs, daemon: &DaemonLife, known: &KnownDaemon) -> bool {
-        let is_later_life = |(other, later): (&DaemonLife, &KnownDaemon)| {
-            other.vm == daemon.vm && other != daemon && later.heard_at >= known.heard_at
+    fn is_awaited(&self, now: TimeMs, daemon: &DaemonLife, known: &DaemonUsage) -> bool {
+        let is_newer_incarnation = |(other, newer): (&DaemonLife, &DaemonUsage)| {
+            other.vm == daemon.vm && other != daemon && newer.last_report_at >= known.last_report_at
         };
-        now.since(known.heard_at) < EXPECTED_FOR && !self.by_daemon.iter().any(is_later_life)
+        now.since(known.last_report_at) < DAEMON_TTL
+            && !self.by_daemon.iter().any(is_newer_incarnation)
     }
 
-    /// The counts of a window, over all daemons.
+    /// Returns the counts of a window, over all daemons.
     pub fn total(&self, window: UsageWindow) -> UsageCounts {
         let mut total = UsageCounts::default();
         for known in self.by_daemon.values() {
@@ -129,18 +131,18 @@
         total
     }
 
-    /// Whether nobody has counted a request in this window or a later one.
+    /// Returns whether no daemon has counted a request in this window or a later one.
     pub fn is_idle_since(&self, first: UsageWindow) -> bool {
         let known = self.by_daemon.values();
         let mut counts = known.flat_map(|known| known.windows.range(first..));
         counts.all(|(_, counts)| counts.is_empty())
     }
 
-    /// Forgets the windows before `first`, and daemons that are silent and have no others.
+    /// Drops the windows before `first`, and silent daemons without any others.
     pub fn forget_before(&mut self, now: TimeMs, first: UsageWindow) {
         self.by_daemon.retain(|_, known| {
             known.windows = known.windows.split_off(&first);
-            now.since(known.heard_at) < EXPECTED_FOR || !known.windows.is_empty()
+            now.since(known.last_report_at) < DAEMON_TTL || !known.windows.is_empty()
         });
     }
 }
--- a/crates/gateway/src/decisions/duties/usage_ledger.rs
+++ b/crates/gateway/src/decisions/duties/usage_ledger.rs
@@ -1,24 +1,25 @@
-//! Usage ledger: the requests that one daemon saw begin, by window, since its process started.
+//! Usage ledger: the requests that one daemon saw start, by window, since its process started.
 //!
-//! Owns the newest windows only. Counts of a window never fall, so that they may be told again,
-//! late and by another way without being counted twice: whoever collects them keeps the larger
-//! ([`super::usage_collection`]). What a daemon counted since it was last heard is lost with it.
+//! Owns the newest windows only. Counts of a window never fall, so they may be reported again, late
+//! and through another daemon without being counted twice: the collecting holder keeps the larger
+//! one ([`super::usage_collection`]). The counts since a daemon's last report are lost if it is
+//! killed.
 
 use super::usage_counts::UsageCounts;
 use super::usage_window::{UsageCalendar, UsageWindow};
 use bridgevane_types::{CustomerId, WallTimeMs};
 use std::collections::BTreeMap;
 
-/// Windows are remembered for so many times as long as they may be told in time. Not measured, chosen
-/// because a holder may be away for several times that, and late usage is better than none.
-const REMEMBERED_TIMES: u64 = 3;
+/// Windows are kept for this many times the period in which they can be submitted in time. A holder
+/// may be absent for several such periods, and late usage is better than none.
+const RETENTION_FACTOR: u64 = 3;
 
-/// How many of the newest windows are remembered.
+/// Returns how many of the newest windows are kept.
 pub fn remembered_windows(calendar: UsageCalendar) -> u64 {
-    calendar.timely_windows() * REMEMBERED_TIMES
+    calendar.timely_windows() * RETENTION_FACTOR
 }
 
-/// One daemon's counts.
+/// The counts of one daemon.
 #[derive(Debug)]
 pub struct UsageLedger {
     calendar: UsageCalendar,
@@ -26,7 +27,7 @@
 }
 
 impl UsageLedger {
-    /// No counts yet.
+    /// Creates an empty ledger.
     pub fn new(calendar: UsageCalendar) -> Self {
         Self {
             calendar,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// A request of a customer began at a moment.
+    /// Counts a request of a customer that started at the given time.
     pub fn count(&mut self, at: WallTimeMs, customer: &CustomerId) {
         let window = self.calendar.window_at(at);
         self.windows.entry(window).or_default().count(customer);
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The windows from `first` on that have counts.
+    /// Returns the windows with counts, from `first` on.
     pub fn windows_from(
         &self,
         first: UsageWindow,
--- a/crates/gateway/tests/duties_engines.rs
+++ b/crates/gateway/tests/duties_engines.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn reclaimable_engines_carry_the_need_without_any_one_data_centre() {
+fn reclaimable_engines_cover_the_need_after_the_loss_of_one_data_centre() {
     let scaling = scaling(40, Some(0.15));
     for needed in 1..=60 {
         let planned = planned(needed, &scaling, &[]);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn where_two_data_centres_have_none_permanent_engines_make_up_for_them() {
+fn permanent_engines_replace_unavailable_reclaimable_ones() {
     let scaling = scaling(40, Some(0.15));
     let one = planned(60, &scaling, &["curepipe"]);
     assert_eq!(one, everywhere(1, 39));
@@ -77,14 +77,14 @@
 }
 
 #[test]
-fn without_reclaimable_engines_the_permanent_ones_stay_as_they_are() {
+fn without_cheaper_reclaimable_engines_permanent_ones_cover_the_need() {
     assert_eq!(planned(60, &scaling(40, None), &[]), everywhere(20, 0));
     // One that costs as much buys nothing.
     assert_eq!(planned(60, &scaling(40, Some(1.0)), &[]), everywhere(20, 0));
 }
 
 #[test]
-fn no_plan_leaves_the_limits_of_both_kinds_together() {
+fn every_plan_respects_the_limits_for_both_kinds_together() {
     for max in 1..50 {
         for needed in [0, 1, 7, 60, 400] {
             for without in [&[][..], &DATA_CENTRES[..1], &DATA_CENTRES[..]] {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn in_one_data_centre_there_is_no_other_to_rely_on() {
+fn a_single_data_centre_covers_the_whole_need() {
     let scaling = EngineScaling {
         price_by_data_centre: [("curepipe".into(), 1.0)].into(),
         ..scaling(400, Some(0.15))
@@ -125,7 +125,7 @@
 /// A fleet that starts: 60 engines, whose records come one after the other. Read at once, the need
 /// came to 3, and all other engines were given up.
 #[test]
-fn the_need_is_settled_when_no_more_engines_appear() {
+fn the_need_is_settled_once_the_engine_count_is_stable() {
     let mut learned = EngineNeed::default();
     assert_eq!(learned.observe(START, 0, 0), need(0, false));
     let later = START + DurationMs(9_000);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn engines_are_replaced_without_ever_fewer_than_before() {
+fn engines_are_replaced_without_a_loss_of_capacity() {
     let (fewest, done_after, running) = replace_engines(false);
     assert_eq!(fewest, 60);
     assert_eq!(running, everywhere(1, 39));
@@ -219,7 +219,7 @@
 
 /// A fleet that starts pays for both kinds until the first are given up.
 #[test]
-fn without_any_work_engines_are_given_up_as_soon_as_the_need_is_settled() {
+fn an_idle_fleet_gives_up_engines_as_soon_as_the_need_is_settled() {
     let (fewest, done_after, running) = replace_engines(true);
     assert!(fewest < 60, "{fewest}");
     assert_eq!(running, everywhere(1, 39));
@@ -229,7 +229,7 @@
 /// A holder that sees none of the engines yet ordered one in each data centre, and the platform gave
 /// up the other 57.
 #[test]
-fn before_the_need_is_settled_no_permanent_engines_are_ordered() {
+fn no_permanent_engines_are_ordered_before_the_need_is_settled() {
     let scaling = scaling(40, Some(0.15));
     for seen in [0, 1, 7, 19] {
         let running = everywhere(seen, 0);
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn nothing_is_ordered_while_all_runs_as_planned() {
+fn no_order_is_placed_while_all_engines_run_as_planned() {
     let scaling = scaling(40, Some(0.15));
     let book = settled_book();
     let plan = everywhere(1, 39);
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn engines_that_were_taken_back_or_never_came_are_ordered_again() {
+fn reclaimed_and_missing_engines_are_ordered_again() {
     let scaling = scaling(40, Some(0.15));
     let book = settled_book();
     let plan = everywhere(1, 39);
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn an_order_that_could_not_be_filled_is_tried_again_after_a_pause_and_remembered() {
+fn an_order_that_could_not_be_filled_is_retried_after_a_pause() {
     let scaling = scaling(40, Some(0.15));
     let mut book = settled_book();
     let plan = everywhere(1, 39);
--- a/crates/gateway/tests/duties_search.rs
+++ b/crates/gateway/tests/duties_search.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn one_daemon_tells_every_window_once_and_soon() {
+fn every_window_is_submitted_exactly_once() {
     on_virtual_clock(async {
         let world = World::new();
         let _daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start(&world, vm, 0));
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_killed_holder_is_followed_in_time_for_the_window_that_is_due() {
+fn a_killed_holder_is_replaced_in_time_for_the_window_that_is_due() {
     on_virtual_clock(async {
         for life in 0..20 {
             let world = World::new();
@@ -147,7 +147,7 @@
 
 /// The store ends the holder's lease early while it is silent; the holder believes in it.
 #[test]
-fn a_lease_that_ends_early_lets_no_two_daemons_act_in_turn() {
+fn a_lease_that_ends_early_never_lets_two_holders_interleave() {
     on_virtual_clock(async {
         for step in 0..30 {
             let world = World::new();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn who_cannot_reach_the_platform_leaves_the_duties_to_another() {
+fn a_holder_that_cannot_reach_the_platform_is_replaced() {
     on_virtual_clock(async {
         let world = World::new();
         let _daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start(&world, vm, 0));
@@ -192,7 +192,7 @@
 /// A VM that is suspended doesn't see time pass on its steady clock: when it wakes, its lease is over, a
 /// successor acts, and it must know.
 #[test]
-fn a_holder_that_wakes_from_a_suspension_acts_no_more() {
+fn a_holder_that_resumes_from_a_suspension_acts_no_more() {
     on_virtual_clock(async {
         for step in 0..20 {
             let world = World::new();
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn no_order_of_faults_breaks_a_rule_and_usage_is_told_again_after_them() {
+fn no_order_of_faults_breaks_a_rule_and_usage_is_submitted_again_after_them() {
     let asked = std::env::var("DUTY_SEEDS").ok();
     let seeds = asked.map_or(SEEDS, |seeds| seeds.parse().expect("a number of seeds"));
     for seed in 0..seeds {
--- a/crates/gateway/tests/duties_tenure.rs
+++ b/crates/gateway/tests/duties_tenure.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_first_holder_and_one_that_held_the_duties_before_act_at_once() {
+fn a_first_or_returning_holder_acts_at_once() {
     for predecessor in [Predecessor::Nobody, Predecessor::Itself] {
         assert!(tenure(predecessor).may_act(TimeMs(10_050), CALL));
     }
@@ -27,7 +27,7 @@
 
 /// The store may have ended the earlier lease early, so that its holder still believes in it.
 #[test]
-fn a_successor_waits_until_every_earlier_holder_s_time_is_over() {
+fn a_successor_waits_until_every_earlier_lease_has_expired() {
     let mut successor = tenure(Predecessor::Another);
     successor.on_renewed(TimeMs(12_900));
     assert!(!successor.may_act(TimeMs(13_049), CALL));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_holder_counts_its_lease_from_the_call_and_begins_none_that_may_outlast_it() {
+fn a_lease_counts_from_the_sent_call_and_no_call_may_outlast_it() {
     let mut holder = tenure(Predecessor::Nobody);
     // Nine tenths of the lease, from the moment when it was asked for.
     assert!(holder.may_act(TimeMs(11_700), CALL));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_tenure_that_has_ended_allows_nothing_though_its_lease_would_last() {
+fn an_ended_tenure_allows_no_calls() {
     let mut holder = tenure(Predecessor::Nobody);
     holder.end();
     assert!(!holder.may_act(TimeMs(10_100), DurationMs(0)));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_last_holder_stands_before_the_seeds_and_these_before_others() {
+fn candidates_start_in_the_order_last_holder_seeds_others() {
     let places = [
         StandingPlace::LastHolder,
         StandingPlace::Seed(0),
--- a/crates/gateway/tests/duties_usage.rs
+++ b/crates/gateway/tests/duties_usage.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_request_counts_in_the_window_of_its_moment() {
+fn a_request_counts_in_the_window_of_its_start() {
     let mut ledger = UsageLedger::new(CALENDAR);
     let customer = CustomerId::from("c");
     for at_ms in [49_999, 50_000, 54_999, 55_000] {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_ledger_remembers_the_newest_windows_only() {
+fn a_ledger_keeps_only_the_newest_windows() {
     let mut ledger = UsageLedger::new(CALENDAR);
     let customer = CustomerId::from("c");
     for window in 0..100 {
@@ -73,7 +73,7 @@
 
 /// Windows of a second were lost with their holder, while reports went back four of any width.
 #[test]
-fn all_windows_that_may_still_be_told_in_time_are_reported_again() {
+fn reports_cover_every_window_that_can_still_be_submitted_in_time() {
     assert_eq!(CALENDAR.timely_windows(), 4);
     let short = UsageCalendar {
         width_ms: DurationMs(1_000),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_window_is_told_when_all_have_closed_it_and_at_the_latest_before_it_counts_as_missing() {
+fn a_window_is_due_when_complete_or_shortly_before_it_counts_as_missing() {
     let due = |now_ms, is_complete| CALENDAR.due(WallTimeMs(now_ms), WINDOW, is_complete);
     assert_eq!(due(55_500, true), UsageDue::At(WallTimeMs(56_000)));
     assert_eq!(due(56_000, true), UsageDue::Now);
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn a_daemon_closes_a_window_when_its_plain_requests_are_answered() {
+fn a_window_closes_one_second_after_its_end() {
     assert_eq!(CALENDAR.first_open_at(WallTimeMs(55_999)), WINDOW);
     assert_eq!(CALENDAR.first_open_at(WallTimeMs(56_000)), WINDOW.next());
 }
 
 #[test]
-fn a_report_that_comes_again_or_late_or_out_of_order_counts_once() {
+fn repeated_late_and_reordered_reports_count_once() {
     let mut collection = UsageCollection::new(BEGAN, 0);
     let one = life("vm-1", 1);
     for entries in [
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_a_life_counted_that_has_ended_is_added_to_what_the_next_one_counts() {
+fn counts_of_successive_incarnations_add_up() {
     let mut collection = UsageCollection::new(BEGAN, 0);
     collection.on_report(NOW, report(life("vm-1", 1), 10, &[("a", 3)]));
     collection.on_report(
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_cut_off_is_waited_for_but_not_for_ever() {
+fn a_partitioned_daemon_is_awaited_for_a_limited_time() {
     let mut collection = UsageCollection::new(BEGAN, 0);
     collection.on_report(NOW, report(life("vm-1", 1), 11, &[("a", 3)]));
     collection.on_report(NOW, report(life("vm-2", 1), 10, &[("a", 3)]));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_new_holder_expects_as_many_daemons_as_took_part_before() {
+fn a_new_holder_awaits_as_many_daemons_as_closed_the_last_window() {
     let mut collection = UsageCollection::new(BEGAN, 2);
     assert!(!collection.is_complete(NOW, WINDOW));
     collection.on_report(NOW, report(life("vm-1", 1), 11, &[("a", 3)]));
@@ -147,7 +147,7 @@
 
 /// The first windows of a fleet that starts were told without most of it.
 #[test]
-fn a_holder_that_has_just_begun_waits_for_daemons_that_it_does_not_know_yet() {
+fn a_new_holder_collects_for_some_seconds_before_a_window_is_complete() {
     let mut collection = UsageCollection::new(NOW, 0);
     collection.on_report(NOW, report(life("vm-1", 1), 11, &[("a", 3)]));
     assert!(!collection.is_complete(NOW + DurationMs(3_499), WINDOW));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_daemon_that_has_stopped_has_closed_every_window() {
+fn a_stopped_daemon_has_closed_every_window() {
     let mut collection = UsageCollection::new(BEGAN, 0);
     collection.on_report(NOW, report(life("vm-1", 1), u64::MAX, &[("a", 3)]));
     assert!(collection.is_complete(NOW, WINDOW));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn what_was_told_is_forgotten_and_what_comes_after_is_kept() {
+fn submitted_windows_are_dropped_and_newer_ones_kept() {
     let mut collection = UsageCollection::new(BEGAN, 0);
     let mut both = report(life("vm-1", 1), 11, &[("a", 3)]);
     both.windows.push((WINDOW.next(), counts(&[("a", 1)])));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_successor_gets_the_newest_windows_and_who_took_part() {
+fn a_successor_inherits_the_newest_windows_and_the_daemon_count() {
     let mut state = DutyState::first(life("vm-1", 1));
     for window in 0..10 {
         let usage = WindowUsage {
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_plain_request_counts_from_when_it_was_sent_whatever_became_of_it() {
+fn a_plain_request_counts_from_when_it_was_sent_with_any_result() {
     for run in [
         Run::Answered(StatusCode::OK),
         Run::Answered(StatusCode::INTERNAL_SERVER_ERROR),
@@ -212,13 +212,13 @@
 }
 
 #[test]
-fn a_prompt_counts_with_its_first_token_and_not_with_its_head() {
+fn a_prompt_counts_with_its_first_token_not_its_response_head() {
     assert_eq!(began(false, Run::Answered(StatusCode::OK)), None);
 }
 
 /// Where engines failed 0.45 of their requests, windows were 0.27 too low without these.
 #[test]
-fn a_prompt_that_its_engine_failed_has_begun() {
+fn a_prompt_answered_with_a_server_error_has_started() {
     let run = Run::Answered(StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(began(false, run), Some(Began::Now));
 }
@@ -227,7 +227,7 @@
 /// answers are lost break them when a run has begun: windows were 0.30 too low. Engines that say
 /// nothing hold on to what they run: 0.10 too low.
 #[test]
-fn a_prompt_without_an_answer_has_begun_if_there_was_time_for_its_first_token() {
+fn a_prompt_without_a_response_has_started_if_its_first_token_was_possible() {
     for error in [
         AttemptError::Broken,
         AttemptError::TimedOut,
