--- a/crates/gateway/benches/follow_tree.rs
+++ b/crates/gateway/benches/follow_tree.rs
@@ -1,8 +1,9 @@
-//! How the tree of daemons that follow each other holds at the size of a fleet, on a virtual clock: time until
-//! all are fresh after a start and after all were killed, the oldest proof through trouble, calls of the source.
+//! Behaviour of the tree of daemons at the size of a fleet, on a virtual clock: time until all are
+//! fresh after a start and after all were killed, the oldest proof during faults, polls of the
+//! source.
 //!
-//! `cargo bench -p bridgevane-gateway --bench follow_tree` prints the table of docs/CAPACITY.md. States cost no
-//! time here: what they take is in `fleet_state`.
+//! `cargo bench -p bridgevane-gateway --bench follow_tree` prints the table of docs/CAPACITY.md.
+//! Reading states takes no time here; the benchmark `fleet_state` measures that.
 #![allow(missing_docs)]
 
 #[path = "../tests/support/tree_sim/mod.rs"]
@@ -11,38 +12,38 @@
 
 use tree_sim::{Fleet, PROOF_LIFETIME};
 
-/// Daemons, in five data centres.
+/// The number of daemons, in five data centres.
 const SIZES: [usize; 3] = [300, 985, 1_970];
 const SEEDS: usize = 3;
-const LOOK_EVERY_MS: u64 = 50;
-/// The longest that is waited for a fleet to be fresh.
-const PATIENCE_MS: u64 = 60_000;
+const SAMPLE_INTERVAL_MS: u64 = 50;
+/// The longest wait for a fleet to be fresh.
+const MAX_WAIT_MS: u64 = 60_000;
 
 fn fleet(daemons: usize, seed: u64) -> Fleet {
     Fleet::new(&[daemons / 5; 5], SEEDS, seed)
 }
 
-/// How long it takes until all daemons are fresh; the patience when they aren't.
+/// Returns the time until all daemons are fresh, or [`MAX_WAIT_MS`] if they aren't by then.
 fn until_fresh_ms(fleet: &mut Fleet) -> u64 {
     let all = fleet.all();
-    let began = fleet.now;
-    while fleet.now - began < PATIENCE_MS {
-        fleet.run(LOOK_EVERY_MS);
+    let started_at = fleet.now;
+    while fleet.now - started_at < MAX_WAIT_MS {
+        fleet.run(SAMPLE_INTERVAL_MS);
         let oldest = fleet.oldest_proof(&all);
         if oldest.is_some_and(|age_ms| age_ms < PROOF_LIFETIME.0) {
             break;
         }
     }
-    fleet.now - began
+    fleet.now - started_at
 }
 
-/// The oldest proof that any of some daemons had in a while.
-fn oldest_during_ms(fleet: &mut Fleet, daemons: &[usize], for_ms: u64) -> u64 {
-    let looks = (0..for_ms / LOOK_EVERY_MS).map(|_| {
-        fleet.run(LOOK_EVERY_MS);
+/// Returns the oldest proof that any of these daemons had in this time.
+fn oldest_proof_during_ms(fleet: &mut Fleet, daemons: &[usize], for_ms: u64) -> u64 {
+    let samples = (0..for_ms / SAMPLE_INTERVAL_MS).map(|_| {
+        fleet.run(SAMPLE_INTERVAL_MS);
         fleet.oldest_proof(daemons).unwrap_or(u64::MAX)
     });
-    looks.max().unwrap_or(0)
+    samples.max().unwrap_or(0)
 }
 
 fn main() {
@@ -63,30 +64,30 @@
     let start_ms = until_fresh_ms(&mut fleet);
     fleet.run(10_000);
     let all = fleet.all();
-    let calls_before = fleet.source_calls.len();
-    let calm_ms = oldest_during_ms(&mut fleet, &all, 10_000);
-    let calm_calls = fleet.source_calls.len() - calls_before;
+    let calls_before = fleet.source_polls.len();
+    let calm_ms = oldest_proof_during_ms(&mut fleet, &all, 10_000);
+    let calm_calls = fleet.source_polls.len() - calls_before;
     let depth = fleet.depth();
     for at in &all {
         fleet.is_served[*at] = at % 20 >= 7;
     }
     let from_s = fleet.now / 1_000;
-    let turned_away_ms = oldest_during_ms(&mut fleet, &all, 9_000);
-    let others_calls = fleet.calls_of_others_since(from_s);
+    let turned_away_ms = oldest_proof_during_ms(&mut fleet, &all, 9_000);
+    let others_calls = fleet.polls_by_non_seeds_since(from_s);
     fleet.is_served.fill(true);
     fleet.run(5_000);
-    for at in fleet.of_data_centre(0) {
-        fleet.group[at] = 1;
-        // The source lies with the others.
+    for at in fleet.in_data_centre(0) {
+        fleet.partition[at] = 1;
+        // The source is in the other partition.
         fleet.is_served[at] = false;
     }
     let others: Vec<usize> = all
         .iter()
         .copied()
-        .filter(|at| fleet.group[*at] == 0)
+        .filter(|at| fleet.partition[*at] == 0)
         .collect();
-    let cut_ms = oldest_during_ms(&mut fleet, &others, 6_000);
-    fleet.group.fill(0);
+    let cut_ms = oldest_proof_during_ms(&mut fleet, &others, 6_000);
+    fleet.partition.fill(0);
     fleet.is_served.fill(true);
     fleet.run(5_000);
     for at in &all {
--- a/crates/gateway/tests/follow_tree.rs
+++ b/crates/gateway/tests/follow_tree.rs
@@ -1,8 +1,10 @@
-//! The tree in which daemons follow each other, on a virtual clock: depth, circles, calls of the source,
-//! and the age of proofs, in small fleets under all orders of faults and in large ones.
+//! Tests of the tree in which daemons follow each other, on a virtual clock: its depth, cycles,
+//! polls of the source, and the age of proofs, in small fleets under all orders of faults and in
+//! large ones.
 //!
-//! Findings behind it: on the large site whole data centres followed each other in circles of three and
-//! four daemons until their proofs were too old, and 116 to 295 daemons went to the source in one second.
+//! Failures behind it: on the large site whole data centres followed each other in cycles of three
+//! and four daemons until their proofs were too old, and 116 to 295 daemons polled the source in
+//! one second.
 
 #[path = "support/tree_sim/mod.rs"]
 #[allow(dead_code)]
@@ -12,11 +14,11 @@
 use proptest::prelude::*;
 use tree_sim::{Fleet, PROOF_LIFETIME};
 
-/// A question is held for 0.6 s, and each of a circle asks once before it is seen by all of them.
-const LONGEST_CIRCLE_MS: u64 = 1_300;
+/// A poll is held for 0.6 s, and each daemon of a cycle polls once before all of them detect it.
+const MAX_CYCLE_MS: u64 = 1_300;
 
-/// The large site: five data centres, three of them with a seed.
-fn large(seed: u64) -> Fleet {
+/// Returns a fleet like the large site: five data centres, three of them with a seed.
+fn large_fleet(seed: u64) -> Fleet {
     Fleet::new(&[64, 54, 61, 54, 62], 3, seed)
 }
 
@@ -28,47 +30,51 @@
     );
 }
 
+/// The start of a fleet must not send all daemons to the source, nor leave a deep tree or cycles
+/// behind.
 #[test]
 fn a_large_fleet_starts_as_a_shallow_tree_and_only_seeds_poll_the_source() {
     for seed in 0..5 {
-        let mut fleet = large(seed);
+        let mut fleet = large_fleet(seed);
         fleet.run(10_000);
         assert_fresh(&fleet, "after the start");
         assert!(fleet.depth() <= 4, "seed {seed}: depth {}", fleet.depth());
         fleet.run(20_000);
-        assert_eq!(fleet.calls_of_others_since(0), 0, "seed {seed}");
-        assert!(fleet.longest_circle_ms <= LONGEST_CIRCLE_MS, "seed {seed}");
+        assert_eq!(fleet.polls_by_non_seeds_since(0), 0, "seed {seed}");
+        assert!(fleet.longest_cycle_ms <= MAX_CYCLE_MS, "seed {seed}");
     }
 }
 
+/// A fleet of a thousand daemons must not get deeper than eight followers at each level require.
 #[test]
 fn a_thousand_daemons_need_five_levels() {
     let mut fleet = Fleet::new(&[200, 200, 200, 200, 200], 3, 7);
     fleet.run(20_000);
     assert_fresh(&fleet, "after the start");
     assert!(fleet.depth() <= 5, "depth {}", fleet.depth());
-    assert_eq!(fleet.calls_of_others_since(0), 0);
+    assert_eq!(fleet.polls_by_non_seeds_since(0), 0);
 }
 
-/// Lets time pass; gives the oldest proof that any of these daemons had meanwhile (ms).
+/// Advances the clock; returns the oldest proof that any of these daemons had meanwhile (ms).
 fn oldest_proof_during(fleet: &mut Fleet, daemons: &[usize], for_ms: u64) -> u64 {
     let mut oldest = 0;
-    for _ in 0..for_ms / LOOK_EVERY_MS {
-        fleet.run(LOOK_EVERY_MS);
+    for _ in 0..for_ms / SAMPLE_INTERVAL_MS {
+        fleet.run(SAMPLE_INTERVAL_MS);
         oldest = oldest.max(fleet.oldest_proof(daemons).unwrap_or(u64::MAX));
     }
     oldest
 }
 
-const LOOK_EVERY_MS: u64 = 50;
-/// Once a daemon reaches one that is fresh, it is so itself within this time: a parent that is given up
+const SAMPLE_INTERVAL_MS: u64 = 50;
+/// A daemon that reaches a fresh one is fresh itself within this time: a parent that is dropped
 /// after 1 s, eight probes of 0.3 s, and their pauses.
 const FRESH_AGAIN_MS: u64 = 4_000;
-/// Daemons that ask the source in one second, at most, whatever has happened: a sixth of the large fleet.
-const MOST_AT_SOURCE: usize = 50;
+/// The maximum number of daemons that poll the source in one second under any fault: a sixth of the
+/// large fleet.
+const MAX_POLLING_DAEMONS: usize = 50;
 
-fn started(seed: u64) -> Fleet {
-    let mut fleet = large(seed);
+fn started_fleet(seed: u64) -> Fleet {
+    let mut fleet = large_fleet(seed);
     fleet.run(10_000);
     fleet
 }
@@ -79,20 +85,19 @@
     fleet.run(10_000);
     let from_s = fleet.now / 1_000;
     fleet.run(10_000);
-    assert_eq!(fleet.calls_of_others_since(from_s), 0, "{what}");
+    assert_eq!(fleet.polls_by_non_seeds_since(from_s), 0, "{what}");
     let depth = fleet.depth();
     assert!(depth <= 5, "{what}: depth {depth}");
-    let circle_ms = fleet.longest_circle_ms;
-    assert!(
-        circle_ms <= LONGEST_CIRCLE_MS,
-        "{what}: a circle of {circle_ms} ms"
-    );
+    let cycle_ms = fleet.longest_cycle_ms;
+    assert!(cycle_ms <= MAX_CYCLE_MS, "{what}: a cycle of {cycle_ms} ms");
 }
 
+/// The remaining seeds must replace a lost one, and without any seed few other daemons must poll
+/// the source.
 #[test]
 fn the_fleet_stays_fresh_while_its_seeds_are_lost_one_by_one() {
     for seed in 0..3 {
-        let mut fleet = started(seed);
+        let mut fleet = started_fleet(seed);
         for lost in 0..2 {
             fleet.kill(lost);
             let living: Vec<usize> = (lost + 1..fleet.len()).collect();
@@ -102,7 +107,7 @@
                 "seed {seed}, {lost} lost: {oldest} ms"
             );
         }
-        assert_eq!(fleet.calls_of_others_since(0), 0, "seed {seed}");
+        assert_eq!(fleet.polls_by_non_seeds_since(0), 0, "seed {seed}");
         let from_s = fleet.now / 1_000;
         fleet.kill(2);
         let living: Vec<usize> = (3..fleet.len()).collect();
@@ -111,66 +116,76 @@
             oldest < PROOF_LIFETIME.0,
             "seed {seed}, all lost: {oldest} ms"
         );
-        let most = fleet.most_at_source_since(from_s);
-        assert!(most <= MOST_AT_SOURCE, "seed {seed}: {most} at the source");
+        let most = fleet.max_polling_daemons_since(from_s);
+        assert!(
+            most <= MAX_POLLING_DAEMONS,
+            "seed {seed}: {most} daemons polled the source"
+        );
         (0..3).for_each(|lost| fleet.restart(lost));
-        assert_quiet_after(&mut fleet, "seeds back");
+        assert_quiet_after(&mut fleet, "seeds restarted");
     }
 }
 
-/// trouble-1 of the large site: 215 daemons asked the source in one second though 88 were cut off.
+/// On the large site 215 daemons polled the source in one second though only 88 were cut off.
 #[test]
 fn both_parts_of_a_partitioned_fleet_stay_fresh() {
     for seed in 0..3 {
-        let mut fleet = started(seed);
+        let mut fleet = started_fleet(seed);
         let from_s = fleet.now / 1_000;
-        // One seed is among them, each sees the others.
+        // One seed is in the smaller part; the daemons of each part reach each other.
         (0..fleet.len())
             .step_by(3)
-            .for_each(|at| fleet.group[at] = 1);
+            .for_each(|at| fleet.partition[at] = 1);
         let all = fleet.all();
         let oldest = oldest_proof_during(&mut fleet, &all, 12_000);
         assert!(oldest < PROOF_LIFETIME.0, "seed {seed}: {oldest} ms");
-        let most = fleet.most_at_source_since(from_s);
-        assert!(most <= MOST_AT_SOURCE, "seed {seed}: {most} at the source");
-        fleet.group.fill(0);
-        assert_quiet_after(&mut fleet, "the cut is over");
+        let most = fleet.max_polling_daemons_since(from_s);
+        assert!(
+            most <= MAX_POLLING_DAEMONS,
+            "seed {seed}: {most} daemons polled the source"
+        );
+        fleet.partition.fill(0);
+        assert_quiet_after(&mut fleet, "the partition has ended");
     }
 }
 
+/// A daemon without any reachable peer must not let its proof expire.
 #[test]
 fn isolated_daemons_poll_the_source_themselves() {
-    let mut fleet = started(1);
+    let mut fleet = started_fleet(1);
     for (number, at) in (10..40).enumerate() {
-        fleet.group[at] = 1 + number as u32;
+        fleet.partition[at] = 1 + number as u32;
     }
     let all = fleet.all();
     let oldest = oldest_proof_during(&mut fleet, &all, 10_000);
     assert!(oldest < PROOF_LIFETIME.0, "{oldest} ms");
-    fleet.group.fill(0);
-    assert_quiet_after(&mut fleet, "the cut is over");
+    fleet.partition.fill(0);
+    assert_quiet_after(&mut fleet, "the partition has ended");
 }
 
+/// A data centre that reaches no seed must be kept fresh by few of its daemons.
 #[test]
 fn a_partitioned_data_centre_without_a_seed_stays_fresh_with_few_polls() {
     for seed in 0..3 {
-        let mut fleet = started(seed);
+        let mut fleet = started_fleet(seed);
         let from_s = fleet.now / 1_000;
-        let cut = fleet.of_data_centre(4);
-        cut.iter().for_each(|at| fleet.group[*at] = 1);
+        let cut = fleet.in_data_centre(4);
+        cut.iter().for_each(|at| fleet.partition[*at] = 1);
         let oldest = oldest_proof_during(&mut fleet, &cut, 10_000);
         assert!(oldest < PROOF_LIFETIME.0, "seed {seed}: {oldest} ms");
-        let calls = fleet.calls_of_others_since(from_s);
-        assert!(calls <= 150, "seed {seed}: {calls} calls in ten seconds");
-        fleet.group.fill(0);
-        assert_quiet_after(&mut fleet, "the cut is over");
+        let calls = fleet.polls_by_non_seeds_since(from_s);
+        assert!(calls <= 150, "seed {seed}: {calls} polls in ten seconds");
+        fleet.partition.fill(0);
+        assert_quiet_after(&mut fleet, "the partition has ended");
     }
 }
 
+/// When all daemons are killed and restarted, the others must wait for the seeds and not poll the
+/// source.
 #[test]
 fn after_a_restart_of_all_daemons_only_seeds_poll_the_source() {
     for seed in 0..3 {
-        let mut fleet = started(seed);
+        let mut fleet = started_fleet(seed);
         let all = fleet.all();
         all.iter().for_each(|at| fleet.kill(*at));
         fleet.run(1_000);
@@ -178,15 +193,17 @@
         let from_s = fleet.now / 1_000;
         fleet.run(3_000);
         assert_fresh(&fleet, "three seconds after the start");
-        assert_eq!(fleet.calls_of_others_since(from_s), 0, "seed {seed}");
-        assert_quiet_after(&mut fleet, "killed and back");
+        assert_eq!(fleet.polls_by_non_seeds_since(from_s), 0, "seed {seed}");
+        assert_quiet_after(&mut fleet, "killed and restarted");
     }
 }
 
+/// Every fourth daemon freezes: its followers need other parents, and it must find one again when
+/// it resumes.
 #[test]
 fn frozen_daemons_rejoin_the_tree() {
     for seed in 0..3 {
-        let mut fleet = started(seed);
+        let mut fleet = started_fleet(seed);
         let from_s = fleet.now / 1_000;
         (5..fleet.len())
             .step_by(4)
@@ -196,21 +213,28 @@
             .collect();
         let oldest = oldest_proof_during(&mut fleet, &awake, 6_000);
         assert!(oldest < PROOF_LIFETIME.0, "seed {seed}: {oldest} ms");
-        assert_quiet_after(&mut fleet, "awake");
-        let most = fleet.most_at_source_since(from_s);
-        assert!(most <= MOST_AT_SOURCE, "seed {seed}: {most} at the source");
+        assert_quiet_after(&mut fleet, "resumed");
+        let most = fleet.max_polling_daemons_since(from_s);
+        assert!(
+            most <= MAX_POLLING_DAEMONS,
+            "seed {seed}: {most} daemons polled the source"
+        );
     }
 }
 
+/// During an outage few daemons may retry, and afterwards the whole fleet must soon be fresh.
 #[test]
 fn an_outage_of_the_source_causes_few_polls_and_the_fleet_recovers_in_time() {
     for seed in 0..3 {
-        let mut fleet = started(seed);
+        let mut fleet = started_fleet(seed);
         let from_s = fleet.now / 1_000;
         fleet.is_served.fill(false);
         fleet.run(12_000);
-        let most = fleet.most_at_source_since(from_s);
-        assert!(most <= MOST_AT_SOURCE, "seed {seed}: {most} at the source");
+        let most = fleet.max_polling_daemons_since(from_s);
+        assert!(
+            most <= MAX_POLLING_DAEMONS,
+            "seed {seed}: {most} daemons polled the source"
+        );
         fleet.is_served.fill(true);
         fleet.run(2_500);
         assert_fresh(&fleet, "2.5 s after the source is back");
@@ -218,11 +242,11 @@
     }
 }
 
-/// The store refuses some VMs, all seeds among them: one that it answers is enough for all.
+/// The store refuses some VMs, all seeds among them: one daemon that it answers is enough for all.
 #[test]
 fn a_state_that_one_daemon_reads_reaches_all() {
     for seed in 0..3 {
-        let mut fleet = started(seed);
+        let mut fleet = started_fleet(seed);
         let from_s = fleet.now / 1_000;
         (0..fleet.len())
             .filter(|at| *at < 3 || at % 3 == 0)
@@ -230,15 +254,18 @@
         let all = fleet.all();
         let oldest = oldest_proof_during(&mut fleet, &all, 15_000);
         assert!(oldest < PROOF_LIFETIME.0, "seed {seed}: {oldest} ms");
-        let most = fleet.most_at_source_since(from_s);
-        assert!(most <= MOST_AT_SOURCE, "seed {seed}: {most} at the source");
+        let most = fleet.max_polling_daemons_since(from_s);
+        assert!(
+            most <= MAX_POLLING_DAEMONS,
+            "seed {seed}: {most} daemons polled the source"
+        );
         fleet.is_served.fill(true);
         assert_quiet_after(&mut fleet, "all are served again");
     }
 }
 
-/// apie-arena `hunt-63da-11`: the store turned all seeds away, others waited for them until their proofs
-/// were 2.8 s old, and a change was in force after 3 s where 2 are allowed.
+/// The store refused all seeds, other daemons waited for them until their proofs were 2.8 s old,
+/// and a change was in force after 3 s where 2 are allowed.
 #[test]
 fn a_change_is_in_force_in_time_while_the_source_refuses_all_seeds() {
     let bound = DurationMs(2_000);
@@ -252,14 +279,14 @@
     }
 }
 
-/// In a fleet of 87 daemons 39 stood still for six seconds. Some that were awake handled requests by a configuration that
-/// had been replaced over three seconds before: each had lost its parent after a second of silence, and then asked three
-/// others that stood still, too, for a second each.
+/// Of 87 daemons 39 were frozen for six seconds, and some others handled requests by a
+/// configuration that had been replaced over three seconds before: each had lost its parent after a
+/// second of silence, and then polled three more frozen daemons for a second each.
 ///
-/// Cause: a silent daemon cost a second each time, also where an awake one answers at once; what was left of the time for a
-/// change was worked out for daemons that refuse a connection. An orphan went on looking while one stale daemon had
-/// answered, and one that had adopted a silent daemon had to wait before it could ask the source. Proof: on the code before,
-/// proofs were up to 5.9 s old here, and nearly all of it was spent on questions to silent daemons.
+/// A silent daemon cost a second each time, also where a running one answers at once, and the
+/// limits were computed for daemons that refuse a connection. An orphan went on searching while one
+/// stale daemon had answered, and one that had adopted a silent daemon had to wait before it could
+/// poll the source. Proofs were up to 5.9 s old.
 #[test]
 fn a_change_is_in_force_in_time_while_nearly_half_of_the_daemons_are_frozen() {
     for seed in 0..100 {
@@ -267,9 +294,10 @@
     }
 }
 
-/// The same at twice the size and at the largest. Still seen: up to 3.2 s in five of sixty seeds, where more levels of the
-/// tree lose their upstream one after the other, and 4.2 s in one, where a seed gives its call of the source up for each
-/// daemon that says it is fresher, and counts it as failed.
+/// The same at twice the size and at the largest. Still seen: up to 3.2 s in five of sixty seeds,
+/// where more levels of the tree lose their upstream one after the other, and 4.2 s in one, where a
+/// seed cancels its poll of the source for each daemon that reports a fresher proof, and counts it
+/// as failed.
 #[test]
 #[ignore = "listed in KNOWN-RED.txt"]
 fn a_change_is_in_force_in_time_in_larger_fleets_of_which_half_stand_still() {
@@ -279,13 +307,13 @@
     assert_in_force_in_time(328, 0);
 }
 
-/// Freezes 45 in 100 daemons of three data centres of this size; the proofs of the others must stay younger than the time in
-/// which a change must be in force.
+/// Freezes 45 in 100 daemons of three data centres of this size; asserts that the proofs of the
+/// others stay younger than the time in which a change must be in force.
 fn assert_in_force_in_time(in_data_centre: usize, seed: u64) {
     let bound = DurationMs(3_000);
     let mut fleet = Fleet::with_bound(&[in_data_centre; 3], 3, seed, bound);
     fleet.run(10_000 + 37 * seed);
-    let awake = freeze_some(&mut fleet, 45);
+    let awake = freeze_percentage(&mut fleet, 45);
     let oldest = oldest_proof_during(&mut fleet, &awake, 6_000);
     assert!(
         oldest < bound.0,
@@ -293,11 +321,11 @@
     );
 }
 
-/// So many in a hundred daemons stand still for six seconds; gives the others.
-fn freeze_some(fleet: &mut Fleet, in_hundred: u64) -> Vec<usize> {
+/// Freezes a percentage of the daemons for six seconds; returns the others.
+fn freeze_percentage(fleet: &mut Fleet, percentage: u64) -> Vec<usize> {
     let mut awake = Vec::new();
     for daemon in fleet.all() {
-        if fleet.up_to(100) < in_hundred {
+        if fleet.random_below(100) < percentage {
             fleet.freeze(daemon, 6_000);
         } else {
             awake.push(daemon);
@@ -306,16 +334,16 @@
     awake
 }
 
-/// What happens to a fleet of three seeds and five others.
+/// A fault in a fleet of three seeds and five others.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     KillSeed,
     KillFollower,
     RestartAll,
-    CutHalf,
+    PartitionHalf,
     Heal,
     FreezeFollower,
-    TurnSeedsAway,
+    RefuseSeeds,
     ServeAll,
 }
 
@@ -323,17 +351,17 @@
     Fault::KillSeed,
     Fault::KillFollower,
     Fault::RestartAll,
-    Fault::CutHalf,
+    Fault::PartitionHalf,
     Fault::Heal,
     Fault::FreezeFollower,
-    Fault::TurnSeedsAway,
+    Fault::RefuseSeeds,
     Fault::ServeAll,
 ];
 
-fn strike(fleet: &mut Fleet, fault: Fault) {
+fn inject_fault(fleet: &mut Fleet, fault: Fault) {
     let count = fleet.len();
-    let seed = fleet.up_to(3) as usize;
-    let follower = 3 + fleet.up_to(count as u64 - 3) as usize;
+    let seed = fleet.random_below(3) as usize;
+    let follower = 3 + fleet.random_below(count as u64 - 3) as usize;
     match fault {
         Fault::KillSeed => fleet.kill(seed),
         Fault::KillFollower => fleet.kill(follower),
@@ -341,30 +369,27 @@
             fleet.kill(at);
             fleet.restart(at);
         }),
-        Fault::CutHalf => (0..count).for_each(|at| fleet.group[at] = (at % 2) as u32),
-        Fault::Heal => fleet.group.fill(0),
+        Fault::PartitionHalf => (0..count).for_each(|at| fleet.partition[at] = (at % 2) as u32),
+        Fault::Heal => fleet.partition.fill(0),
         Fault::FreezeFollower => fleet.freeze(follower, 3_000),
-        Fault::TurnSeedsAway => fleet.is_served[..3].fill(false),
+        Fault::RefuseSeeds => fleet.is_served[..3].fill(false),
         Fault::ServeAll => fleet.is_served.fill(true),
     }
 }
 
-/// Everything that is dead starts again, and everyone reaches everyone: all must be fresh soon.
+/// Ends all faults and restarts dead processes; asserts that all daemons are fresh soon.
 fn assert_recovers(fleet: &mut Fleet, what: &str) {
-    fleet.group.fill(0);
+    fleet.partition.fill(0);
     fleet.is_served.fill(true);
     fleet.restart_dead();
     fleet.run(FRESH_AGAIN_MS + 2_000);
     assert_fresh(fleet, what);
-    let circle_ms = fleet.longest_circle_ms;
-    assert!(
-        circle_ms <= LONGEST_CIRCLE_MS,
-        "{what}: a circle of {circle_ms} ms"
-    );
+    let cycle_ms = fleet.longest_cycle_ms;
+    assert!(cycle_ms <= MAX_CYCLE_MS, "{what}: a cycle of {cycle_ms} ms");
 }
 
-/// Every order of three faults, close to each other and apart: proofs are never taken for younger than
-/// they are (the simulation checks each), circles end, and everyone is fresh again.
+/// Covers every order of three faults, close to each other and apart: no proof is taken for younger
+/// than it is (the simulation checks each), cycles end, and all daemons become fresh again.
 #[test]
 fn a_small_fleet_recovers_from_three_faults_in_any_order() {
     for first in FAULTS {
@@ -374,7 +399,7 @@
                     let mut fleet = Fleet::new(&[3, 3, 2], 3, pause_ms);
                     fleet.run(3_000);
                     for fault in [first, second, third] {
-                        strike(&mut fleet, fault);
+                        inject_fault(&mut fleet, fault);
                         fleet.run(pause_ms);
                     }
                     let what = format!("{first:?}, {second:?}, {third:?}, {pause_ms} ms apart");
@@ -393,7 +418,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Longer runs of larger fleets, faults at random moments.
+    /// Covers longer runs of larger fleets with faults at random moments.
     #[test]
     fn a_fleet_recovers_from_random_faults(
         sizes in prop::collection::vec(4usize..24, 1..5),
@@ -403,7 +428,7 @@
         let mut fleet = Fleet::new(&sizes, 3, seed);
         fleet.run(4_000);
         for (fault, pause_ms) in faults {
-            strike(&mut fleet, FAULTS[fault]);
+            inject_fault(&mut fleet, FAULTS[fault]);
             fleet.run(pause_ms);
         }
         assert_recovers(&mut fleet, "random faults");
--- a/crates/gateway/tests/support/tree_sim/mod.rs
+++ b/crates/gateway/tests/support/tree_sim/mod.rs
@@ -1,9 +1,10 @@
-//! A fleet of daemons on a virtual clock: the real rules of who follows whom, on a network that is cut,
-//! a source that turns daemons away, and processes that die, freeze and start again.
+//! A simulated fleet of daemons on a virtual clock: the real rules for selecting an upstream, on a
+//! network that is partitioned, with a source that refuses daemons, and processes that die, freeze
+//! and restart.
 //!
-//! What is simulated stands for `replication::{follow, client, server}`: questions are held, answers
-//! come late or never. Each daemon's clock is the fleet's. Every proof is checked against what the
-//! source really held when it was asked for.
+//! The simulation replaces `replication::{follow, client, server}`: polls are held, responses
+//! arrive late or never. Each daemon's clock is the fleet's. Every proof is checked against the
+//! state that the source held when it was polled.
 
 mod peers;
 mod source;
@@ -24,7 +25,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::net::SocketAddr;
 
-/// As `--key-removal-ms 5000` gives it.
+/// The lifetime that `--key-removal-ms 5000` gives.
 pub const PROOF_LIFETIME: DurationMs = DurationMs(4_700);
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
 const PROBE_TIMEOUT_MS: u64 = 300;
@@ -32,59 +33,59 @@
 const CONNECT_TIMEOUT_MS: u64 = 300;
 const WATCH_WAIT_MS: u64 = 500;
 const GATHER_MS: u64 = 200;
-/// What a call of the source may take beyond its wait.
+/// How long a poll of the source may take beyond its wait.
 const SOURCE_SLACK_MS: u64 = 1_000;
-/// The same of a call that waits for nothing.
+/// The same for a poll that doesn't wait.
 const ANSWER_SLACK_MS: u64 = 600;
 const SEED_EXCHANGE_MS: u64 = 200;
 const FIRST_PAUSE_MS: u64 = 100;
 const MAX_PAUSE_MS: u64 = 400;
 
-/// One daemon.
+/// A simulated daemon.
 struct Daemon {
     vm: VmId,
     data_centre: DataCentreId,
     address: SocketAddr,
     selector: UpstreamSelector,
     followers: Followers,
-    at: u64,
+    revision: u64,
     proved_at: Option<TimeMs>,
     fresher: Option<(SocketAddr, TimeMs)>,
     pause_ms: u64,
     is_alive: bool,
     frozen_until: u64,
-    /// Counts processes: what was meant for an earlier one is dropped.
-    life: u32,
-    /// The question that is being waited for, and when it was asked.
-    question: u64,
+    /// The number of its process: events for an earlier one are dropped.
+    incarnation: u32,
+    /// The number of the current poll; responses to earlier ones are dropped.
+    poll: u64,
     asked_at: u64,
-    /// It waits for a parent or the source, and not for a probe or the end of a pause.
-    is_waiting: bool,
-    is_at_source: bool,
-    /// The source did not answer its last call.
-    is_source_lost: bool,
-    held: Vec<Held>,
-    /// The proof that each follower was last sent on its connection.
+    /// It waits for a parent or the source, not for a probe or the end of a pause.
+    is_polling: bool,
+    is_polling_source: bool,
+    /// The source did not answer its last poll.
+    has_source_failed: bool,
+    held: Vec<HeldPoll>,
+    /// The proof that was last sent to each follower on its connection.
     sent_proofs: BTreeMap<usize, Option<TimeMs>>,
     parent: Option<usize>,
 }
 
-/// A question that waits for news.
-struct Held {
+/// A poll that is held until there is something new to return.
+struct HeldPoll {
     from: usize,
-    from_life: u32,
-    question: u64,
+    from_incarnation: u32,
+    poll: u64,
     asked_at: u64,
     sent_proof: Option<TimeMs>,
 }
 
 #[derive(Clone)]
 enum Answer {
-    Place(PeerReport),
+    Position(PeerReport),
     Redirect(PeerReport),
     Records {
         report: PeerReport,
-        at: u64,
+        revision: u64,
         held_ms: u64,
     },
     Failed,
@@ -93,47 +94,47 @@
 enum Event {
     Step {
         daemon: usize,
-        life: u32,
+        incarnation: u32,
     },
-    Ask {
+    Poll {
         from: usize,
-        life: u32,
+        incarnation: u32,
         to: usize,
-        question: u64,
+        poll: u64,
         is_probe: bool,
         asked_at: u64,
     },
     HoldEnds {
         daemon: usize,
-        life: u32,
+        incarnation: u32,
         from: usize,
-        question: u64,
+        poll: u64,
     },
     Answered {
         daemon: usize,
-        life: u32,
-        question: u64,
+        incarnation: u32,
+        poll: u64,
         peer: SocketAddr,
         answer: Answer,
         is_probe: bool,
     },
-    SourceTurn {
+    SourceSlot {
         daemon: usize,
-        life: u32,
-        question: u64,
+        incarnation: u32,
+        poll: u64,
     },
     SourceAnswered {
         daemon: usize,
-        life: u32,
-        question: u64,
-        at: Option<u64>,
+        incarnation: u32,
+        poll: u64,
+        revision: Option<u64>,
     },
     SourceChanges,
-    /// Seeds ask each other for work, and for proofs.
+    /// Seeds exchange their work and their proofs.
     SeedExchange,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Fleet {
     pub now: u64,
     limits: ProofLimits,
@@ -144,35 +145,36 @@
     events: BinaryHeap<Reverse<(u64, u64)>>,
     pending: BTreeMap<u64, Event>,
     sequence: u64,
-    /// When the source took on each revision, from 1.
+    /// When the source reached each revision, from 1.
     revisions: Vec<u64>,
-    /// The group of each daemon: daemons of two groups don't reach each other.
-    pub group: Vec<u32>,
-    /// Whom the source answers.
+    /// The partition of each daemon: daemons of two partitions don't reach each other.
+    pub partition: Vec<u32>,
+    /// Whether the source answers each daemon.
     pub is_served: Vec<bool>,
-    /// Calls of the source, by second and daemon.
-    pub source_calls: Vec<(u64, usize)>,
-    pub circles_left: u64,
-    /// When each circle that stands now was first seen.
-    circles_since: BTreeMap<Vec<usize>, u64>,
-    pub longest_circle_ms: u64,
+    /// The polls of the source, by second and daemon.
+    pub source_polls: Vec<(u64, usize)>,
+    pub cycles_left: u64,
+    /// When each current cycle of parents was first seen.
+    cycles_since: BTreeMap<Vec<usize>, u64>,
+    pub longest_cycle_ms: u64,
 }
 
-/// Where a daemon of this number listens.
+/// Returns the address of the daemon with this number.
 fn address(at: usize) -> SocketAddr {
     SocketAddr::from(([10, (at >> 16) as u8, (at >> 8) as u8, at as u8], 7_000))
 }
 
 impl Fleet {
-    /// Daemons by data centre; `seeds` are the first of the first data centres.
+    /// Creates a fleet with this number of daemons in each data centre; `seeds` are the first of
+    /// the first data centres.
     pub fn new(sizes: &[usize], seeds: usize, seed: u64) -> Self {
         Self::with_bound(sizes, seeds, seed, DurationMs(4_000))
     }
 
-    /// The same where a change must be in force within `config_apply`.
+    /// Creates the same fleet where a change must be in force within `config_apply`.
     pub fn with_bound(sizes: &[usize], seeds: usize, seed: u64, config_apply: DurationMs) -> Self {
         let mut data_centres = Vec::new();
-        // One of each data centre in turn: the first daemons are in different ones.
+        // Data centres alternate: the first daemons are in different ones.
         let largest = sizes.iter().copied().max().unwrap_or(0);
         for round in 0..largest {
             for (data_centre, size) in sizes.iter().enumerate() {
@@ -193,23 +195,23 @@
             pending: BTreeMap::new(),
             sequence: 0,
             revisions: vec![0],
-            group: vec![0; count],
+            partition: vec![0; count],
             is_served: vec![true; count],
-            source_calls: Vec::new(),
-            circles_left: 0,
-            circles_since: BTreeMap::new(),
-            longest_circle_ms: 0,
+            source_polls: Vec::new(),
+            cycles_left: 0,
+            cycles_since: BTreeMap::new(),
+            longest_cycle_ms: 0,
         };
         for (at, data_centre) in data_centres.into_iter().enumerate() {
             let data_centre = DataCentreId::from(format!("dc-{data_centre}").as_str());
             let daemon = fleet.new_daemon(at, data_centre, 0);
             fleet.daemons.push(daemon);
-            let start = fleet.up_to(300);
+            let start = fleet.random_below(300);
             fleet.schedule(
                 start,
                 Event::Step {
                     daemon: at,
-                    life: 0,
+                    incarnation: 0,
                 },
             );
         }
@@ -218,7 +220,7 @@
         fleet
     }
 
-    fn new_daemon(&self, at: usize, data_centre: DataCentreId, life: u32) -> Daemon {
+    fn new_daemon(&self, at: usize, data_centre: DataCentreId, incarnation: u32) -> Daemon {
         Daemon {
             vm: VmId::from(format!("vm-{at}").as_str()),
             address: address(at),
@@ -231,18 +233,18 @@
             ),
             followers: Followers::new(data_centre.clone()),
             data_centre,
-            at: 0,
+            revision: 0,
             proved_at: None,
             fresher: None,
             pause_ms: FIRST_PAUSE_MS,
             is_alive: true,
             frozen_until: 0,
-            life,
-            question: 0,
+            incarnation,
+            poll: 0,
             asked_at: 0,
-            is_waiting: false,
-            is_at_source: false,
-            is_source_lost: false,
+            is_polling: false,
+            is_polling_source: false,
+            has_source_failed: false,
             held: Vec::new(),
             sent_proofs: BTreeMap::new(),
             parent: None,
@@ -254,7 +256,7 @@
     }
 
     fn next_random(&mut self) -> u64 {
-        // A linear congruence with a final mix; its quality matters little here.
+        // A linear congruential generator with a final mix; its quality matters little here.
         self.random = self
             .random
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -263,7 +265,7 @@
         mixed.wrapping_mul(0xff51_afd7_ed55_8ccd) >> 16
     }
 
-    pub fn up_to(&mut self, limit: u64) -> u64 {
+    pub fn random_below(&mut self, limit: u64) -> u64 {
         self.next_random() % limit.max(1)
     }
 
@@ -275,51 +277,57 @@
     }
 
     fn latency(&mut self) -> u64 {
-        1 + self.up_to(4)
+        1 + self.random_below(4)
     }
 
     /// Ends a process.
     pub fn kill(&mut self, daemon: usize) {
         let killed = &mut self.daemons[daemon];
         killed.is_alive = false;
-        killed.life += 1;
+        killed.incarnation += 1;
         killed.held.clear();
         killed.sent_proofs.clear();
         killed.parent = None;
     }
 
-    /// Starts a new process at the same place.
+    /// Starts a new process of the same daemon.
     pub fn restart(&mut self, daemon: usize) {
-        let (data_centre, life) = {
+        let (data_centre, incarnation) = {
             let old = &self.daemons[daemon];
-            (old.data_centre.clone(), old.life + 1)
+            (old.data_centre.clone(), old.incarnation + 1)
         };
-        self.daemons[daemon] = self.new_daemon(daemon, data_centre, life);
-        let delay = self.up_to(300);
-        self.schedule(delay, Event::Step { daemon, life });
+        self.daemons[daemon] = self.new_daemon(daemon, data_centre, incarnation);
+        let delay = self.random_below(300);
+        self.schedule(
+            delay,
+            Event::Step {
+                daemon,
+                incarnation,
+            },
+        );
     }
 
-    /// Starts every process that ended.
+    /// Starts a new process for every daemon without one.
     pub fn restart_dead(&mut self) {
         let dead = (0..self.len()).filter(|at| !self.daemons[*at].is_alive);
         let dead: Vec<usize> = dead.collect();
         dead.into_iter().for_each(|at| self.restart(at));
     }
 
-    /// A process does nothing for a while.
+    /// Freezes a process: it does nothing for a while.
     pub fn freeze(&mut self, daemon: usize, for_ms: u64) {
         self.daemons[daemon].frozen_until = self.now + for_ms;
     }
 
-    /// Daemons of a data centre.
-    pub fn of_data_centre(&self, number: usize) -> Vec<usize> {
+    /// Returns the daemons of a data centre.
+    pub fn in_data_centre(&self, number: usize) -> Vec<usize> {
         let name = DataCentreId::from(format!("dc-{number}").as_str());
         (0..self.len())
             .filter(|at| self.daemons[*at].data_centre == name)
             .collect()
     }
 
-    /// Lets time pass.
+    /// Advances the clock and handles all events until then.
     pub fn run(&mut self, for_ms: u64) {
         let end = self.now + for_ms;
         while let Some(Reverse((at, sequence))) = self.events.peek().copied() {
@@ -332,66 +340,68 @@
             self.handle(event);
         }
         self.now = end;
-        self.note_circles();
+        self.record_cycles();
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Step { daemon, life } => self.step(daemon, life),
-            Event::Ask {
+            Event::Step {
+                daemon,
+                incarnation,
+            } => self.step(daemon, incarnation),
+            Event::Poll {
                 from,
-                life,
+                incarnation,
                 to,
-                question,
+                poll,
                 is_probe,
                 asked_at,
             } => {
-                self.on_question(from, life, to, question, is_probe, asked_at);
+                self.on_poll(from, incarnation, to, poll, is_probe, asked_at);
             }
             Event::HoldEnds {
                 daemon,
-                life,
+                incarnation,
                 from,
-                question,
+                poll,
             } => {
-                if self.daemons[daemon].life == life && self.is_frozen(daemon) {
-                    self.put_off(daemon, event);
-                } else if self.daemons[daemon].life == life {
-                    self.answer_held(daemon, |held| {
-                        held.from == from && held.question == question
-                    });
+                if self.daemons[daemon].incarnation == incarnation && self.is_frozen(daemon) {
+                    self.postpone(daemon, event);
+                } else if self.daemons[daemon].incarnation == incarnation {
+                    self.answer_held(daemon, |held| held.from == from && held.poll == poll);
                 }
             }
             Event::Answered {
                 daemon,
-                life,
-                question,
+                incarnation,
+                poll,
                 peer,
                 answer,
                 is_probe,
             } => {
-                self.on_answer(daemon, life, question, peer, answer, is_probe);
+                self.on_answer(daemon, incarnation, poll, peer, answer, is_probe);
             }
-            Event::SourceTurn { daemon, .. } if self.is_frozen(daemon) => {
-                self.put_off(daemon, event);
+            Event::SourceSlot { daemon, .. } if self.is_frozen(daemon) => {
+                self.postpone(daemon, event);
             }
-            Event::SourceTurn {
+            Event::SourceSlot {
                 daemon,
-                life,
-                question,
+                incarnation,
+                poll,
             } => {
                 let waiting = &self.daemons[daemon];
-                if waiting.life == life && waiting.question == question && waiting.is_waiting {
-                    self.give_up_question(daemon);
+                if waiting.incarnation == incarnation && waiting.poll == poll && waiting.is_polling
+                {
+                    self.cancel_poll(daemon);
                 }
             }
             Event::SourceAnswered {
                 daemon,
-                life,
-                question,
-                at,
+                incarnation,
+                poll,
+                revision,
             } => {
-                self.on_source(daemon, life, question, at);
+                self.on_source(daemon, incarnation, poll, revision);
             }
             Event::SeedExchange => {
                 self.exchange_between_seeds();
@@ -399,9 +409,9 @@
             }
             Event::SourceChanges => {
                 self.revisions.push(self.now);
-                let delay = 300 + self.up_to(1_500);
+                let delay = 300 + self.random_below(1_500);
                 self.schedule(delay, Event::SourceChanges);
-                self.note_circles();
+                self.record_cycles();
             }
         }
     }
@@ -410,18 +420,24 @@
         self.now < self.daemons[daemon].frozen_until
     }
 
-    /// Puts what a frozen process would do off until it goes on.
-    fn put_off(&mut self, daemon: usize, event: Event) {
+    /// Postpones an event of a frozen process until it resumes.
+    fn postpone(&mut self, daemon: usize, event: Event) {
         let delay = self.daemons[daemon].frozen_until - self.now;
         self.schedule(delay, event);
     }
 
-    fn step(&mut self, at: usize, life: u32) {
-        if self.daemons[at].life != life || !self.daemons[at].is_alive {
+    fn step(&mut self, at: usize, incarnation: u32) {
+        if self.daemons[at].incarnation != incarnation || !self.daemons[at].is_alive {
             return;
         }
         if self.is_frozen(at) {
-            return self.put_off(at, Event::Step { daemon: at, life });
+            return self.postpone(
+                at,
+                Event::Step {
+                    daemon: at,
+                    incarnation,
+                },
+            );
         }
         let now = TimeMs(self.now);
         let daemon = &mut self.daemons[at];
@@ -430,39 +446,39 @@
             daemon.selector.on_fresher_daemon(now, address, proved_at);
         }
         let upstream = daemon.selector.select(now);
-        daemon.question += 1;
+        daemon.poll += 1;
         daemon.asked_at = self.now;
-        daemon.is_waiting = !matches!(upstream, Upstream::Probe(_));
-        daemon.is_at_source = upstream == Upstream::Source;
-        let question = daemon.question;
+        daemon.is_polling = !matches!(upstream, Upstream::Probe(_));
+        daemon.is_polling_source = upstream == Upstream::Source;
+        let poll = daemon.poll;
         match upstream {
             Upstream::Source => {
                 daemon.parent = None;
-                self.ask_source(at, life);
+                self.poll_source(at, incarnation);
             }
             Upstream::Peer(peer) => {
                 let parent = self.by_address[&peer];
                 if daemon.parent.replace(parent) != Some(parent) {
-                    // A new connection.
+                    // The parent changed, so this is a new connection.
                     self.daemons[parent].sent_proofs.remove(&at);
                 }
                 if let Some(turn) = self.daemons[at].selector.source_turn(now) {
-                    let event = Event::SourceTurn {
+                    let event = Event::SourceSlot {
                         daemon: at,
-                        life,
-                        question,
+                        incarnation,
+                        poll,
                     };
                     self.schedule(turn.since(now).0, event);
                 }
-                self.ask(at, life, peer, question, false);
+                self.poll_peer(at, incarnation, peer, poll, false);
             }
-            Upstream::Probe(peer) => self.ask(at, life, peer, question, true),
+            Upstream::Probe(peer) => self.poll_peer(at, incarnation, peer, poll, true),
         }
     }
 
-    fn end_step(&mut self, at: usize, life: u32) {
+    fn end_step(&mut self, at: usize, incarnation: u32) {
         let daemon = &mut self.daemons[at];
-        daemon.is_waiting = false;
+        daemon.is_polling = false;
         let delay = if daemon.selector.take_pause() {
             let pause = daemon.pause_ms;
             daemon.pause_ms = (pause * 2).min(MAX_PAUSE_MS);
@@ -471,6 +487,12 @@
             daemon.pause_ms = FIRST_PAUSE_MS;
             0
         };
-        self.schedule(delay, Event::Step { daemon: at, life });
+        self.schedule(
+            delay,
+            Event::Step {
+                daemon: at,
+                incarnation,
+            },
+        );
     }
 }
--- a/crates/gateway/tests/support/tree_sim/peers.rs
+++ b/crates/gateway/tests/support/tree_sim/peers.rs
@@ -1,14 +1,14 @@
-//! Questions between daemons, as `replication::{client, server, seed_exchange}` ask and answer them.
+//! Polls between daemons, as `replication::{client, server, seed_exchange}` send and answer them.
 
 use super::*;
 
 impl Fleet {
-    pub(super) fn ask(
+    pub(super) fn poll_peer(
         &mut self,
         from: usize,
-        life: u32,
+        incarnation: u32,
         peer: SocketAddr,
-        question: u64,
+        poll: u64,
         is_probe: bool,
     ) {
         let asked_at = self.now;
@@ -18,21 +18,21 @@
                 delay,
                 Event::Answered {
                     daemon: from,
-                    life,
-                    question,
+                    incarnation,
+                    poll,
                     peer,
                     answer: Answer::Failed,
                     is_probe,
                 },
             )
         };
-        let is_cut = self.group[from] != self.group[to];
+        let is_cut = self.partition[from] != self.partition[to];
         let (delay, event) = if is_cut {
             failed(CONNECT_TIMEOUT_MS)
         } else if !self.daemons[to].is_alive {
             failed(1)
         } else {
-            // The answer may never come.
+            // The response may never come.
             let is_first = !self.daemons[to].sent_proofs.contains_key(&from);
             let limit_ms = match (is_probe, is_first) {
                 (true, _) => PROBE_TIMEOUT_MS,
@@ -43,11 +43,11 @@
             self.schedule(delay, event);
             (
                 self.latency(),
-                Event::Ask {
+                Event::Poll {
                     from,
-                    life,
+                    incarnation,
                     to,
-                    question,
+                    poll,
                     is_probe,
                     asked_at,
                 },
@@ -56,38 +56,38 @@
         self.schedule(delay, event);
     }
 
-    pub(super) fn on_question(
+    pub(super) fn on_poll(
         &mut self,
         from: usize,
-        life: u32,
+        incarnation: u32,
         to: usize,
-        question: u64,
+        poll: u64,
         is_probe: bool,
         asked_at: u64,
     ) {
-        if !self.daemons[to].is_alive || self.group[from] != self.group[to] {
+        if !self.daemons[to].is_alive || self.partition[from] != self.partition[to] {
             return;
         }
         if self.is_frozen(to) {
-            return self.put_off(
+            return self.postpone(
                 to,
-                Event::Ask {
+                Event::Poll {
                     from,
-                    life,
+                    incarnation,
                     to,
-                    question,
+                    poll,
                     is_probe,
                     asked_at,
                 },
             );
         }
         let now = TimeMs(self.now);
-        let asking_proof = self.daemons[from].proved_at;
+        let poller_proof = self.daemons[from].proved_at;
         let asking = self.daemons[from].address;
-        self.note_proof(to, asking, asking_proof);
+        self.record_peer_proof(to, asking, poller_proof);
         if is_probe {
-            let answer = Answer::Place(self.report(to, None));
-            return self.send(to, from, life, question, answer, true);
+            let answer = Answer::Position(self.report(to, None));
+            return self.send(to, from, incarnation, poll, answer, true);
         }
         let tree = self.daemons[from]
             .followers
@@ -106,34 +106,34 @@
         let path = answering.selector.path();
         match answering.followers.place(now, follower, &path) {
             FollowerPlacement::Circle => {
-                let answer = Answer::Place(self.report(to, None));
-                self.send(to, from, life, question, answer, false);
+                let answer = Answer::Position(self.report(to, None));
+                self.send(to, from, incarnation, poll, answer, false);
             }
             FollowerPlacement::Redirect(address) => {
                 let answer = Answer::Redirect(self.report(to, Some(address)));
-                self.send(to, from, life, question, answer, false);
+                self.send(to, from, incarnation, poll, answer, false);
             }
             FollowerPlacement::Here => {
                 let sent_proof = answering.sent_proofs.get(&from).copied().flatten();
-                let is_news = answering.proved_at > sent_proof;
-                answering.held.push(Held {
+                let has_newer_proof = answering.proved_at > sent_proof;
+                answering.held.push(HeldPoll {
                     from,
-                    from_life: life,
-                    question,
+                    from_incarnation: incarnation,
+                    poll,
                     asked_at: self.now,
                     sent_proof,
                 });
-                if is_news {
-                    self.answer_held(to, |held| held.from == from && held.question == question);
+                if has_newer_proof {
+                    self.answer_held(to, |held| held.from == from && held.poll == poll);
                 } else {
-                    let life = answering.life;
+                    let incarnation = answering.incarnation;
                     let proof_age = answering.proved_at.map(|proved_at| now.since(proved_at));
                     let hold = hold(false, proof_age, self.limits);
                     let event = Event::HoldEnds {
                         daemon: to,
-                        life,
+                        incarnation,
                         from,
-                        question,
+                        poll,
                     };
                     self.schedule(hold.0, event);
                 }
@@ -150,22 +150,31 @@
                 continue;
             }
             for to in seeds.clone().filter(|to| *to != from) {
-                let is_reached = self.group[from] == self.group[to] && self.daemons[to].is_alive;
+                let is_reached =
+                    self.partition[from] == self.partition[to] && self.daemons[to].is_alive;
                 if !is_reached || self.is_frozen(to) {
                     continue;
                 }
-                self.note_proof(to, address, proved_at);
-                // The answer's proof serves who has the state.
-                let (at, proved_at) = (self.daemons[to].at, self.daemons[to].proved_at);
-                if let Some(proved_at) = proved_at.filter(|_| self.daemons[from].at >= at) {
+                self.record_peer_proof(to, address, proved_at);
+                // The proof of the response applies to a daemon that has the same state.
+                let (revision, proved_at) = (self.daemons[to].revision, self.daemons[to].proved_at);
+                if let Some(proved_at) =
+                    proved_at.filter(|_| self.daemons[from].revision >= revision)
+                {
                     self.prove(from, proved_at);
                 }
             }
         }
     }
 
-    /// As `server::note_proof`: whatever the daemon waits for is given up for a fresher one.
-    pub(super) fn note_proof(&mut self, at: usize, asking: SocketAddr, proved_at: Option<TimeMs>) {
+    /// Cancels the daemon's current poll if the polling daemon has a fresher proof, like
+    /// `server::note_proof`.
+    pub(super) fn record_peer_proof(
+        &mut self,
+        at: usize,
+        asking: SocketAddr,
+        proved_at: Option<TimeMs>,
+    ) {
         let limits = self.limits;
         let now = TimeMs(self.now);
         let daemon = &mut self.daemons[at];
@@ -175,32 +184,33 @@
             return;
         }
         daemon.fresher = proved_at.map(|proved_at| (asking, proved_at));
-        if !daemon.is_waiting {
+        if !daemon.is_polling {
             return;
         }
-        if daemon.is_at_source {
+        if daemon.is_polling_source {
             daemon.selector.on_source_failed(now);
         }
-        self.give_up_question(at);
+        self.cancel_poll(at);
     }
 
-    /// As `follow::ask_peer` and `ask_source` when something better comes.
-    pub(super) fn give_up_question(&mut self, at: usize) {
+    /// Cancels the current poll, like `follow::ask_peer` and `ask_source` when a better upstream
+    /// appears.
+    pub(super) fn cancel_poll(&mut self, at: usize) {
         let daemon = &mut self.daemons[at];
-        daemon.question += 1;
-        let life = daemon.life;
+        daemon.poll += 1;
+        let incarnation = daemon.incarnation;
         if let Some(parent) = daemon.parent {
-            // The connection is closed with the question.
+            // The connection is closed with the poll.
             self.daemons[parent].sent_proofs.remove(&at);
         }
-        self.end_step(at, life);
+        self.end_step(at, incarnation);
     }
 
-    pub(super) fn report(&self, of: usize, redirect: Option<SocketAddr>) -> PeerReport {
-        let daemon = &self.daemons[of];
+    pub(super) fn report(&self, daemon: usize, redirect: Option<SocketAddr>) -> PeerReport {
+        let daemon = &self.daemons[daemon];
         PeerReport {
             data_centre: daemon.data_centre.clone(),
-            // A redirect proves nothing.
+            // A redirect carries no proof.
             proof_age: daemon
                 .proved_at
                 .filter(|_| redirect.is_none())
@@ -214,26 +224,40 @@
         }
     }
 
-    pub(super) fn answer_held(&mut self, of: usize, is_answered: impl Fn(&Held) -> bool) {
+    pub(super) fn answer_held(
+        &mut self,
+        responder: usize,
+        is_answered: impl Fn(&HeldPoll) -> bool,
+    ) {
         let now = TimeMs(self.now);
-        let held = std::mem::take(&mut self.daemons[of].held);
-        let (answered, kept): (Vec<Held>, Vec<Held>) = held.into_iter().partition(is_answered);
-        self.daemons[of].held = kept;
+        let held = std::mem::take(&mut self.daemons[responder].held);
+        let (answered, kept): (Vec<HeldPoll>, Vec<HeldPoll>) =
+            held.into_iter().partition(is_answered);
+        self.daemons[responder].held = kept;
         for held in answered {
             let vm = self.daemons[held.from].vm.clone();
-            let mut report = self.report(of, None);
-            report.siblings = self.daemons[of].followers.siblings(now, &vm);
-            self.daemons[of].followers.on_answered(now, &vm);
-            let sent_proof = self.daemons[of].proved_at;
-            self.daemons[of].sent_proofs.insert(held.from, sent_proof);
+            let mut report = self.report(responder, None);
+            report.siblings = self.daemons[responder].followers.siblings(now, &vm);
+            self.daemons[responder].followers.on_answered(now, &vm);
+            let sent_proof = self.daemons[responder].proved_at;
+            self.daemons[responder]
+                .sent_proofs
+                .insert(held.from, sent_proof);
             let held_ms = self.now - held.asked_at;
-            let at = self.daemons[of].at;
+            let revision = self.daemons[responder].revision;
             let answer = Answer::Records {
                 report,
-                at,
+                revision,
                 held_ms,
             };
-            self.send(of, held.from, held.from_life, held.question, answer, false);
+            self.send(
+                responder,
+                held.from,
+                held.from_incarnation,
+                held.poll,
+                answer,
+                false,
+            );
         }
     }
 
@@ -241,20 +265,20 @@
         &mut self,
         from: usize,
         to: usize,
-        life: u32,
-        question: u64,
+        incarnation: u32,
+        poll: u64,
         answer: Answer,
         is_probe: bool,
     ) {
-        if self.group[from] != self.group[to] {
+        if self.partition[from] != self.partition[to] {
             return;
         }
         let peer = self.daemons[from].address;
         let delay = self.latency();
         let event = Event::Answered {
             daemon: to,
-            life,
-            question,
+            incarnation,
+            poll,
             peer,
             answer,
             is_probe,
@@ -265,30 +289,30 @@
     pub(super) fn on_answer(
         &mut self,
         at: usize,
-        life: u32,
-        question: u64,
+        incarnation: u32,
+        poll: u64,
         peer: SocketAddr,
         answer: Answer,
         is_probe: bool,
     ) {
-        // A second answer, or one to a process or a question that is over.
-        if self.daemons[at].life != life || self.daemons[at].question != question {
+        // Drops a second response, and one to an earlier process or poll.
+        if self.daemons[at].incarnation != incarnation || self.daemons[at].poll != poll {
             return;
         }
         if self.is_frozen(at) {
             let event = Event::Answered {
                 daemon: at,
-                life,
-                question,
+                incarnation,
+                poll,
                 peer,
                 answer,
                 is_probe,
             };
-            return self.put_off(at, event);
+            return self.postpone(at, event);
         }
-        self.daemons[at].question += 1;
+        self.daemons[at].poll += 1;
         let now = TimeMs(self.now);
-        let answer = self.aged(at, answer);
+        let answer = self.with_local_age(at, answer);
         let size = self.estimated_size(at);
         let daemon = &mut self.daemons[at];
         match answer {
@@ -298,23 +322,21 @@
                     daemon.parent = None;
                 }
             }
-            Answer::Place(report) if is_probe => daemon.selector.on_probed(now, peer, &report),
-            Answer::Place(report) | Answer::Records { report, .. }
+            Answer::Position(report) if is_probe => daemon.selector.on_probed(now, peer, &report),
+            Answer::Position(report) | Answer::Records { report, .. }
                 if daemon.selector.leads_back(&report.path) =>
             {
                 daemon.selector.on_circle(now, peer);
                 daemon.parent = None;
-                self.circles_left += 1;
+                self.cycles_left += 1;
             }
-            Answer::Place(report) | Answer::Redirect(report) => {
+            Answer::Position(report) | Answer::Redirect(report) => {
                 daemon.selector.on_peer_answered(now, peer, &report);
             }
             Answer::Records {
-                report,
-                at: revision,
-                ..
+                report, revision, ..
             } => {
-                daemon.at = daemon.at.max(revision);
+                daemon.revision = daemon.revision.max(revision);
                 daemon.selector.on_fleet_size(size);
                 daemon.selector.on_peer_answered(now, peer, &report);
                 if let Some(age) = report.proof_age {
@@ -322,12 +344,12 @@
                 }
             }
         }
-        self.end_step(at, life);
+        self.end_step(at, incarnation);
     }
 
-    /// Works out the age of the proof that came, as `client::proved_at` does: by the asking daemon's
-    /// clock, from its question on.
-    pub(super) fn aged(&self, at: usize, answer: Answer) -> Answer {
+    /// Computes the age of a received proof by the polling daemon's clock, from its poll on, like
+    /// `client::proved_at`.
+    pub(super) fn with_local_age(&self, at: usize, answer: Answer) -> Answer {
         let asked_at = self.daemons[at].asked_at;
         let age = |report: PeerReport, held_ms: u64| {
             let proved_at = report
@@ -339,14 +361,14 @@
             }
         };
         match answer {
-            Answer::Place(report) => Answer::Place(age(report, 0)),
+            Answer::Position(report) => Answer::Position(age(report, 0)),
             Answer::Records {
                 report,
-                at,
+                revision,
                 held_ms,
             } => Answer::Records {
                 report: age(report, held_ms),
-                at,
+                revision,
                 held_ms,
             },
             other => other,
--- a/crates/gateway/tests/support/tree_sim/source.rs
+++ b/crates/gateway/tests/support/tree_sim/source.rs
@@ -1,28 +1,28 @@
-//! Calls of the control source, as `replication::follow` makes them.
+//! Polls of the control source, as `replication::follow` sends them.
 
 use super::*;
 
 impl Fleet {
-    pub(super) fn ask_source(&mut self, at: usize, life: u32) {
-        self.source_calls.push((self.now / 1_000, at));
-        let question = self.daemons[at].question;
+    pub(super) fn poll_source(&mut self, at: usize, incarnation: u32) {
+        self.source_polls.push((self.now / 1_000, at));
+        let poll = self.daemons[at].poll;
         if !self.is_served[at] {
             let event = Event::SourceAnswered {
                 daemon: at,
-                life,
-                question,
-                at: None,
+                incarnation,
+                poll,
+                revision: None,
             };
             let limit = match self.watch_wait(at) {
                 0 => ANSWER_SLACK_MS,
                 wait => wait + SOURCE_SLACK_MS,
             };
-            self.daemons[at].is_source_lost = true;
+            self.daemons[at].has_source_failed = true;
             return self.schedule(limit, event);
         }
         let usual_wait = self.watch_wait(at);
-        self.daemons[at].is_source_lost = false;
-        let known = self.daemons[at].at;
+        self.daemons[at].has_source_failed = false;
+        let known = self.daemons[at].revision;
         let newest = self.revisions.len() as u64;
         let wait = match (self.daemons[at].selector.is_seed(), known == newest) {
             (false, _) => 0,
@@ -31,14 +31,14 @@
         };
         let event = Event::SourceAnswered {
             daemon: at,
-            life,
-            question,
-            at: Some(newest),
+            incarnation,
+            poll,
+            revision: Some(newest),
         };
         self.schedule(4 + wait, event);
     }
 
-    /// As `follow::wait_for_changes`.
+    /// Returns how long a poll waits for changes, like `follow::wait_for_changes`.
     pub(super) fn watch_wait(&self, at: usize) -> u64 {
         let asking = &self.daemons[at];
         let is_before = |other: &usize| {
@@ -47,43 +47,50 @@
         };
         let caller = SourceCaller {
             is_seed: asking.selector.is_seed(),
-            has_failed: asking.is_source_lost,
+            has_failed: asking.has_source_failed,
             seeds_before: (0..self.seeds.len()).filter(is_before).count(),
         };
         watch_wait(DurationMs(WATCH_WAIT_MS), caller).0
     }
 
-    pub(super) fn on_source(&mut self, at: usize, life: u32, question: u64, revision: Option<u64>) {
-        if self.daemons[at].life != life || self.daemons[at].question != question {
+    pub(super) fn on_source(
+        &mut self,
+        at: usize,
+        incarnation: u32,
+        poll: u64,
+        revision: Option<u64>,
+    ) {
+        if self.daemons[at].incarnation != incarnation || self.daemons[at].poll != poll {
             return;
         }
         if self.is_frozen(at) {
             let event = Event::SourceAnswered {
                 daemon: at,
-                life,
-                question,
-                at: revision,
+                incarnation,
+                poll,
+                revision,
             };
-            return self.put_off(at, event);
+            return self.postpone(at, event);
         }
         let now = TimeMs(self.now);
         let fleet_size = self.estimated_size(at);
         let daemon = &mut self.daemons[at];
         let asked_at = daemon.asked_at;
-        daemon.question += 1;
+        daemon.poll += 1;
         match revision {
             Some(revision) => {
-                daemon.at = daemon.at.max(revision);
+                daemon.revision = daemon.revision.max(revision);
                 daemon.selector.on_source_answered(now, TimeMs(asked_at));
                 daemon.selector.on_fleet_size(fleet_size);
                 self.prove(at, TimeMs(asked_at));
             }
             None => daemon.selector.on_source_failed(now),
         }
-        self.end_step(at, life);
+        self.end_step(at, incarnation);
     }
 
-    /// Seeds know the size of their trees; the others hear it. Here all know it once they are fresh.
+    /// Returns the size of the fleet as a daemon knows it. Seeds know the size of their trees and
+    /// pass it on; here every daemon knows it once it is fresh.
     pub(super) fn estimated_size(&self, at: usize) -> u32 {
         match self.daemons[at].proved_at {
             Some(_) => self.len() as u32,
@@ -93,15 +100,15 @@
 
     pub(super) fn prove(&mut self, at: usize, proved_at: TimeMs) {
         let daemon = &mut self.daemons[at];
-        let held_then = self
+        let newest_then = self
             .revisions
             .iter()
             .filter(|when| **when < proved_at.0)
             .count() as u64;
         assert!(
-            daemon.at >= held_then,
-            "daemon {at} has revision {} and says that this was the newest at {proved_at}, when it was {held_then}",
-            daemon.at
+            daemon.revision >= newest_then,
+            "daemon {at} has revision {} and claims that this was the newest at {proved_at}, when it was {newest_then}",
+            daemon.revision
         );
         if Some(proved_at) > daemon.proved_at {
             daemon.proved_at = Some(proved_at);
--- a/crates/gateway/tests/support/tree_sim/views.rs
+++ b/crates/gateway/tests/support/tree_sim/views.rs
@@ -1,31 +1,32 @@
-//! What a test sees of the fleet.
+//! Views of the fleet's state for tests.
 
 use super::*;
 
 impl Fleet {
-    /// Notes how long circles of parents stand.
-    pub(super) fn note_circles(&mut self) {
-        let mut standing = BTreeMap::new();
+    /// Records how long the current cycles of parents have existed.
+    pub(super) fn record_cycles(&mut self) {
+        let mut current_cycles = BTreeMap::new();
         for start in 0..self.len() {
-            let mut way = vec![start];
+            let mut path = vec![start];
             let mut seen = HashSet::from([start]);
-            while let Some(parent) = way.last().and_then(|last| self.daemons[*last].parent) {
+            while let Some(parent) = path.last().and_then(|last| self.daemons[*last].parent) {
                 if !seen.insert(parent) {
-                    let first = way.iter().position(|daemon| *daemon == parent);
-                    let mut circle = way.split_off(first.unwrap_or(0));
-                    circle.sort_unstable();
-                    let since = self.circles_since.get(&circle).copied().unwrap_or(self.now);
-                    self.longest_circle_ms = self.longest_circle_ms.max(self.now - since);
-                    standing.insert(circle, since);
+                    let first = path.iter().position(|daemon| *daemon == parent);
+                    let mut cycle = path.split_off(first.unwrap_or(0));
+                    cycle.sort_unstable();
+                    let since = self.cycles_since.get(&cycle).copied().unwrap_or(self.now);
+                    self.longest_cycle_ms = self.longest_cycle_ms.max(self.now - since);
+                    current_cycles.insert(cycle, since);
                     break;
                 }
-                way.push(parent);
+                path.push(parent);
             }
         }
-        self.circles_since = standing;
+        self.cycles_since = current_cycles;
     }
 
-    /// The oldest proof of the given daemons that live; none: one has none.
+    /// Returns the age of the oldest proof of the given daemons that run; `None` if one has no
+    /// proof.
     pub fn oldest_proof(&self, daemons: &[usize]) -> Option<u64> {
         let living = daemons.iter().filter(|at| self.daemons[**at].is_alive);
         let ages = living.map(|at| Some(self.now - self.daemons[*at].proved_at?.0));
@@ -36,7 +37,7 @@
         (0..self.len()).collect()
     }
 
-    /// Levels of the tree.
+    /// Returns the number of levels of the tree.
     pub fn depth(&self) -> usize {
         let depths = (0..self.len()).map(|start| {
             let mut depth = 1;
@@ -53,18 +54,20 @@
         depths.max().unwrap_or(0)
     }
 
-    /// Calls of the source since a second, by daemons that are no seeds.
-    pub fn calls_of_others_since(&self, from_s: u64) -> usize {
-        let calls = self.source_calls.iter();
+    /// Returns the number of polls of the source by daemons that are no seeds, since the given
+    /// second.
+    pub fn polls_by_non_seeds_since(&self, from_s: u64) -> usize {
+        let calls = self.source_polls.iter();
         calls
             .filter(|(at_s, daemon)| *at_s >= from_s && *daemon >= self.seeds.len())
             .count()
     }
 
-    /// The most daemons that asked the source in one second since then, seeds apart.
-    pub fn most_at_source_since(&self, from_s: u64) -> usize {
+    /// Returns the largest number of daemons, seeds excluded, that polled the source in one second
+    /// since then.
+    pub fn max_polling_daemons_since(&self, from_s: u64) -> usize {
         let mut by_second: BTreeMap<u64, HashSet<usize>> = BTreeMap::new();
-        for (at_s, daemon) in &self.source_calls {
+        for (at_s, daemon) in &self.source_polls {
             if *at_s >= from_s && *daemon >= self.seeds.len() {
                 by_second.entry(*at_s).or_default().insert(*daemon);
             }
@@ -72,7 +75,7 @@
         by_second.values().map(HashSet::len).max().unwrap_or(0)
     }
 
-    /// The path of a daemon, for messages of failed tests.
+    /// Returns the path of a daemon, for messages of failed tests.
     pub fn path_of(&self, daemon: usize) -> SourcePath {
         self.daemons[daemon].selector.path()
     }
