--- a/crates/gateway/tests/duties_engines.rs
+++ b/crates/gateway/tests/duties_engines.rs
@@ -1,4 +1,4 @@
-//! Engines: how many are needed, planned and ordered.
+//! Tests of engines: how many are needed, planned and ordered.
 
 use bridgevane_gateway::decisions::duties::engine_need::{EngineNeed, Need};
 use bridgevane_gateway::decisions::duties::engine_orders::{
@@ -13,8 +13,8 @@
 const START: TimeMs = TimeMs(100_000);
 const DATA_CENTRES: [&str; 3] = ["curepipe", "port-louis", "rose-hill"];
 
-/// The users' limits: 1 to 40 engines a data centre, reclaimable ones at 0.15 of the price, 4 s to
-/// start.
+/// Returns typical limits: 1 to `max` engines a data centre, 4 s to start, and the given price of
+/// reclaimable ones.
 fn scaling(max: u32, reclaimable_price: Option<f64>) -> EngineScaling {
     EngineScaling {
         min: 1,
@@ -25,11 +25,11 @@
     }
 }
 
-fn all() -> BTreeSet<DataCentreId> {
+fn all_data_centres() -> BTreeSet<DataCentreId> {
     DATA_CENTRES.map(DataCentreId::from).into()
 }
 
-fn everywhere(permanent: u32, reclaimable: u32) -> EnginesByDataCentre {
+fn in_every_data_centre(permanent: u32, reclaimable: u32) -> EnginesByDataCentre {
     let counts = EngineCounts {
         permanent,
         reclaimable,
@@ -37,11 +37,11 @@
     DATA_CENTRES.map(|name| (name.into(), counts)).into()
 }
 
-fn planned(needed: u32, scaling: &EngineScaling, without: &[&str]) -> EnginesByDataCentre {
+fn plan_for(needed: u32, scaling: &EngineScaling, without: &[&str]) -> EnginesByDataCentre {
     plan(&PlanInputs {
         needed,
         scaling,
-        data_centres: &all(),
+        data_centres: &all_data_centres(),
         without_reclaimable: &without
             .iter()
             .map(|name| DataCentreId::from(*name))
@@ -49,46 +49,56 @@
     })
 }
 
+/// The platform may reclaim all engines of one data centre at once.
 #[test]
 fn reclaimable_engines_cover_the_need_after_the_loss_of_one_data_centre() {
     let scaling = scaling(40, Some(0.15));
     for needed in 1..=60 {
-        let planned = planned(needed, &scaling, &[]);
+        let planned = plan_for(needed, &scaling, &[]);
         let reclaimable: u32 = planned.values().map(|counts| counts.reclaimable).sum();
-        let of_one = planned["curepipe"].reclaimable;
-        assert!(reclaimable - of_one >= needed, "{needed}: {planned:?}");
+        let lost = planned["curepipe"].reclaimable;
+        assert!(reclaimable - lost >= needed, "{needed}: {planned:?}");
         assert_eq!(planned["curepipe"].permanent, 1);
     }
 }
 
+/// Data centres without reclaimable engines must not reduce the capacity below the need.
 #[test]
 fn permanent_engines_replace_unavailable_reclaimable_ones() {
     let scaling = scaling(40, Some(0.15));
-    let one = planned(60, &scaling, &["curepipe"]);
-    assert_eq!(one, everywhere(1, 39));
-    let two = planned(60, &scaling, &["curepipe", "rose-hill"]);
+    let one = plan_for(60, &scaling, &["curepipe"]);
+    assert_eq!(one, in_every_data_centre(1, 39));
+    let two = plan_for(60, &scaling, &["curepipe", "rose-hill"]);
     let left: u32 = two.values().map(|counts| counts.permanent).sum();
     assert!(left + two["port-louis"].reclaimable >= 60, "{two:?}");
-    let none = planned(60, &scaling, &DATA_CENTRES);
+    let none = plan_for(60, &scaling, &DATA_CENTRES);
     assert!(
         none.values().all(|counts| counts.permanent >= 20),
         "{none:?}"
     );
 }
 
+/// Without a lower price there is no reason to risk that engines are reclaimed.
 #[test]
 fn without_cheaper_reclaimable_engines_permanent_ones_cover_the_need() {
-    assert_eq!(planned(60, &scaling(40, None), &[]), everywhere(20, 0));
-    // One that costs as much buys nothing.
-    assert_eq!(planned(60, &scaling(40, Some(1.0)), &[]), everywhere(20, 0));
+    assert_eq!(
+        plan_for(60, &scaling(40, None), &[]),
+        in_every_data_centre(20, 0)
+    );
+    // Reclaimable engines at the same price save nothing.
+    assert_eq!(
+        plan_for(60, &scaling(40, Some(1.0)), &[]),
+        in_every_data_centre(20, 0)
+    );
 }
 
+/// The operator's limits hold for permanent and reclaimable engines together.
 #[test]
 fn every_plan_respects_the_limits_for_both_kinds_together() {
     for max in 1..50 {
         for needed in [0, 1, 7, 60, 400] {
             for without in [&[][..], &DATA_CENTRES[..1], &DATA_CENTRES[..]] {
-                let planned = planned(needed, &scaling(max, Some(0.15)), without);
+                let planned = plan_for(needed, &scaling(max, Some(0.15)), without);
                 for counts in planned.values() {
                     assert!(
                         counts.all() >= 1 && counts.all() <= max,
@@ -100,6 +110,7 @@
     }
 }
 
+/// The rule leaves one data centre out of the count; with a single one no data centre would remain.
 #[test]
 fn a_single_data_centre_covers_the_whole_need() {
     let scaling = EngineScaling {
@@ -122,29 +133,29 @@
     }
 }
 
-/// A fleet that starts: 60 engines, whose records come one after the other. Read at once, the need
+/// In a starting fleet the records of 60 engines appear one after the other. Read at once, the need
 /// came to 3, and all other engines were given up.
 #[test]
 fn the_need_is_settled_once_the_engine_count_is_stable() {
-    let mut learned = EngineNeed::default();
-    assert_eq!(learned.observe(START, 0, 0), need(0, false));
+    let mut estimator = EngineNeed::default();
+    assert_eq!(estimator.observe(START, 0, 0), need(0, false));
     let later = START + DurationMs(9_000);
-    assert_eq!(learned.observe(later, 0, 0), need(0, false));
+    assert_eq!(estimator.observe(later, 0, 0), need(0, false));
     for step in 0..20_u32 {
         let now = START + DurationMs(10_000 + u64::from(step) * 1_400);
         let permanent = 3 * (step + 1);
-        assert_eq!(learned.observe(now, 0, permanent), need(permanent, false));
+        assert_eq!(estimator.observe(now, 0, permanent), need(permanent, false));
     }
     let last = START + DurationMs(10_000 + 19 * 1_400);
     let before = last + DurationMs(1_499);
-    assert_eq!(learned.observe(before, 0, 60), need(60, false));
+    assert_eq!(estimator.observe(before, 0, 60), need(60, false));
     let after = last + DurationMs(1_500);
-    assert_eq!(learned.observe(after, 0, 60), need(60, true));
-    // A successor knows it, however few run.
+    assert_eq!(estimator.observe(after, 0, 60), need(60, true));
+    // A successor knows the need, even if few engines run.
     assert_eq!(EngineNeed::default().observe(START, 60, 3), need(60, true));
 }
 
-/// The inputs of an order for a fleet that works, whose need is settled.
+/// Returns the inputs of an order for a fleet that works, whose need is settled.
 fn inputs<'a>(
     now: TimeMs,
     planned: &'a EnginesByDataCentre,
@@ -161,14 +172,14 @@
     }
 }
 
-/// Plays orders against a platform that starts engines after their time, for a fleet whose need is
-/// 60 and settled after 3 s; gives the fewest engines that ran, when all was as planned, and what
-/// ran then.
-fn replace_engines(is_idle: bool) -> (u32, Option<DurationMs>, EnginesByDataCentre) {
+/// Simulates orders on a platform that starts engines after their start time, for a fleet whose
+/// need is 60 and settled after 3 s. Returns the fewest engines that ran, the time until all ran as
+/// planned, and the engines that ran then.
+fn simulate_replacement(is_idle: bool) -> (u32, Option<DurationMs>, EnginesByDataCentre) {
     let scaling = scaling(40, Some(0.15));
-    let plan = planned(60, &scaling, &[]);
+    let plan = plan_for(60, &scaling, &[]);
     let mut book = OrderBook::default();
-    let mut running = everywhere(20, 0);
+    let mut running = in_every_data_centre(20, 0);
     let mut starting: Vec<(TimeMs, EngineOrder)> = Vec::new();
     let mut fewest = 60;
     let mut done_after = None;
@@ -180,12 +191,12 @@
                 counts.reclaimable = order.count;
             }
         }
-        let seen = running.clone();
+        let observed = running.clone();
         loop {
             let inputs = OrderInputs {
                 is_settled: tick >= 6,
                 is_idle,
-                ..inputs(now, &plan, &seen, &scaling)
+                ..inputs(now, &plan, &observed, &scaling)
             };
             let Some(order) = book.next(&inputs) else {
                 break;
@@ -208,32 +219,34 @@
     (fewest, done_after, running)
 }
 
+/// Permanent engines that are given up before their replacements run would leave requests without
+/// capacity.
 #[test]
 fn engines_are_replaced_without_a_loss_of_capacity() {
-    let (fewest, done_after, running) = replace_engines(false);
+    let (fewest, done_after, running) = simulate_replacement(false);
     assert_eq!(fewest, 60);
-    assert_eq!(running, everywhere(1, 39));
-    // One start, a look, and one more start.
+    assert_eq!(running, in_every_data_centre(1, 39));
+    // One start, a check, and one more start.
     assert!(done_after <= Some(DurationMs(9_000)), "{done_after:?}");
 }
 
-/// A fleet that starts pays for both kinds until the first are given up.
+/// A starting fleet pays for both kinds until the permanent engines are given up.
 #[test]
 fn an_idle_fleet_gives_up_engines_as_soon_as_the_need_is_settled() {
-    let (fewest, done_after, running) = replace_engines(true);
+    let (fewest, done_after, running) = simulate_replacement(true);
     assert!(fewest < 60, "{fewest}");
-    assert_eq!(running, everywhere(1, 39));
+    assert_eq!(running, in_every_data_centre(1, 39));
     assert!(done_after <= Some(DurationMs(7_000)), "{done_after:?}");
 }
 
-/// A holder that sees none of the engines yet ordered one in each data centre, and the platform gave
+/// A holder that saw none of the engines yet ordered one in each data centre, and the platform gave
 /// up the other 57.
 #[test]
 fn no_permanent_engines_are_ordered_before_the_need_is_settled() {
     let scaling = scaling(40, Some(0.15));
-    for seen in [0, 1, 7, 19] {
-        let running = everywhere(seen, 0);
-        let plan = planned(3 * seen, &scaling, &[]);
+    for observed in [0, 1, 7, 19] {
+        let running = in_every_data_centre(observed, 0);
+        let plan = plan_for(3 * observed, &scaling, &[]);
         let mut book = OrderBook::default();
         let inputs = OrderInputs {
             is_settled: false,
@@ -257,8 +270,8 @@
     }
 }
 
-/// A book whose orders for 1 and 39 engines everywhere were taken.
-fn settled_book() -> OrderBook {
+/// Returns a book whose orders for 1 and 39 engines in every data centre were accepted.
+fn book_of_accepted_orders() -> OrderBook {
     let mut book = OrderBook::default();
     for name in DATA_CENTRES {
         for (kind, count) in [(EngineKind::Permanent, 1), (EngineKind::Reclaimable, 39)] {
@@ -268,21 +281,23 @@
     book
 }
 
+/// The holder checks the plan repeatedly, and must not repeat orders that are fulfilled.
 #[test]
 fn no_order_is_placed_while_all_engines_run_as_planned() {
     let scaling = scaling(40, Some(0.15));
-    let book = settled_book();
-    let plan = everywhere(1, 39);
+    let book = book_of_accepted_orders();
+    let plan = in_every_data_centre(1, 39);
     let later = START + DurationMs(3_600_000);
     assert_eq!(book.next(&inputs(later, &plan, &plan, &scaling)), None);
 }
 
+/// The platform doesn't replace reclaimed engines, and an order may be lost.
 #[test]
 fn reclaimed_and_missing_engines_are_ordered_again() {
     let scaling = scaling(40, Some(0.15));
-    let book = settled_book();
-    let plan = everywhere(1, 39);
-    let mut running = everywhere(1, 39);
+    let book = book_of_accepted_orders();
+    let plan = in_every_data_centre(1, 39);
+    let mut running = in_every_data_centre(1, 39);
     running.insert(
         "rose-hill".into(),
         EngineCounts {
@@ -297,19 +312,20 @@
         None
     );
     let overdue = START + DurationMs(7_600);
-    let again = order("rose-hill", EngineKind::Reclaimable, 39);
+    let repeated = order("rose-hill", EngineKind::Reclaimable, 39);
     assert_eq!(
         book.next(&inputs(overdue, &plan, &running, &scaling)),
-        Some(again)
+        Some(repeated)
     );
 }
 
+/// The data centre counts as having no reclaimable engines until a later order is accepted.
 #[test]
 fn an_order_that_could_not_be_filled_is_retried_after_a_pause() {
     let scaling = scaling(40, Some(0.15));
-    let mut book = settled_book();
-    let plan = everywhere(1, 39);
-    let mut running = everywhere(1, 39);
+    let mut book = book_of_accepted_orders();
+    let plan = in_every_data_centre(1, 39);
+    let mut running = in_every_data_centre(1, 39);
     running.insert(
         "rose-hill".into(),
         EngineCounts {
--- a/crates/gateway/tests/duties_search.rs
+++ b/crates/gateway/tests/duties_search.rs
@@ -1,12 +1,13 @@
-//! The duties under faults, on a virtual clock: holders that are killed, cut off from the store, from
-//! the platform or from both, lost and late answers, a silent store, and leases that it ends early.
+//! Tests of the duties under faults, on a virtual clock: holders that are killed, cut off from the
+//! store, from the platform or from both, lost and late responses, a silent store, and leases that
+//! it ends early.
 //!
-//! The platform's rules, which hold in every order:
-//! - no window is told twice with different counts;
-//! - no two daemons act under one fence, and no fence is lower than one before it;
+//! The platform's rules, which hold in every order of faults:
+//! - no window is submitted twice with different counts;
+//! - no two daemons act under one fencing token, and no token is lower than one before it;
 //! - within one lease no daemon acts, is followed by another, and acts again.
 //!
-//! And when faults are over, usage is told in time again.
+//! After the faults, usage is submitted in time again.
 
 mod support;
 
@@ -15,41 +16,43 @@
 mod duty_sim;
 
 use bridgevane_gateway::decisions::duties::duty_state::WindowUsage;
-use duty_sim::{Daemon, LEASE, Link, Taken, World};
+use duty_sim::{AcceptedCall, Daemon, LEASE, LinkFaults, SimulatedPlatform};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Seeds of the search. Chosen so that it takes some 20 s; `DUTY_SEEDS` gives another number.
+/// The number of seeds, for a run of some 20 s; `DUTY_SEEDS` overrides it.
 const SEEDS: u64 = 120;
-/// Kinds of faults at daemons and at the store.
-const FAULTS: u32 = 9;
-/// The same, and daemons whose VM is suspended.
-const FAULTS_AND_SUSPENSION: u32 = 10;
-/// Steps of one seed, each a fault or its end.
+/// The number of kinds of faults at daemons and at the store.
+const FAULT_KINDS: u32 = 9;
+/// The same, with suspensions of a daemon's VM.
+const FAULT_KINDS_WITH_SUSPENSION: u32 = 10;
+/// Steps of one seed, each the start or end of a fault.
 const STEPS: usize = 14;
-/// The longest time that usage may take after a fault: a lease that runs out, one that a successor
-/// waits, the time until a window is told that isn't complete, and some seconds of calls.
-const SETTLED_AFTER: Duration = Duration::from_secs(25);
+/// The longest time until usage is submitted after a fault: a lease that expires, one that a
+/// successor waits, the time until an incomplete window is submitted, and some seconds of calls.
+const MAX_RECOVERY_TIME: Duration = Duration::from_secs(25);
 
-fn check_rules(taken: &[Taken]) {
+/// Asserts the platform's rules for all accepted calls.
+fn check_rules(calls: &[AcceptedCall]) {
     let mut counts: HashMap<u64, &WindowUsage> = HashMap::new();
-    for usage in taken.iter().filter_map(|call| call.usage.as_ref()) {
+    for usage in calls.iter().filter_map(|call| call.usage.as_ref()) {
         let first = *counts.entry(usage.window.0).or_insert(usage);
-        assert_eq!(first, usage, "a window was told in two ways");
+        assert_eq!(first, usage, "a window was submitted with different counts");
     }
-    let is_usage = |call: &&Taken| call.usage.is_some();
-    let (usage, orders): (Vec<&Taken>, Vec<&Taken>) = taken.iter().partition(is_usage);
+    let is_usage = |call: &&AcceptedCall| call.usage.is_some();
+    let (usage, orders): (Vec<&AcceptedCall>, Vec<&AcceptedCall>) =
+        calls.iter().partition(is_usage);
     check_holders(&usage);
     check_holders(&orders);
 }
 
-/// Checks the calls of one duty.
-fn check_holders(taken: &[&Taken]) {
-    for (at, call) in taken.iter().enumerate() {
-        for earlier in &taken[..at] {
+/// Asserts the rules on holders for the calls of one duty.
+fn check_holders(calls: &[&AcceptedCall]) {
+    for (at, call) in calls.iter().enumerate() {
+        for earlier in &calls[..at] {
             assert!(earlier.fence <= call.fence, "{call:?} after {earlier:?}");
             let is_same = earlier.vm == call.vm;
             assert!(
@@ -57,12 +60,12 @@
                 "{call:?}, {earlier:?}"
             );
         }
-        check_not_interleaved(&taken[..at], call);
+        check_not_interleaved(&calls[..at], call);
     }
 }
 
-/// Within one lease: another daemon's call between two of this one's.
-fn check_not_interleaved(before: &[&Taken], call: &Taken) {
+/// Asserts that within one lease no other daemon's call lies between two of this daemon's.
+fn check_not_interleaved(before: &[&AcceptedCall], call: &AcceptedCall) {
     let recent = before
         .iter()
         .filter(|earlier| call.at - earlier.at <= LEASE);
@@ -74,8 +77,8 @@
     assert!(between.is_none(), "{call:?} after {between:?}");
 }
 
-/// Starts virtual time.
-fn on_virtual_clock(test: impl Future<Output = ()>) {
+/// Runs a test on virtual time.
+fn run_on_virtual_clock(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -84,36 +87,46 @@
     runtime.block_on(test);
 }
 
-fn start(world: &World, vm: &str, life: u64) -> Daemon {
-    // Daemons see different work, so that two of them never count alike by chance.
-    let own = vm.bytes().map(u64::from).sum::<u64>() % 7;
-    Daemon::start(world, vm, Duration::from_millis(40 + 11 * own + life % 5))
+fn start_daemon(platform: &SimulatedPlatform, vm: &str, variant: u64) -> Daemon {
+    // Daemons see different work, so that two of them never have equal counts by chance.
+    let own_offset = vm.bytes().map(u64::from).sum::<u64>() % 7;
+    Daemon::start(
+        platform,
+        vm,
+        Duration::from_millis(40 + 11 * own_offset + variant % 5),
+    )
 }
 
-async fn until_told(world: &World, since: Instant, limit: Duration) -> Duration {
+/// Returns the time from `since` until usage is submitted; panics after `limit`.
+async fn time_until_submission(
+    platform: &SimulatedPlatform,
+    since: Instant,
+    limit: Duration,
+) -> Duration {
     while Instant::now() - since < limit {
-        let told = world.taken();
-        let is_new_usage = |call: &Taken| call.at > since && call.usage.is_some();
-        if told.iter().any(is_new_usage) {
+        let calls = platform.accepted_calls();
+        let is_new_usage = |call: &AcceptedCall| call.at > since && call.usage.is_some();
+        if calls.iter().any(is_new_usage) {
             return Instant::now() - since;
         }
         sleep(Duration::from_millis(50)).await;
     }
     panic!(
-        "no usage was told for {limit:?}; holder {:?}",
-        world.holder()
+        "no usage was submitted for {limit:?}; holder {:?}",
+        platform.holder()
     );
 }
 
+/// Without faults no window may be skipped, submitted twice or submitted late.
 #[test]
 fn every_window_is_submitted_exactly_once() {
-    on_virtual_clock(async {
-        let world = World::new();
-        let _daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start(&world, vm, 0));
+    run_on_virtual_clock(async {
+        let platform = SimulatedPlatform::new();
+        let _daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start_daemon(&platform, vm, 0));
         sleep(Duration::from_secs(62)).await;
-        let told = world.taken();
-        check_rules(&told);
-        let usage = told.iter().filter_map(|call| call.usage.as_ref());
+        let calls = platform.accepted_calls();
+        check_rules(&calls);
+        let usage = calls.iter().filter_map(|call| call.usage.as_ref());
         let windows: Vec<u64> = usage.map(|usage| usage.window.0).collect();
         let first = windows[0];
         let expected: Vec<u64> = (first..first + windows.len() as u64).collect();
@@ -122,185 +135,194 @@
     });
 }
 
+/// A successor must submit the window of a killed holder within its deadline, but not before the
+/// earlier lease has expired.
 #[test]
 fn a_killed_holder_is_replaced_in_time_for_the_window_that_is_due() {
-    on_virtual_clock(async {
-        for life in 0..20 {
-            let world = World::new();
-            let mut daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| Some(start(&world, vm, life)));
-            sleep(Duration::from_millis(12_000 + 250 * life)).await;
-            let holder = world.holder().expect("a holder");
+    run_on_virtual_clock(async {
+        for round in 0..20 {
+            let platform = SimulatedPlatform::new();
+            let mut daemons =
+                ["vm-a", "vm-b", "vm-c"].map(|vm| Some(start_daemon(&platform, vm, round)));
+            sleep(Duration::from_millis(12_000 + 250 * round)).await;
+            let holder = platform.holder().expect("a holder");
             let killed = daemons.iter_mut().find(|daemon| {
                 let daemon = daemon.as_ref();
                 daemon.is_some_and(|daemon| daemon.vm == holder)
             });
             drop(killed.and_then(Option::take));
             let before = Instant::now();
-            // A window ends, a lease runs out, the successor waits another, the next one ends.
-            let took = until_told(&world, before, Duration::from_secs(13)).await;
-            assert_ne!(world.holder(), Some(holder));
-            check_rules(&world.taken());
+            // A window ends, the lease expires, the successor waits for another, the next window
+            // ends.
+            let took = time_until_submission(&platform, before, Duration::from_secs(13)).await;
+            assert_ne!(platform.holder(), Some(holder));
+            check_rules(&platform.accepted_calls());
             assert!(took > LEASE, "{took:?}");
         }
     });
 }
 
-/// The store ends the holder's lease early while it is silent; the holder believes in it.
+/// The store ends the holder's lease early while the holder can't reach it, so the holder doesn't
+/// know.
 #[test]
 fn a_lease_that_ends_early_never_lets_two_holders_interleave() {
-    on_virtual_clock(async {
-        for step in 0..30 {
-            let world = World::new();
-            let _daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start(&world, vm, step));
-            sleep(Duration::from_millis(9_000 + 170 * step)).await;
-            let holder = world.holder().expect("a holder");
-            world.link(
+    run_on_virtual_clock(async {
+        for round in 0..30 {
+            let platform = SimulatedPlatform::new();
+            let _daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start_daemon(&platform, vm, round));
+            sleep(Duration::from_millis(9_000 + 170 * round)).await;
+            let holder = platform.holder().expect("a holder");
+            platform.set_faults(
                 &holder,
-                Link {
+                LinkFaults {
                     store_cut: true,
-                    ..Link::default()
+                    ..LinkFaults::default()
                 },
             );
-            world.end_all_leases();
+            platform.expire_all_leases();
             sleep(Duration::from_secs(20)).await;
-            check_rules(&world.taken());
+            check_rules(&platform.accepted_calls());
         }
     });
 }
 
+/// A holder that can reach the store but not the platform would otherwise keep the duties without
+/// acting.
 #[test]
 fn a_holder_that_cannot_reach_the_platform_is_replaced() {
-    on_virtual_clock(async {
-        let world = World::new();
-        let _daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start(&world, vm, 0));
+    run_on_virtual_clock(async {
+        let platform = SimulatedPlatform::new();
+        let _daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start_daemon(&platform, vm, 0));
         sleep(Duration::from_secs(8)).await;
-        let holder = world.holder().expect("a holder");
-        world.link(
+        let holder = platform.holder().expect("a holder");
+        platform.set_faults(
             &holder,
-            Link {
+            LinkFaults {
                 platform_cut: true,
-                ..Link::default()
+                ..LinkFaults::default()
             },
         );
         let cut_at = Instant::now();
-        let took = until_told(&world, cut_at, Duration::from_secs(20)).await;
-        assert_ne!(world.holder(), Some(holder), "{took:?}");
-        check_rules(&world.taken());
+        let took = time_until_submission(&platform, cut_at, Duration::from_secs(20)).await;
+        assert_ne!(platform.holder(), Some(holder), "{took:?}");
+        check_rules(&platform.accepted_calls());
     });
 }
 
-/// A VM that is suspended doesn't see time pass on its steady clock: when it wakes, its lease is over, a
-/// successor acts, and it must know.
+/// A suspended VM doesn't see time pass on its monotonic clock: when it resumes, its lease is over
+/// and a successor acts, and the daemon must detect that.
 #[test]
 fn a_holder_that_resumes_from_a_suspension_acts_no_more() {
-    on_virtual_clock(async {
-        for step in 0..20 {
-            let world = World::new();
-            let daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start(&world, vm, step));
-            sleep(Duration::from_millis(9_000 + 210 * step)).await;
-            let holder = world.holder().expect("a holder");
+    run_on_virtual_clock(async {
+        for round in 0..20 {
+            let platform = SimulatedPlatform::new();
+            let daemons = ["vm-a", "vm-b", "vm-c"].map(|vm| start_daemon(&platform, vm, round));
+            sleep(Duration::from_millis(9_000 + 210 * round)).await;
+            let holder = platform.holder().expect("a holder");
             let suspended = daemons.iter().find(|daemon| daemon.vm == holder);
-            let suspended = suspended.expect("it runs");
-            let time = Duration::from_millis(2_000 + 400 * step);
-            suspended.suspend(&world, time).await;
+            let suspended = suspended.expect("a running holder");
+            let time = Duration::from_millis(2_000 + 400 * round);
+            suspended.suspend(&platform, time).await;
             sleep(Duration::from_secs(12)).await;
-            check_rules(&world.taken());
+            check_rules(&platform.accepted_calls());
         }
     });
 }
 
-/// One seed: faults at daemons and the store begin and end at random moments.
-async fn play(seed: u64, faults: u32) {
+/// Runs one seed: faults at daemons and the store start and end at random times.
+async fn run_seed(seed: u64, faults: u32) {
     let mut random = Pcg32::seed_from_u64(seed);
-    let world = World::new();
+    let platform = SimulatedPlatform::new();
     let names = ["vm-a", "vm-b", "vm-c"];
     let mut daemons: HashMap<&str, Daemon> = HashMap::new();
     for vm in names {
-        daemons.insert(vm, start(&world, vm, seed));
+        daemons.insert(vm, start_daemon(&platform, vm, seed));
     }
     sleep(Duration::from_secs(7)).await;
     for step in 0..STEPS {
-        let holder = world.holder();
-        let drawn = names[random.random_range(0..names.len())];
-        // Faults strike the holder more often than others.
+        let holder = platform.holder();
+        let random_vm = names[random.random_range(0..names.len())];
+        // Faults affect the holder more often than other daemons.
         let vm = names.into_iter().find(|vm| Some(*vm) == holder.as_deref());
         let vm = if random.random_ratio(2, 3) {
-            vm.unwrap_or(drawn)
+            vm.unwrap_or(random_vm)
         } else {
-            drawn
+            random_vm
         };
         match random.random_range(0..faults) {
             0 => drop(daemons.remove(vm)),
             1 => {
-                let store_cut = Link {
+                let store_cut = LinkFaults {
                     store_cut: true,
-                    ..Link::default()
+                    ..LinkFaults::default()
                 };
-                world.link(vm, store_cut);
+                platform.set_faults(vm, store_cut);
             }
             2 => {
-                let later = Duration::from_millis(random.random_range(0..4_000));
-                world.link(
+                let delay = Duration::from_millis(random.random_range(0..4_000));
+                platform.set_faults(
                     vm,
-                    Link {
-                        answers_lost: Some(later),
-                        ..Link::default()
+                    LinkFaults {
+                        answers_lost: Some(delay),
+                        ..LinkFaults::default()
                     },
                 );
             }
-            3 => world.link(
+            3 => platform.set_faults(
                 vm,
-                Link {
+                LinkFaults {
                     platform_cut: true,
-                    ..Link::default()
+                    ..LinkFaults::default()
                 },
             ),
-            4 => world.silence(true),
-            5 => world.silence(false),
-            6 => world.end_all_leases(),
-            7 => world.link(vm, Link::default()),
+            4 => platform.set_silent(true),
+            5 => platform.set_silent(false),
+            6 => platform.expire_all_leases(),
+            7 => platform.set_faults(vm, LinkFaults::default()),
             9 => {
                 let time = Duration::from_millis(random.random_range(500..9_000));
                 if let Some(daemon) = daemons.get(vm) {
-                    daemon.suspend(&world, time).await;
+                    daemon.suspend(&platform, time).await;
                 }
             }
             _ => {
                 daemons
                     .entry(vm)
-                    .or_insert_with(|| start(&world, vm, seed + step as u64));
+                    .or_insert_with(|| start_daemon(&platform, vm, seed + step as u64));
             }
         }
         sleep(Duration::from_millis(random.random_range(10..3_500))).await;
     }
-    world.silence(false);
+    platform.set_silent(false);
     for vm in names {
-        world.link(vm, Link::default());
+        platform.set_faults(vm, LinkFaults::default());
         daemons
             .entry(vm)
-            .or_insert_with(|| start(&world, vm, seed + 99));
+            .or_insert_with(|| start_daemon(&platform, vm, seed + 99));
     }
     let healed_at = Instant::now();
-    until_told(&world, healed_at, SETTLED_AFTER).await;
-    check_rules(&world.taken());
+    time_until_submission(&platform, healed_at, MAX_RECOVERY_TIME).await;
+    check_rules(&platform.accepted_calls());
 }
 
+/// Searches random orders of faults for a broken rule.
 #[test]
 fn no_order_of_faults_breaks_a_rule_and_usage_is_submitted_again_after_them() {
-    let asked = std::env::var("DUTY_SEEDS").ok();
-    let seeds = asked.map_or(SEEDS, |seeds| seeds.parse().expect("a number of seeds"));
+    let seeds_variable = std::env::var("DUTY_SEEDS").ok();
+    let seeds = seeds_variable.map_or(SEEDS, |seeds| seeds.parse().expect("a number of seeds"));
     for seed in 0..seeds {
-        on_virtual_clock(async {
-            play(seed, FAULTS).await;
+        run_on_virtual_clock(async {
+            run_seed(seed, FAULT_KINDS).await;
         });
     }
 }
 
+/// The same, with suspensions of a daemon's VM.
 #[test]
 fn no_order_of_faults_and_suspensions_breaks_a_rule() {
     for seed in 0..SEEDS {
-        on_virtual_clock(async {
-            play(seed, FAULTS_AND_SUSPENSION).await;
+        run_on_virtual_clock(async {
+            run_seed(seed, FAULT_KINDS_WITH_SUSPENSION).await;
         });
     }
 }
--- a/crates/gateway/tests/duties_tenure.rs
+++ b/crates/gateway/tests/duties_tenure.rs
@@ -1,4 +1,4 @@
-//! Who may hold the duties, and until when the holder may act.
+//! Tests of the tenure: which daemon may hold the duties, and until when the holder may act.
 
 use bridgevane_gateway::decisions::duties::tenure::{
     Accession, Predecessor, StandingPlace, Tenure, stands_at,
@@ -18,6 +18,7 @@
     })
 }
 
+/// No other holder can still act in these cases, so a wait would only delay usage.
 #[test]
 fn a_first_or_returning_holder_acts_at_once() {
     for predecessor in [Predecessor::Nobody, Predecessor::Itself] {
@@ -25,31 +26,33 @@
     }
 }
 
-/// The store may have ended the earlier lease early, so that its holder still believes in it.
+/// The store may have ended the earlier lease early, while its holder still relies on it.
 #[test]
 fn a_successor_waits_until_every_earlier_lease_has_expired() {
     let mut successor = tenure(Predecessor::Another);
     successor.on_renewed(TimeMs(12_900));
     assert!(!successor.may_act(TimeMs(13_049), CALL));
     assert!(successor.may_act(TimeMs(13_050), CALL));
-    // The latest that an earlier holder can have renewed is just before the successor's grant.
+    // The latest possible renewal of an earlier holder is just before the successor's grant.
     let mut earlier = tenure(Predecessor::Nobody);
     earlier.on_renewed(TimeMs(10_050));
     assert!(!earlier.may_act(TimeMs(13_050), DurationMs(0)));
 }
 
+/// The store may have granted the lease at any time after the call was sent.
 #[test]
 fn a_lease_counts_from_the_sent_call_and_no_call_may_outlast_it() {
     let mut holder = tenure(Predecessor::Nobody);
-    // Nine tenths of the lease, from the moment when it was asked for.
+    // Nine tenths of the lease, from the time when it was requested.
     assert!(holder.may_act(TimeMs(11_700), CALL));
     assert!(!holder.may_act(TimeMs(11_701), CALL));
     assert!(holder.may_act(TimeMs(12_700), DurationMs(0)));
-    // A renewal whose answer comes after a freeze counts from when it was sent.
+    // A renewal whose response arrives after a freeze counts from when it was sent.
     holder.on_renewed(TimeMs(11_000));
     assert!(!holder.may_act(TimeMs(16_000), DurationMs(0)));
 }
 
+/// A holder that gives up its lease must not act until the lease's own end.
 #[test]
 fn an_ended_tenure_allows_no_calls() {
     let mut holder = tenure(Predecessor::Nobody);
@@ -58,6 +61,7 @@
     assert!(holder.is_over());
 }
 
+/// Candidates that start together cause rejected writes at the store.
 #[test]
 fn candidates_start_in_the_order_last_holder_seeds_others() {
     let places = [
@@ -71,6 +75,6 @@
     let at = places.map(|place| stands_at(TimeMs(5_000), place));
     assert_eq!(at[0], TimeMs(5_000));
     assert!(at.is_sorted_by(|earlier, later| earlier < later), "{at:?}");
-    // The last one stands while there is still time for a window's usage.
+    // The last candidate starts while a window's usage can still be submitted in time.
     assert!(at[5].since(at[0]) <= DurationMs(2_000), "{at:?}");
 }
--- a/crates/gateway/tests/support/duty_sim/daemon.rs
+++ b/crates/gateway/tests/support/duty_sim/daemon.rs
@@ -1,6 +1,6 @@
-//! A daemon of the simulation: the product's tasks before the simulated platform.
+//! A simulated daemon: the product's tasks, connected to the simulated platform.
 
-use super::store::{Link, Way, World};
+use super::store::{LinkFaults, PlatformClient, SimulatedPlatform};
 use super::{LEASE, WINDOW};
 use bridgevane_gateway::decisions::admission::freshness::FreshnessPolicy;
 use bridgevane_gateway::decisions::duties::usage_window::UsageCalendar;
@@ -13,10 +13,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// How finely a suspension is played.
-const STEP: Duration = Duration::from_millis(5);
+/// The step in which a suspension is simulated.
+const SUSPENSION_STEP: Duration = Duration::from_millis(5);
 
-/// A running daemon; dropped, it is killed.
+/// A running daemon; dropping it kills it.
 pub struct Daemon {
     pub vm: String,
     pub gateway: Arc<Gateway>,
@@ -35,7 +35,7 @@
 fn settings(vm: &str) -> GatewaySettings {
     GatewaySettings {
         vm: vm.into(),
-        // As long as the users': a daemon that is cut off from the store goes on for so long.
+        // A daemon that is cut off from the store continues for this time.
         freshness: FreshnessPolicy {
             proof_lifetime_ms: DurationMs(4_700),
             max_stale_age_ms: DurationMs(4_700),
@@ -53,26 +53,26 @@
 }
 
 impl Daemon {
-    /// Starts a daemon that sees a request of one customer begin every `pause`.
-    pub fn start(world: &World, vm: &str, pause: Duration) -> Self {
+    /// Starts a daemon that sees a request of one customer start every `interval`.
+    pub fn start(platform: &SimulatedPlatform, vm: &str, interval: Duration) -> Self {
         let meter = opentelemetry::global::meter("test");
         let script = ClockScript::leaked();
         let names = crate::support::names();
         let gateway = Gateway::with_clock(settings(vm), names, &meter, Clock::scripted(script));
-        let way = Way {
-            world: world.clone(),
+        let client = PlatformClient {
+            platform: platform.clone(),
             vm: vm.to_owned(),
         };
-        let counting = gateway.clone();
+        let counting_gateway = gateway.clone();
         let tasks = vec![
-            tokio::spawn(follow_control_source(gateway.clone(), way.clone())),
-            tokio::spawn(hold_duties(gateway.clone(), way.clone(), way)),
+            tokio::spawn(follow_control_source(gateway.clone(), client.clone())),
+            tokio::spawn(hold_duties(gateway.clone(), client.clone(), client)),
             tokio::spawn(async move {
                 let customer = CustomerId::from("c");
                 loop {
-                    sleep(pause).await;
-                    let now = counting.clock.now();
-                    counting.duty_book.on_request_began(now, &customer);
+                    sleep(interval).await;
+                    let now = counting_gateway.clock.now();
+                    counting_gateway.duty_book.on_request_began(now, &customer);
                 }
             }),
         ];
@@ -84,14 +84,16 @@
         }
     }
 
-    /// Its VM is suspended for so long: nothing of it gets through, and its steady clock stands still.
-    pub async fn suspend(&self, world: &World, time: Duration) {
-        world.link(&self.vm, Link::suspended());
-        let end = Instant::now() + time;
+    /// Suspends the daemon's VM: none of its calls get through, and its monotonic clock stands
+    /// still.
+    pub async fn suspend(&self, platform: &SimulatedPlatform, duration: Duration) {
+        platform.set_faults(&self.vm, LinkFaults::suspended());
+        let end = Instant::now() + duration;
         while Instant::now() < end {
-            sleep(STEP).await;
-            self.clock.stand_still(DurationMs(STEP.as_millis() as u64));
+            sleep(SUSPENSION_STEP).await;
+            self.clock
+                .stand_still(DurationMs(SUSPENSION_STEP.as_millis() as u64));
         }
-        world.link(&self.vm, Link::default());
+        platform.set_faults(&self.vm, LinkFaults::default());
     }
 }
--- a/crates/gateway/tests/support/duty_sim/mod.rs
+++ b/crates/gateway/tests/support/duty_sim/mod.rs
@@ -1,18 +1,18 @@
-//! A simulated platform on a virtual clock, before which real daemons stand for the duties and hold
-//! them: one store with leases and conditional writes, one interface for usage, and their faults.
+//! A simulated platform on a virtual clock, on which real daemons become holders of the duties: one
+//! store with leases and conditional writes, one interface for usage, and their faults.
 //!
-//! Each daemon runs the product's own tasks. It is cut off, loses answers or is killed by itself; the
-//! store is silent for all, and may end leases early meanwhile.
+//! Each daemon runs the product's own tasks. A daemon is cut off, loses responses or is killed
+//! individually; a silent store affects all, and may end leases early meanwhile.
 
 mod daemon;
 mod store;
 
 pub use daemon::Daemon;
-pub use store::{Link, Taken, World};
+pub use store::{AcceptedCall, LinkFaults, SimulatedPlatform};
 
 use std::time::Duration;
 
-/// The users' lease.
+/// The lease of the holder's key.
 pub const LEASE: Duration = Duration::from_millis(3_000);
-/// The users' windows.
+/// The width of a usage window.
 pub const WINDOW: Duration = Duration::from_millis(5_000);
--- a/crates/gateway/tests/support/duty_sim/store.rs
+++ b/crates/gateway/tests/support/duty_sim/store.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// How long a call takes.
-const CALL: Duration = Duration::from_millis(8);
+const CALL_DURATION: Duration = Duration::from_millis(8);
 /// The holder's key in the simulated store.
 const HOLDER: &str = "holder";
 /// The configuration's key.
@@ -26,29 +26,29 @@
 /// The engine's key.
 const ENGINE: &str = "engine";
 
-/// A duty's call, as the platform took it.
+/// A duty's call that the platform accepted.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct AcceptedCall {
     pub at: Instant,
     pub vm: String,
     pub fence: u64,
-    /// The usage that was told; none: engines were ordered.
+    /// The submitted usage; `None` for an order of engines.
     pub usage: Option<WindowUsage>,
 }
 
-/// What becomes of one daemon's calls.
+/// The faults of one daemon's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Link {
-    /// Calls of the store go unanswered, and aren't done.
+pub struct LinkFaults {
+    /// Calls of the store get no response and have no effect.
     pub store_cut: bool,
-    /// Calls of the store are done, some time later, and not answered.
+    /// Calls of the store take effect after this delay, but get no response.
     pub answers_lost: Option<Duration>,
-    /// Calls of the platform go unanswered, and aren't done.
+    /// Calls of the platform get no response and have no effect.
     pub platform_cut: bool,
 }
 
-impl Link {
-    /// Of a VM that is suspended.
+impl LinkFaults {
+    /// Returns the faults of a suspended VM.
     pub fn suspended() -> Self {
         Self {
             store_cut: true,
@@ -60,26 +60,26 @@
 
 #[derive(Default)]
 struct State {
-    /// From 1 on: the configuration and the engine are there.
+    /// Starts at 1: the configuration and the engine exist.
     revision: u64,
     items: HashMap<&'static str, StoredValue>,
     leases: HashMap<u64, Instant>,
     next_lease: u64,
-    /// Changes of the holder's key, as the control source has them.
-    log: Vec<SourceRecord>,
+    /// The changes of the holder's key, as the control source returns them.
+    holder_changes: Vec<SourceRecord>,
     is_silent: bool,
-    links: HashMap<String, Link>,
-    taken: Vec<Taken>,
+    link_faults: HashMap<String, LinkFaults>,
+    accepted_calls: Vec<AcceptedCall>,
 }
 
-/// The simulated platform; clones share it.
+/// The simulated platform; clones share its state.
 #[derive(Clone)]
-pub struct World {
+pub struct SimulatedPlatform {
     state: Arc<Mutex<State>>,
     changed: Arc<watch::Sender<u64>>,
 }
 
-fn name(key: DutyKey) -> &'static str {
+fn store_key(key: DutyKey) -> &'static str {
     match key {
         DutyKey::Holder => HOLDER,
         DutyKey::State => "state",
@@ -90,7 +90,7 @@
     fn write(&mut self, key: &'static str, value: Bytes, lease: Option<LeaseId>) {
         let revision = Revision(self.revision);
         if key == HOLDER {
-            self.log.push(SourceRecord {
+            self.holder_changes.push(SourceRecord {
                 key: HOLDER.to_owned(),
                 revision,
                 value: Some(value.clone()),
@@ -106,11 +106,11 @@
 
     fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
-        let is_under = |stored: &StoredValue| stored.lease == Some(LeaseId(lease));
-        if self.items.get(HOLDER).is_some_and(is_under) {
+        let is_attached = |stored: &StoredValue| stored.lease == Some(LeaseId(lease));
+        if self.items.get(HOLDER).is_some_and(is_attached) {
             self.items.remove(HOLDER);
             self.revision += 1;
-            self.log.push(SourceRecord {
+            self.holder_changes.push(SourceRecord {
                 key: HOLDER.to_owned(),
                 revision: Revision(self.revision),
                 value: None,
@@ -120,7 +120,7 @@
 
     fn transact(&mut self, transaction: &Transaction) -> TransactionOutcome {
         let is_met = |(key, expected): &(DutyKey, Revision)| {
-            let found = self.items.get(name(*key));
+            let found = self.items.get(store_key(*key));
             found.map_or(Revision(0), |found| found.revision) == *expected
         };
         if !transaction.expected.iter().all(is_met) {
@@ -135,23 +135,23 @@
         }
         self.revision += 1;
         for put in &transaction.puts {
-            self.write(name(put.key), put.value.clone(), put.lease);
+            self.write(store_key(put.key), put.value.clone(), put.lease);
         }
         TransactionOutcome::Done(Revision(self.revision))
     }
 }
 
-impl World {
+impl SimulatedPlatform {
     pub fn new() -> Self {
-        let world = Self {
+        let platform = Self {
             state: Arc::new(Mutex::new(State {
                 revision: 1,
                 ..State::default()
             })),
             changed: Arc::new(watch::Sender::new(0)),
         };
-        tokio::spawn(world.clone().expire_leases());
-        world
+        tokio::spawn(platform.clone().expire_leases());
+        platform
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -162,27 +162,27 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Leases run out at their time, also while the store is silent.
+    /// Ends leases at their time, also while the store is silent.
     async fn expire_leases(self) {
         loop {
             sleep(Duration::from_millis(10)).await;
             let now = Instant::now();
             let mut state = self.lock();
             let leases = state.leases.iter();
-            let over = leases.filter(|(_, ends_at)| **ends_at <= now);
-            let over: Vec<u64> = over.map(|(lease, _)| *lease).collect();
-            for lease in &over {
+            let expired = leases.filter(|(_, ends_at)| **ends_at <= now);
+            let expired: Vec<u64> = expired.map(|(lease, _)| *lease).collect();
+            for lease in &expired {
                 state.end_lease(*lease);
             }
             drop(state);
-            if !over.is_empty() {
+            if !expired.is_empty() {
                 self.on_changed();
             }
         }
     }
 
-    /// Every lease runs out now, whatever its holder believes.
-    pub fn end_all_leases(&self) {
+    /// Ends every lease now, without a notice to its holder.
+    pub fn expire_all_leases(&self) {
         let mut state = self.lock();
         let leases: Vec<u64> = state.leases.keys().copied().collect();
         for lease in leases {
@@ -192,23 +192,23 @@
         self.on_changed();
     }
 
-    /// Whether the store answers nobody.
-    pub fn silence(&self, is_silent: bool) {
+    /// Sets whether the store answers no daemon.
+    pub fn set_silent(&self, is_silent: bool) {
         self.lock().is_silent = is_silent;
         self.on_changed();
     }
 
-    pub fn link(&self, vm: &str, link: Link) {
-        self.lock().links.insert(vm.to_owned(), link);
+    pub fn set_faults(&self, vm: &str, faults: LinkFaults) {
+        self.lock().link_faults.insert(vm.to_owned(), faults);
         self.on_changed();
     }
 
-    /// Every call that the platform took, in order.
-    pub fn taken(&self) -> Vec<Taken> {
-        self.lock().taken.clone()
+    /// Returns every call that the platform accepted, in order.
+    pub fn accepted_calls(&self) -> Vec<AcceptedCall> {
+        self.lock().accepted_calls.clone()
     }
 
-    /// The VM that holds the duties, as the store has it.
+    /// Returns the VM that holds the duties, according to the store.
     pub fn holder(&self) -> Option<String> {
         let state = self.lock();
         let stored = state.items.get(HOLDER)?;
@@ -217,47 +217,47 @@
     }
 }
 
-/// One daemon's way to the platform.
+/// One daemon's connections to the platform.
 #[derive(Clone)]
-pub struct Way {
-    pub world: World,
+pub struct PlatformClient {
+    pub platform: SimulatedPlatform,
     pub vm: String,
 }
 
-impl Way {
-    fn link(&self) -> Link {
-        let state = self.world.lock();
-        state.links.get(&self.vm).copied().unwrap_or_default()
+impl PlatformClient {
+    fn faults(&self) -> LinkFaults {
+        let state = self.platform.lock();
+        state.link_faults.get(&self.vm).copied().unwrap_or_default()
     }
 
-    /// A call of the store: done now and answered, done later and not answered, or neither.
+    /// Calls the store: executed now and answered, executed later and not answered, or neither.
     async fn call<T: Send + 'static>(
         &self,
         work: impl FnOnce(&mut State) -> T + Send + 'static,
     ) -> Result<T, SourceError> {
-        sleep(CALL / 2).await;
-        let link = self.link();
-        if link.store_cut || self.world.lock().is_silent {
+        sleep(CALL_DURATION / 2).await;
+        let faults = self.faults();
+        if faults.store_cut || self.platform.lock().is_silent {
             return std::future::pending().await;
         }
-        if let Some(later) = link.answers_lost {
-            let world = self.world.clone();
-            // Goes on when the caller gives up, or is killed.
+        if let Some(delay) = faults.answers_lost {
+            let platform = self.platform.clone();
+            // The call is executed even if the caller gives up or is killed.
             tokio::spawn(async move {
-                sleep(later).await;
-                work(&mut world.lock());
-                world.on_changed();
+                sleep(delay).await;
+                work(&mut platform.lock());
+                platform.on_changed();
             });
             return std::future::pending().await;
         }
-        let done = work(&mut self.world.lock());
-        self.world.on_changed();
-        sleep(CALL / 2).await;
+        let done = work(&mut self.platform.lock());
+        self.platform.on_changed();
+        sleep(CALL_DURATION / 2).await;
         Ok(done)
     }
 }
 
-impl DutyStore for Way {
+impl DutyStore for PlatformClient {
     async fn grant_lease(&self, lease_ms: DurationMs) -> Result<LeaseId, SourceError> {
         self.call(move |state| {
             state.next_lease += 1;
@@ -286,7 +286,7 @@
     }
 
     async fn read(&self, key: DutyKey) -> Result<Option<StoredValue>, SourceError> {
-        self.call(move |state| state.items.get(name(key)).cloned())
+        self.call(move |state| state.items.get(store_key(key)).cloned())
             .await
     }
 
@@ -296,46 +296,46 @@
     }
 }
 
-impl Way {
-    /// A call of the platform.
-    async fn take(&self, credentials: &Credentials, usage: Option<WindowUsage>) {
-        sleep(CALL / 2).await;
-        if self.link().platform_cut {
+impl PlatformClient {
+    /// Calls the platform.
+    async fn accept(&self, credentials: &Credentials, usage: Option<WindowUsage>) {
+        sleep(CALL_DURATION / 2).await;
+        if self.faults().platform_cut {
             return std::future::pending().await;
         }
-        self.world.lock().taken.push(Taken {
+        self.platform.lock().accepted_calls.push(AcceptedCall {
             at: Instant::now(),
             vm: self.vm.clone(),
             fence: credentials.fence.0,
             usage,
         });
-        sleep(CALL / 2).await;
+        sleep(CALL_DURATION / 2).await;
     }
 }
 
-impl DutyPlatform for Way {
+impl DutyPlatform for PlatformClient {
     async fn tell_usage(
         &self,
         credentials: &Credentials,
         usage: &WindowUsage,
     ) -> Result<(), DutyCallError> {
-        self.take(credentials, Some(usage.clone())).await;
+        self.accept(credentials, Some(usage.clone())).await;
         Ok(())
     }
 
-    /// There are never any, so that the holder asks again and again.
+    /// Answers that no engines are available, so that the holder orders repeatedly.
     async fn order_engines(
         &self,
         credentials: &Credentials,
         _service: &ServiceName,
         _order: &EngineOrder,
     ) -> Result<OrderOutcome, DutyCallError> {
-        self.take(credentials, None).await;
+        self.accept(credentials, None).await;
         Ok(OrderOutcome::Unavailable)
     }
 }
 
-/// The configuration: one service whose engines may be ordered.
+/// Returns the configuration: one service whose engines may be ordered.
 fn table() -> RoutingTable {
     let scaling = EngineScaling {
         min: 1,
@@ -362,7 +362,7 @@
     })
 }
 
-/// Its only engine.
+/// Returns the service's only engine.
 fn engine() -> EndpointRecord {
     EndpointRecord {
         born: None,
@@ -378,7 +378,7 @@
     }
 }
 
-/// A record that is there from the beginning.
+/// Returns a record that exists from the beginning.
 fn first_record(key: &str) -> SourceRecord {
     SourceRecord {
         key: key.to_owned(),
@@ -387,12 +387,12 @@
     }
 }
 
-impl ControlSource for Way {
+impl ControlSource for PlatformClient {
     async fn full_state(&self, _progress: &ReadProgress) -> Result<FullState, SourceError> {
         self.call(|state| FullState {
             at: Revision(state.revision),
             records: state
-                .log
+                .holder_changes
                 .last()
                 .cloned()
                 .into_iter()
@@ -404,13 +404,13 @@
     }
 
     async fn changes(&self, after: Revision, wait: DurationMs) -> Result<Changes, SourceError> {
-        let mut changed = self.world.changed.subscribe();
+        let mut changed = self.platform.changed.subscribe();
         let until = Instant::now() + wait.as_std();
         loop {
             let found = self
                 .call(move |state| {
-                    let log = state.log.iter();
-                    let newer = log.filter(|record| record.revision > after);
+                    let changes = state.holder_changes.iter();
+                    let newer = changes.filter(|record| record.revision > after);
                     Changes {
                         at: Revision(state.revision),
                         records: newer.cloned().collect(),
