--- a/crates/gateway/src/decisions/duties/engine_orders.rs
+++ b/crates/gateway/src/decisions/duties/engine_orders.rs
@@ -100,7 +100,8 @@
         self.answered.insert(order.key.clone(), answered);
     }
 
-    /// Returns the data centres that had no reclaimable engines available at their last order.
+    /// Returns the data centres that count as having no reclaimable engines: the platform couldn't
+    /// fill their last order.
     pub fn without_reclaimable(&self) -> BTreeSet<DataCentreId> {
         let unavailable = self
             .answered
--- a/crates/gateway/src/decisions/duties/usage_window.rs
+++ b/crates/gateway/src/decisions/duties/usage_window.rs
@@ -49,7 +49,7 @@
 /// When a window's usage is submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageDue {
-    /// Now.
+    /// Its usage is submitted now.
     Now,
     /// Not before this time, unless another daemon closes the window meanwhile.
     At(WallTimeMs),
--- a/crates/gateway/src/decisions/replication/fleet_size.rs
+++ b/crates/gateway/src/decisions/replication/fleet_size.rs
@@ -10,7 +10,7 @@
 //! Used by: [`crate::decisions::resend::retry_budget`] and
 //! [`crate::decisions::endpoint::idle_connections`].
 //!
-//! Tests: `decisions.rs::a_fleet_is_as_large_as_it_was_lately`.
+//! Tests: `decisions.rs::a_fleet_keeps_its_largest_recent_size_until_the_report_expires`.
 
 use bridgevane_types::{DurationMs, TimeMs};
 
--- a/crates/gateway/src/decisions/replication/proof_limits.rs
+++ b/crates/gateway/src/decisions/replication/proof_limits.rs
@@ -14,8 +14,8 @@
 //! Each limit is the smaller of the two. The part left of C shrinks in proportion where C is under
 //! 2 s.
 //!
-//! Reason: a limit of 1.6 s in place of 2.8 s sent whole data centres of the large site to the
-//! source whenever the tree was rearranged (116 of 295 daemons in one second of a quiet day), while
+//! Reason: a limit of 1.6 s in place of 2.8 s sent whole data centres of a fleet of 295 daemons to
+//! the source whenever the tree was rearranged (116 of them in one second of a quiet day), while
 //! cycles persisted. 2.8 s where changes must be in force within 2 s broke that bound while the
 //! source refused all seeds. The time that is left must cover a search (0.02 s, while daemons
 //! answer), a slot at the source (0.1 s and more) and a slow source (0.24 s); they fit into 0.6 s
--- a/crates/gateway/src/decisions/replication/record_expiry.rs
+++ b/crates/gateway/src/decisions/replication/record_expiry.rs
@@ -17,8 +17,8 @@
 //! endpoints were kept and renewed. Without the end at `RECORD_RESTORE_TIME` an endpoint was used
 //! for 3.01 s of 3 s allowed.
 //!
-//! Tests: `admission.rs::records_that_go_after_an_outage…`, `freshness.rs::a_record_that_lapsed…`,
-//! `a_record_that_does_not_come_back…`.
+//! Tests: `admission.rs::records_removed_after_an_outage…`,
+//! `freshness.rs::a_record_that_lapsed…`, `a_record_that_does_not_come_back…`.
 
 use bridgevane_types::{DurationMs, TimeMs};
 
--- a/crates/gateway/src/decisions/replication/source_pacing.rs
+++ b/crates/gateway/src/decisions/replication/source_pacing.rs
@@ -11,9 +11,9 @@
 //!   `FLEET_CALLS_PER_S` times a second: a daemon that succeeds passes the state on to the others.
 //!
 //! Reason: the source can serve a few callers, not one for each daemon, and never the whole fleet
-//! in one second: without pacing 116 to 295 daemons polled it in the same second (large site). Few
-//! daemons lose their parents at once, since a tree has few daemons near its root; a daemon that is
-//! isolated from all others has no peer that could poll for it.
+//! in one second: without pacing 116 to 295 daemons of a fleet of 295 polled it in the same second.
+//! Few daemons lose their parents at once, since a tree has few daemons near its root; a daemon
+//! that is isolated from all others has no peer that could poll for it.
 //!
 //! See docs/design/15.
 //!
@@ -58,7 +58,7 @@
 ///
 /// Seeds exchange their proofs: the first of the running ones waits for one interval, the second
 /// for two, the third for three. With waits of three intervals for all, a change wakes all seeds at
-/// once, so that they wait in step, and the fleet's proofs were up to 3 s old (large site, quiet
+/// once, so that they wait in step, and the fleet's proofs were up to 3 s old (295 daemons, quiet
 /// day: 109 calls, 0.05 of requests refused).
 ///
 /// A response is needed at once by a daemon that is no seed, since it polls in place of a parent
--- a/crates/gateway/tests/follow_tree.rs
+++ b/crates/gateway/tests/follow_tree.rs
@@ -2,9 +2,9 @@
 //! polls of the source, and the age of proofs, in small fleets under all orders of faults and in
 //! large ones.
 //!
-//! Failures behind it: on the large site whole data centres followed each other in cycles of three
-//! and four daemons until their proofs were too old, and 116 to 295 daemons polled the source in
-//! one second.
+//! Failures behind it: in a fleet of 295 daemons whole data centres followed each other in cycles
+//! of three and four daemons until their proofs were too old, and 116 to 295 daemons polled the
+//! source in one second.
 
 #[path = "support/tree_sim/mod.rs"]
 #[allow(dead_code)]
@@ -17,7 +17,7 @@
 /// A poll is held for 0.6 s, and each daemon of a cycle polls once before all of them detect it.
 const MAX_CYCLE_MS: u64 = 1_300;
 
-/// Returns a fleet like the large site: five data centres, three of them with a seed.
+/// Returns a fleet of 295 daemons in five data centres, three of them with a seed.
 fn large_fleet(seed: u64) -> Fleet {
     Fleet::new(&[64, 54, 61, 54, 62], 3, seed)
 }
@@ -126,7 +126,8 @@
     }
 }
 
-/// On the large site 215 daemons polled the source in one second though only 88 were cut off.
+/// In such a partition 215 daemons of 295 polled the source in one second though only 88 were cut
+/// off.
 #[test]
 fn both_parts_of_a_partitioned_fleet_stay_fresh() {
     for seed in 0..3 {
--- a/crates/gateway/tests/upstream.rs
+++ b/crates/gateway/tests/upstream.rs
@@ -273,7 +273,7 @@
     assert_eq!(selector.select(late), Upstream::Peer(second));
 }
 
-/// Guards against a rush at the source: on the large site 116 to 295 daemons polled it in the same
+/// Guards against a rush at the source: in a fleet of 295, 116 to 295 daemons polled it in the same
 /// second.
 #[test]
 fn daemons_with_stale_parents_spread_their_polls_of_the_source() {
@@ -376,8 +376,8 @@
     }
 }
 
-/// Guards against cycles: on the large site whole data centres followed each other in cycles of
-/// three and four daemons.
+/// Guards against cycles: whole data centres followed each other in cycles of three and four
+/// daemons.
 #[test]
 fn a_daemon_that_follows_this_one_is_never_adopted() {
     let (mut selector, parent) = with_fresh_parent(9, LATER);
