--- a/crates/gateway/src/decisions/duties/engine_plan.rs
+++ b/crates/gateway/src/decisions/duties/engine_plan.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns the number of engines of both kinds.
-    pub fn all(&self) -> u32 {
+    pub fn total(&self) -> u32 {
         self.permanent + self.reclaimable
     }
 }
--- a/crates/gateway/tests/duties_engines.rs
+++ b/crates/gateway/tests/duties_engines.rs
@@ -101,7 +101,7 @@
                 let planned = plan_for(needed, &scaling(max, Some(0.15)), without);
                 for counts in planned.values() {
                     assert!(
-                        counts.all() >= 1 && counts.all() <= max,
+                        counts.total() >= 1 && counts.total() <= max,
                         "{max}: {planned:?}"
                     );
                 }
@@ -211,7 +211,7 @@
             book.on_answered(now, &order, OrderOutcome::Taken);
             starting.push((now + scaling.boot_ms, order));
         }
-        fewest = fewest.min(running.values().map(EngineCounts::all).sum());
+        fewest = fewest.min(running.values().map(EngineCounts::total).sum());
         if running == plan && done_after.is_none() {
             done_after = Some(now.since(START));
         }
