--- a/crates/gateway/src/control/duty_holder.rs
+++ b/crates/gateway/src/control/duty_holder.rs
@@ -1,25 +1,25 @@
-//! Who holds the duties, as this daemon's replica has it.
+//! The daemon that holds the duties, according to this daemon's replica.
 
 use crate::control::holder_record::HolderRecord;
 use crate::control::source::Revision;
 use bridgevane_types::TimeMs;
 
-/// What is known of the holder.
+/// What this daemon knows of the holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) enum HolderView {
-    /// Nothing yet.
+    /// The replica hasn't been read yet.
     #[default]
     Unknown,
-    /// Nobody holds the duties.
+    /// No daemon holds the duties.
     Vacant {
-        /// Since when, as far as this daemon saw.
+        /// When this daemon first saw the duties without a holder.
         since: TimeMs,
     },
-    /// This daemon does.
+    /// The duties have this holder.
     Held(HolderRecord),
 }
 
-/// The view, and the revision that it is of: an older one never replaces a newer one.
+/// The view and its revision. A view of an older revision never replaces a newer one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HolderEntry {
     revision: Revision,
@@ -31,7 +31,7 @@
         &self.view
     }
 
-    /// The entry after a daemon has become the holder.
+    /// Returns the entry after a daemon has become the holder.
     pub(crate) fn with_holder(&self, revision: Revision, holder: HolderRecord) -> Self {
         if revision < self.revision {
             return self.clone();
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The entry after the key was seen to be gone.
+    /// Returns the entry after the holder's key was removed.
     pub(crate) fn without_holder(&self, revision: Revision, now: TimeMs) -> Self {
         if revision < self.revision {
             return self.clone();
--- a/crates/gateway/src/control/endpoint_registry.rs
+++ b/crates/gateway/src/control/endpoint_registry.rs
@@ -1,10 +1,11 @@
-//! The endpoint registry: every endpoint that has a record, or had one until lately, with its
-//! revision.
+//! The endpoint registry: every endpoint that has a record, or had one until recently, with the
+//! revision of that record.
 //!
-//! Only the follower of the source touches it, under the lock of [`super::state`]; requests read
-//! the [`Directory`] that is made of it. An older record never replaces a newer one
-//! ([`super::record_order`]). A later life of an endpoint is another endpoint under the same id: prompts
-//! that were read, load, health, connections and what others tell of the earlier one go with it.
+//! Only the task that follows the source uses it, under the lock of [`super::state`]; requests read
+//! the [`Directory`] that is built from it. An older record never replaces a newer one
+//! ([`super::record_order`]). A newer incarnation of an endpoint counts as another endpoint with
+//! the same id: the cached prompts, load, health, connections and other daemons' reports of the
+//! older incarnation are dropped.
 
 use crate::control::record_order::RecordOrder;
 use crate::control::source::Revision;
@@ -23,81 +24,81 @@
 struct RegistryEntry {
     /// The revision of the newest record, or of its removal.
     revision: Revision,
-    /// Where that record stands among all that the endpoint wrote.
+    /// The position of that record among all records that the endpoint wrote.
     order: RecordOrder,
     endpoint: Arc<Endpoint>,
 }
 
-/// Lines of endpoints in one batch of records at most. Not measured by itself, chosen because the log's buffer
-/// holds some 1,000 lines: the others of a whole state are made to be dropped, and keep a daemon that starts
-/// from serving.
-const MAX_LINES_OF_A_BATCH: usize = 256;
+/// The maximum number of log lines about endpoints per batch of records. The log buffer holds some
+/// 1,000 lines; more lines would be dropped and would delay a daemon that starts.
+const MAX_LOG_LINES_PER_BATCH: usize = 256;
 
-/// What a newer record of an endpoint that is known changes.
+/// The part of a known endpoint that a newer record changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RecordChange {
-    /// What it tells of itself.
-    Told,
-    /// Its service or its data centre.
-    Moved,
-    /// It drains, or doesn't any more.
-    DrainsAnew,
+enum EndpointUpdate {
+    /// Attributes that the directory doesn't depend on.
+    Attributes,
+    /// The service or the data centre.
+    Placement,
+    /// Whether the endpoint drains.
+    Draining,
 }
 
-/// The registry.
+/// The endpoints by id, and what is needed to rebuild the directory.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointRegistry {
     entries: HashMap<EndpointId, RegistryEntry>,
-    /// Endpoints that said that they leave, and have no entry any more.
+    /// Endpoints that announced that they leave and have no entry any more.
     leaving: LeavingLives,
     next_index: u32,
-    /// Endpoints that aren't logged one by one any more in the batch that is taken in.
-    unlogged: usize,
-    /// Lines that the batch may still have.
-    lines_left: usize,
-    /// Endpoints came or went, or may get work now and might not before, or the other way round.
+    /// The number of endpoints in the current batch that weren't logged individually.
+    unlogged_endpoints: usize,
+    /// The number of log lines left for the current batch.
+    log_lines_left: usize,
+    /// Whether endpoints were added or removed, or became eligible or ineligible for requests.
     needs_directory: bool,
 }
 
 impl EndpointRegistry {
-    /// Another batch of records is taken in.
+    /// Starts a batch of records.
     pub(crate) fn begin_batch(&mut self) {
-        self.lines_left = MAX_LINES_OF_A_BATCH;
-        self.unlogged = 0;
+        self.log_lines_left = MAX_LOG_LINES_PER_BATCH;
+        self.unlogged_endpoints = 0;
     }
 
-    /// The batch is taken in: says how many endpoints weren't logged one by one.
+    /// Ends the batch and logs how many endpoints weren't logged individually.
     pub(crate) fn end_batch(&mut self) {
-        let endpoints = std::mem::take(&mut self.unlogged);
+        let endpoints = std::mem::take(&mut self.unlogged_endpoints);
         if endpoints > 0 {
             event!(Event::EndpointsSeen, endpoints = endpoints);
         }
     }
 
-    fn log_seen(&mut self, record: &EndpointRecord, revision: Revision) {
-        if self.lines_left == 0 {
-            self.unlogged += 1;
+    fn log_within_limit(&mut self, record: &EndpointRecord, revision: Revision) {
+        if self.log_lines_left == 0 {
+            self.unlogged_endpoints += 1;
             return;
         }
-        self.lines_left -= 1;
+        self.log_lines_left -= 1;
         log_record(record, revision);
     }
 
-    /// Whether the directory of the last call is no longer true. Most records change what an endpoint says of
-    /// itself, and no directory: to build one takes a look at every endpoint.
+    /// Returns whether the directory must be rebuilt, and resets that. Most records change only
+    /// attributes that the directory doesn't depend on; building one iterates over all endpoints.
     pub(crate) fn take_needs_directory(&mut self) -> bool {
         std::mem::take(&mut self.needs_directory)
     }
 
-    /// The directory of the endpoints that may get work.
+    /// Returns the directory of the endpoints that may get requests.
     pub(crate) fn directory(&self, evacuations: &Evacuations) -> Directory {
         let entries = self.entries.values();
         Directory::new(entries.map(|entry| &entry.endpoint), evacuations)
     }
 
-    /// The endpoints of a data centre may have turned cold without having said so: each counts as cold for
-    /// as long as `cold_ms` says of its service. Gives how many there are.
-    pub(crate) fn suspect_cold(
+    /// Marks the endpoints of a data centre as cold, since they may have become cold without
+    /// reporting it. Each stays cold for the time that `cold_ms` returns for its service. Returns
+    /// the number of endpoints.
+    pub(crate) fn assume_cold(
         &self,
         data_centre: &DataCentreId,
         now: TimeMs,
@@ -112,7 +113,7 @@
             .count()
     }
 
-    /// The endpoints of a data centre.
+    /// Returns the endpoints of a data centre.
     pub(crate) fn in_data_centre(
         &self,
         data_centre: &DataCentreId,
@@ -121,10 +122,10 @@
         endpoints.filter(move |endpoint| endpoint.record.load().data_centre == *data_centre)
     }
 
-    /// Takes a record in, unless a newer one is known.
+    /// Inserts or updates an endpoint, unless a newer record of it is known.
     pub(crate) fn upsert(&mut self, record: EndpointRecord, revision: Revision, now: TimeMs) {
         let cold_remaining_ms = record.cold_remaining_ms;
-        let order = RecordOrder::of(&record, revision);
+        let order = RecordOrder::from_record(&record, revision);
         if let Some(entry) = self.entries.get_mut(&record.id) {
             if entry.revision >= revision {
                 return;
@@ -137,20 +138,20 @@
                 );
                 return;
             }
-            if !order.is_later_life(&entry.order) {
+            if !order.is_newer_incarnation(&entry.order) {
                 let change = entry.update(record, order, revision);
                 entry.endpoint.cold.extend(now, cold_remaining_ms);
                 let endpoint = entry.endpoint.clone();
-                self.needs_directory |= change != RecordChange::Told;
-                if change == RecordChange::DrainsAnew {
-                    self.log_seen(&endpoint.record.load(), revision);
+                self.needs_directory |= change != EndpointUpdate::Attributes;
+                if change == EndpointUpdate::Draining {
+                    self.log_within_limit(&endpoint.record.load(), revision);
                 }
                 return;
             }
-            // Nothing that is known of the earlier life is true of this one.
+            // All that is known belongs to the older incarnation.
             self.drop_entry(&record.id);
         }
-        self.log_seen(&record, revision);
+        self.log_within_limit(&record, revision);
         self.needs_directory = true;
         let index = EndpointIx(self.next_index);
         self.next_index += 1;
@@ -170,7 +171,7 @@
         );
     }
 
-    /// A record is gone.
+    /// Removes an endpoint whose record was removed.
     pub(crate) fn remove(&mut self, id: &EndpointId, revision: Revision, removal: Removal) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
@@ -181,7 +182,7 @@
         entry.revision = revision;
         let is_leaving = entry.endpoint.is_leaving();
         match removal {
-            // An endpoint that said that it leaves is not expected back.
+            // An endpoint that announced that it leaves isn't expected back.
             Removal::ExpiresAt(at) if !is_leaving => {
                 entry.endpoint.expire_at(at);
                 event!(Event::EndpointLapsed, endpoint = id, revision = revision);
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Removes every endpoint that a whole state at `revision` doesn't list.
+    /// Removes every endpoint that a full state at `revision` doesn't list.
     pub(crate) fn remove_unlisted(
         &mut self,
         listed: &HashSet<EndpointId>,
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Drops endpoints whose records did not come back in time; false when there are none.
+    /// Drops endpoints whose records didn't come back in time; returns false when there are none.
     pub(crate) fn drop_expired(&mut self, now: TimeMs) -> bool {
         let entries = self.entries.iter();
         let expired = entries.filter(|(_, entry)| entry.endpoint.has_expired(now));
@@ -231,27 +232,27 @@
 }
 
 impl RegistryEntry {
-    /// Takes a newer record of the same life.
+    /// Applies a newer record of the same incarnation.
     fn update(
         &mut self,
         record: EndpointRecord,
         order: RecordOrder,
         revision: Revision,
-    ) -> RecordChange {
+    ) -> EndpointUpdate {
         self.revision = revision;
         self.order = order;
         self.endpoint.renew();
         let before = self.endpoint.record.load_full();
-        let drains_anew = before.is_draining != record.is_draining;
-        let has_moved =
+        let draining_changed = before.is_draining != record.is_draining;
+        let placement_changed =
             before.service != record.service || before.data_centre != record.data_centre;
         self.endpoint.record.store(Arc::new(record));
-        if drains_anew {
-            RecordChange::DrainsAnew
-        } else if has_moved {
-            RecordChange::Moved
+        if draining_changed {
+            EndpointUpdate::Draining
+        } else if placement_changed {
+            EndpointUpdate::Placement
         } else {
-            RecordChange::Told
+            EndpointUpdate::Attributes
         }
     }
 }
--- a/crates/gateway/src/control/holder_record.rs
+++ b/crates/gateway/src/control/holder_record.rs
@@ -1,4 +1,4 @@
-//! The holder's own record in the control source, and its value there.
+//! The record of the duties' holder in the control source, and its encoding.
 
 use crate::decisions::duties::usage_collection::DaemonLife;
 use bridgevane_protocol::DutyHolder;
@@ -10,17 +10,17 @@
 /// The holder, as it wrote itself into the control source.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HolderRecord {
-    /// The daemon.
+    /// The daemon that holds the duties.
     pub daemon: DaemonLife,
-    /// Where other daemons reach it; none: nowhere.
+    /// The address for other daemons; none if it can't be reached.
     pub peer_address: Option<SocketAddr>,
 }
 
 impl HolderRecord {
-    /// The holder that a value of the control source names.
+    /// Decodes a value of the control source.
     ///
     /// # Errors
-    /// When the value is no such record.
+    /// When the value isn't a holder's record.
     pub fn decode(value: &Bytes) -> Result<Self, DecodeError> {
         let message = DutyHolder::decode(value.clone())?;
         Ok(Self {
@@ -28,12 +28,12 @@
                 vm: VmId::from(message.vm.as_str()),
                 incarnation: Incarnation(message.incarnation),
             },
-            // An empty text, or one that is no address: nobody can reach it.
+            // An empty or invalid address: other daemons can't reach the holder.
             peer_address: message.peer_address.parse().ok(),
         })
     }
 
-    /// The value that names this holder.
+    /// Encodes the record as a value of the control source.
     pub(crate) fn encode(&self) -> Bytes {
         let address = self.peer_address;
         let message = DutyHolder {
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! What the control source says: routes, customers and endpoints, and how recent that is.
+//! State read from the control source: routes, customers and endpoints, and how recent it is.
 //!
-//! [`source`] is the trait that an adapter implements; [`state`] is what came of it, which requests
-//! read without locks. Its only writer is [`crate::replication::follow`].
+//! [`source`] is the trait that an adapter implements; [`state`] holds the result, which requests
+//! read without locks. [`crate::replication::follow`] writes it.
 
 pub(crate) mod duty_holder;
 pub(crate) mod endpoint_registry;
--- a/crates/gateway/src/control/patch.rs
+++ b/crates/gateway/src/control/patch.rs
@@ -1,24 +1,24 @@
-//! Patches: a new value as what differs from the value before it.
+//! Patches: a new value as its difference from the previous value.
 //!
-//! An operator's change touches a small part of a large document; only what stands between the
-//! equal head and the equal tail is sent. Relies on the receiver having the value that the patch
+//! An operator's change affects a small part of a large document, so only the bytes between the
+//! common prefix and the common suffix are sent. The receiver must have the value that the patch
 //! was made for.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use derive_more::{Display, Error};
 
-/// A patch is used when the whole value is longer by this factor. Not measured, chosen because a
-/// follower that lacks the old value asks for everything again, so that little is gained below it.
+/// A patch is used when the whole value is longer than the patch by this factor. Below it a patch
+/// saves little: a follower that lacks the old value has to request the full state.
 const MIN_SAVING_FACTOR: usize = 2;
 
-/// What differs between two values.
+/// The difference between two values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Patch {
-    /// Bytes that stay at the start.
+    /// The number of bytes that stay at the start.
     pub kept_head: usize,
-    /// Bytes that stay at the end.
+    /// The number of bytes that stay at the end.
     pub kept_tail: usize,
-    /// What stands between them now.
+    /// The new bytes between them.
     pub inserted: Bytes,
 }
 
@@ -28,7 +28,7 @@
 pub struct PatchDoesNotFit;
 
 impl Patch {
-    /// The patch from `old` to `new`; none where it would not be much shorter than `new`.
+    /// Returns the patch from `old` to `new`; none if it isn't much shorter than `new`.
     pub fn between(old: &Bytes, new: &Bytes) -> Option<Self> {
         let same = |pairs: (&u8, &u8)| pairs.0 == pairs.1;
         let kept_head = old.iter().zip(new.iter()).take_while(|p| same(*p)).count();
@@ -45,7 +45,7 @@
         })
     }
 
-    /// The new value.
+    /// Returns the new value.
     ///
     /// # Errors
     /// [`PatchDoesNotFit`] when `old` is too short to be the value that the patch was made for.
--- a/crates/gateway/src/control/quarantine_store.rs
+++ b/crates/gateway/src/control/quarantine_store.rs
@@ -1,13 +1,13 @@
-//! What the quarantine needs of the platform: a place that outlives all daemons.
+//! The platform's store for the quarantine, which outlives all daemons.
 
 use crate::control::source::SourceError;
 use bridgevane_types::{DurationMs, RequestFingerprint};
 use std::future::Future;
 
-/// Where requests under quarantine are stored. What is stored comes back through the control source
-/// as [`crate::Change::Quarantined`]. Calls have no timeout of their own: the caller drops them.
+/// A store for quarantined requests. Stored requests come back through the control source as
+/// [`crate::Change::Quarantined`]. Calls have no timeout of their own: the caller drops them.
 pub trait QuarantineStore: Send + Sync + 'static {
-    /// Stores requests; they go by themselves after `kept_ms`. Those that are there already stay.
+    /// Stores requests, which expire after `kept_ms`. Requests that are already stored stay.
     ///
     /// # Errors
     /// [`SourceError`] when it isn't known whether they were stored.
--- a/crates/gateway/src/control/record_order.rs
+++ b/crates/gateway/src/control/record_order.rs
@@ -1,13 +1,13 @@
-//! Which of two records of one endpoint is the later one.
+//! The order of the records of one endpoint.
 
 use crate::control::source::Revision;
 use crate::endpoints::endpoint::EndpointRecord;
 use bridgevane_types::WallTimeMs;
 
-/// Where a record stands among all that its endpoint ever wrote: a later life goes before all that an
-/// earlier one wrote, whenever that arrives at the source; within a life what the process wrote later;
-/// then the source's order. What isn't told counts as the earliest: such records go by the source's order
-/// alone.
+/// The position of a record among all records that its endpoint wrote. Records of a newer
+/// incarnation come after all records of an older one, whenever these arrive at the source. Within
+/// an incarnation the process's own sequence decides, then the source's revision. A missing field
+/// counts as the earliest, so records without these fields are ordered by revision alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RecordOrder {
     born: Option<WallTimeMs>,
@@ -16,17 +16,17 @@
 }
 
 impl RecordOrder {
-    pub(crate) fn of(record: &EndpointRecord, revision: Revision) -> Self {
+    pub(crate) fn from_record(record: &EndpointRecord, revision: Revision) -> Self {
         Self {
             born: record.born,
-            // Without a birth a count that starts anew can't be told from an old one.
+            // Without the time of birth, a restarted sequence can't be told from an old one.
             sequence: record.born.and(record.sequence),
             revision,
         }
     }
 
-    /// Whether it is of a later life than another.
-    pub(crate) fn is_later_life(&self, other: &Self) -> bool {
+    /// Returns whether this record is of a newer incarnation than the other one.
+    pub(crate) fn is_newer_incarnation(&self, other: &Self) -> bool {
         self.born > other.born
     }
 }
--- a/crates/gateway/src/control/replica.rs
+++ b/crates/gateway/src/control/replica.rs
@@ -1,11 +1,17 @@
-//! The replica: the records of the control source as this daemon has them, and the newest changes.
+//! The replica: this daemon's copy of the records of the control source, with the most recent
+//! changes.
+//!
+//! Owns the records in the source's own encoding, the recent removals, and a bounded list of
+//! changes, from which followers of this daemon are brought up to date:
+//! - A follower that is slightly behind gets the changes since its revision.
+//! - A follower that is further behind gets each newer record once, and the removals since its
+//!   revision.
+//! - A follower that has no state, or is behind by more than the remembered removals, gets the full
+//!   state.
+//!
+//! The revision never goes back: records older than the replica are ignored, so that a daemon that
+//! is behind can't bring removed records back.
 //!
-//! Owns the records in the source's own form, what was removed lately, and a bounded list of changes, from
-//! which daemons that follow this one are brought up to date. One that is behind by a little gets the changes;
-//! one that is behind by more gets the records that are newer than what it has, each once, and what was removed
-//! since; everything goes only to one that has nothing, or is behind by more than the removals that are
-//! remembered. A revision never goes back: what is older than the
-//! replica is passed over, so that nothing that is gone comes back by a daemon that is behind.
 //! Tests: `replica.rs`, among them every order of six steps of a source and two daemons.
 
 use crate::control::patch::{Patch, PatchDoesNotFit};
@@ -13,42 +19,42 @@
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that are remembered one by one, as patches. Not measured, chosen because a small fleet's release
-/// changes every endpoint's record once or twice within seconds. Beyond them nothing is lost: whole
-/// records take the place of patches.
+/// The maximum number of changes that are remembered individually, as patches. A small fleet's
+/// release changes every endpoint's record once or twice within seconds. Nothing is lost beyond the
+/// limit: followers get whole records in place of patches.
 const MAX_CHANGES: usize = 512;
-/// Removals that are remembered at least; a replica with more records remembers as many as it has
-/// records, so that no release, whatever the fleet's size, makes a daemon that is behind ask for
-/// everything. Not measured, chosen because a removal takes some 60 bytes, a fifth of a record.
+/// The minimum number of remembered removals. A larger replica remembers as many removals as it has
+/// records, so that a release in a fleet of any size doesn't make followers request the full state.
+/// A removal takes some 60 bytes, a fifth of a record.
 const MIN_REMOVALS: usize = 512;
-/// Bytes of remembered changes. Not measured, chosen because it is small against the memory of the
-/// smallest VM (88 MB) and holds a hundred changes of a document as patches.
+/// The maximum size of the remembered changes. It is small against the memory of the smallest VM
+/// (88 MB) and holds a hundred changes of a document as patches.
 const MAX_CHANGE_BYTES: usize = 256 * 1024;
 
-/// What became of a record.
+/// The new value of a changed record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordOutcome {
-    /// Its whole value.
+    /// The whole value.
     Whole(Bytes),
-    /// How its value differs from the one of `base`.
+    /// The difference from the value at `base`.
     Patched {
-        /// The revision of the value before.
+        /// The revision of the previous value.
         base: Revision,
         /// The difference.
         patch: Patch,
     },
-    /// It is gone.
-    Gone,
+    /// The record was removed.
+    Removed,
 }
 
 /// A change of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordChange {
-    /// The record's key.
+    /// The key of the record.
     pub key: String,
-    /// The revision that made it.
+    /// The revision of the change.
     pub revision: Revision,
-    /// What became of it.
+    /// The new value.
     pub outcome: RecordOutcome,
 }
 
@@ -57,19 +63,19 @@
         let value = match &self.outcome {
             RecordOutcome::Whole(value) => value.len(),
             RecordOutcome::Patched { patch, .. } => patch.inserted.len(),
-            RecordOutcome::Gone => 0,
+            RecordOutcome::Removed => 0,
         };
         self.key.len() + value
     }
 }
 
-/// What one daemon sends to another.
+/// An update that one daemon sends to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// The changes since the revision that was asked for.
+    /// The changes since the requested revision.
     Changes(Vec<RecordChange>),
     /// All records.
-    Everything(Vec<RecordChange>),
+    Full(Vec<RecordChange>),
 }
 
 #[derive(Clone, Debug)]
@@ -78,7 +84,7 @@
     bytes: Bytes,
 }
 
-/// The records.
+/// The records and recent changes.
 #[derive(Debug, Default)]
 pub struct Replica {
     at: Revision,
@@ -91,12 +97,12 @@
 }
 
 impl Replica {
-    /// The revision up to which it has every change.
-    pub fn at(&self) -> Revision {
+    /// Returns the revision up to which the replica is complete.
+    pub fn revision(&self) -> Revision {
         self.at
     }
 
-    /// Takes all records of a source in; false when this replica is newer.
+    /// Replaces all records by those of a source; returns false when this replica is newer.
     pub fn replace(&mut self, state: &FullState) -> bool {
         if state.at < self.at {
             return false;
@@ -124,7 +130,7 @@
         true
     }
 
-    /// Takes changes of a source in; gives those that were new.
+    /// Applies changes of a source; returns those that were new.
     pub fn apply(&mut self, changes: Changes) -> Vec<SourceRecord> {
         let mut records = changes.records;
         records.retain(|record| self.apply_record(record));
@@ -132,7 +138,7 @@
         records
     }
 
-    /// Takes a record in; false when it is not new.
+    /// Applies a record; returns false when it isn't new.
     fn apply_record(&mut self, record: &SourceRecord) -> bool {
         let known = self.records.get(&record.key);
         let is_known = known.is_some_and(|known| known.revision >= record.revision);
@@ -140,7 +146,7 @@
             return false;
         }
         let outcome = match (&record.value, known) {
-            (None, _) => RecordOutcome::Gone,
+            (None, _) => RecordOutcome::Removed,
             (Some(new), Some(old)) => match Patch::between(&old.bytes, new) {
                 Some(patch) => RecordOutcome::Patched {
                     base: old.revision,
@@ -163,8 +169,8 @@
                 self.records.insert(record.key.clone(), value);
             }
         }
-        self.removals.forget_beyond(self.records.len());
-        self.remember(RecordChange {
+        self.removals.truncate(self.records.len());
+        self.remember_change(RecordChange {
             key: record.key.clone(),
             revision: record.revision,
             outcome,
@@ -172,7 +178,7 @@
         true
     }
 
-    fn remember(&mut self, change: RecordChange) {
+    fn remember_change(&mut self, change: RecordChange) {
         self.change_bytes += change.bytes();
         self.changes.push_back(change);
         while self.changes.len() > MAX_CHANGES || self.change_bytes > MAX_CHANGE_BYTES {
@@ -184,17 +190,17 @@
         }
     }
 
-    /// What a daemon that has every change up to `after` lacks; 0: it has nothing.
+    /// Returns the update for a daemon that is complete up to `after`; 0: it has no state.
     pub fn update_since(&self, after: Revision) -> Update {
         if after == Revision(0) {
-            return Update::Everything(self.records_after(after).collect());
+            return Update::Full(self.records_after(after).collect());
         }
         if after >= self.remembered_after {
             let newer = self.changes.iter().filter(|change| change.revision > after);
             return Update::Changes(newer.cloned().collect());
         }
-        if !self.removals.are_known_after(after) {
-            return Update::Everything(self.records_after(Revision(0)).collect());
+        if !self.removals.are_complete_after(after) {
+            return Update::Full(self.records_after(Revision(0)).collect());
         }
         let removed = self.removals.after(after);
         let mut changes: Vec<RecordChange> = self.records_after(after).chain(removed).collect();
@@ -202,7 +208,7 @@
         Update::Changes(changes)
     }
 
-    /// The records that were written after a revision, as whole values.
+    /// Returns the records that were written after a revision, as whole values.
     fn records_after(&self, after: Revision) -> impl Iterator<Item = RecordChange> {
         let newer = self.records.iter();
         let newer = newer.filter(move |(_, value)| value.revision > after);
@@ -213,10 +219,11 @@
         })
     }
 
-    /// The records that changes from another daemon lead to, each on top of those before it.
+    /// Returns the records that result from another daemon's changes, each applied on top of the
+    /// previous ones.
     ///
     /// # Errors
-    /// When a change was made for a value that isn't here.
+    /// When a change was made for a value that isn't in this replica.
     pub fn resolve(
         &self,
         changes: Vec<RecordChange>,
@@ -242,15 +249,15 @@
     }
 }
 
-/// Which records were removed lately, and from which revisions on all removals are known.
+/// The recent removals, and the revision from which all removals are known.
 #[derive(Debug, Default)]
 struct Removals {
-    /// Oldest first.
+    /// The removed keys, oldest first.
     keys: VecDeque<(Revision, String)>,
-    /// Removals after this revision are all known, but for those of `unknown`.
+    /// Removals after this revision are all known, except those of `unknown`.
     known_after: Revision,
-    /// A whole state took the place of the records: what came and went between these two revisions was
-    /// never seen here.
+    /// The revisions between which the records were replaced as a whole. Records that were both
+    /// added and removed in between were never seen here.
     unknown: Option<(Revision, Revision)>,
 }
 
@@ -259,8 +266,8 @@
         self.keys.push_back((revision, key));
     }
 
-    /// Forgets the oldest where there are more than the replica has records.
-    fn forget_beyond(&mut self, records: usize) {
+    /// Forgets the oldest removals if there are more than `records`.
+    fn truncate(&mut self, records: usize) {
         while self.keys.len() > records.max(MIN_REMOVALS) {
             let Some((revision, _)) = self.keys.pop_front() else {
                 return;
@@ -269,8 +276,8 @@
         }
     }
 
-    /// A whole state at `at`, with records up to `newest`, took the place of one at `before`; it doesn't list
-    /// some keys any more.
+    /// Notes that a full state at `at`, with records up to `newest`, replaced the one at `before`
+    /// and doesn't list the `unlisted` keys.
     fn on_replaced(
         &mut self,
         before: Revision,
@@ -287,8 +294,8 @@
         self.keys.extend(unlisted.into_iter().map(|key| (at, key)));
     }
 
-    /// Whether all removals after a revision are known.
-    fn are_known_after(&self, after: Revision) -> bool {
+    /// Returns whether all removals after a revision are known.
+    fn are_complete_after(&self, after: Revision) -> bool {
         let is_unknown = |(from, until)| after > from && after < until;
         after >= self.known_after && !self.unknown.is_some_and(is_unknown)
     }
@@ -299,24 +306,24 @@
         newer.map(|(revision, key)| RecordChange {
             key: key.clone(),
             revision: *revision,
-            outcome: RecordOutcome::Gone,
+            outcome: RecordOutcome::Removed,
         })
     }
 }
 
-/// The value of a record after a change; none: it is gone.
+/// Returns the value of a record after a change; none if the record was removed.
 fn value_after(
     change: &RecordChange,
     known: Option<&Value>,
 ) -> Result<Option<Bytes>, PatchDoesNotFit> {
     let (base, patch) = match &change.outcome {
-        RecordOutcome::Gone => return Ok(None),
+        RecordOutcome::Removed => return Ok(None),
         RecordOutcome::Whole(value) => return Ok(Some(value.clone())),
         RecordOutcome::Patched { base, patch } => (*base, patch),
     };
     let known = known.ok_or(PatchDoesNotFit)?;
     if known.revision >= change.revision {
-        // The replica has it already, and passes over what comes of it.
+        // The replica has the change already, and ignores the resulting record.
         return Ok(Some(known.bytes.clone()));
     }
     if known.revision != base {
--- a/crates/gateway/src/control/routing_table.rs
+++ b/crates/gateway/src/control/routing_table.rs
@@ -1,7 +1,7 @@
-//! The routing table: one configuration version, indexed for the path of a request.
+//! The routing table: one configuration version, indexed for looking up requests.
 //!
-//! Owns the routes by host, the customers by key and the ranking of priorities. It is immutable: a
-//! new version is a new table.
+//! Owns the routes by host, the customers by key and the ranking of priorities. A table is
+//! immutable: a new version is a new table.
 
 use crate::decisions::admission::priority::PriorityRanking;
 use crate::route::{ClientLimits, Customer, Route, Service};
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// One configuration version, indexed for the path of a request.
+/// One configuration version, indexed for looking up requests.
 #[derive(Debug)]
 pub struct RoutingTable {
     version: ConfigVersion,
@@ -21,23 +21,23 @@
     priorities: PriorityRanking,
 }
 
-/// The parts that a routing table is made of.
+/// The parts of a routing table.
 #[derive(Debug)]
 pub struct RoutingParts {
-    /// The version.
+    /// The version of the configuration.
     pub version: ConfigVersion,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// Customers by key; none when the configuration has no customers, and needs no keys.
+    /// Customers by key; none if the configuration has no customers and requires no keys.
     pub customers: Option<HashMap<String, Arc<Customer>>>,
-    /// What clients may send or hold.
+    /// The limits on what clients may send or hold open.
     pub limits: ClientLimits,
 }
 
 impl RoutingTable {
-    /// Indexes the parts.
+    /// Builds the indexes.
     pub fn new(parts: RoutingParts) -> Self {
         let holders = parts.customers.iter().flat_map(HashMap::values);
         let holders = holders.map(|customer| &**customer);
@@ -56,29 +56,29 @@
             by_host,
             services: services.map(|s| (s.name.clone(), s)).collect(),
             needs_keys: parts.customers.is_some(),
-            // Without customers no key is asked for.
+            // Without customers no key is required.
             customers: parts.customers.unwrap_or_default(),
             limits: parts.limits,
             priorities,
         }
     }
 
-    /// The version.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// What clients may send or hold.
+    /// Returns the limits on what clients may send or hold open.
     pub fn limits(&self) -> ClientLimits {
         self.limits
     }
 
-    /// The priorities of requests.
+    /// Returns the ranking of request priorities.
     pub(crate) fn priorities(&self) -> &PriorityRanking {
         &self.priorities
     }
 
-    /// The route of a host and path: of those that match, the one with the longest prefix.
+    /// Returns the route of a host and path: the matching route with the longest prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
         routes
@@ -86,22 +86,22 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Whether requests of routes that aren't public carry a key.
+    /// Returns whether requests on routes that aren't public must carry a key.
     pub(crate) fn needs_keys(&self) -> bool {
         self.needs_keys
     }
 
-    /// The customer that a key belongs to.
+    /// Returns the customer that a key belongs to.
     pub fn customer(&self, key: &str) -> Option<&Arc<Customer>> {
         self.customers.get(key)
     }
 
-    /// All services.
+    /// Returns all services.
     pub(crate) fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// A service.
+    /// Returns a service by name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.get(name)
     }
--- a/crates/gateway/src/control/source.rs
+++ b/crates/gateway/src/control/source.rs
@@ -1,5 +1,5 @@
-//! The control source: where routes, customers and endpoints come from. An adapter implements
-//! [`ControlSource`]; the platform's is `bridgevane-platform`.
+//! The control source, which provides routes, customers and endpoints. An adapter implements
+//! [`ControlSource`]; the one for the platform is `bridgevane-platform`.
 
 use crate::control::holder_record::HolderRecord;
 use crate::control::routing_table::RoutingTable;
@@ -11,72 +11,72 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The counter that every change at the source raises.
+/// The revision counter, which every change at the source increments.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Revision(pub u64);
 
-/// What one record says.
+/// A decoded record.
 #[derive(Clone, Debug)]
 pub enum Change {
     /// A configuration version.
     Routing(Arc<RoutingTable>),
-    /// An endpoint, as its record stands.
+    /// An endpoint's record.
     Endpoint(EndpointRecord),
-    /// An endpoint's record is gone.
+    /// An endpoint's record was removed.
     EndpointGone(EndpointId),
-    /// What stands under an endpoint's id names no endpoint: another writer left it there.
+    /// The value under an endpoint's id isn't a valid record: another writer stored it.
     NoEndpoint(EndpointId, RecordFault),
     /// Operators evacuate a data centre.
     Evacuated(DataCentreId),
-    /// They take it back.
+    /// Operators ended the evacuation of a data centre.
     EvacuationOver(DataCentreId),
-    /// What stands under a data centre's evacuation can't be read.
+    /// The evacuation record of a data centre can't be decoded.
     NoEvacuation(DataCentreId),
     /// A daemon holds the duties.
     DutyHolder(HolderRecord),
-    /// No daemon does.
+    /// No daemon holds the duties.
     DutyHolderGone,
     /// A request is under quarantine.
     Quarantined(RequestFingerprint),
-    /// It no longer is.
+    /// The quarantine of a request has ended.
     QuarantineOver(RequestFingerprint),
-    /// A record of this kind that can't be read; it is logged and passed over.
+    /// A record of this kind can't be decoded; it is logged and ignored.
     Unreadable(&'static str),
 }
 
-/// Why a record names no endpoint. The text is the reason in logs.
+/// Why an endpoint's record is invalid. The text is the reason in logs.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum RecordFault {
-    /// Its bytes can't be read.
+    /// The bytes can't be decoded.
     #[display("unreadable")]
     Unreadable,
-    /// A field is missing, or of another type.
+    /// A field is missing or has another type.
     #[display("a field is missing or of another type")]
     HalfARecord,
-    /// A state that has no meaning here.
+    /// The state is unknown.
     #[display("an unknown state")]
     UnknownState,
 }
 
-/// A record in the source's own form. Daemons pass it on to each other without reading it.
+/// A record in the source's own encoding. Daemons forward it to each other without decoding it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceRecord {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// The revision that wrote or removed it.
+    /// The revision that wrote or removed the record.
     pub revision: Revision,
-    /// Its value; none: the record is gone.
+    /// The value; none if the record was removed.
     pub value: Option<Bytes>,
 }
 
-/// What a record says, and the revision that wrote it.
+/// A decoded record and the revision that wrote it.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeAt {
     pub(crate) revision: Revision,
     pub(crate) change: Change,
 }
 
-/// Everything as it stands.
+/// The full state of the source.
 #[derive(Clone, Debug)]
 pub struct FullState {
     /// Changes after this revision may be missing.
@@ -85,49 +85,49 @@
     pub records: Vec<SourceRecord>,
 }
 
-/// What has changed.
+/// The changes after a revision.
 #[derive(Clone, Debug)]
 pub struct Changes {
-    /// Every change up to this revision is in; ask for those after it next.
+    /// Every change up to this revision is included; the next call continues from here.
     pub at: Revision,
     /// The records as they were written, oldest first.
     pub records: Vec<SourceRecord>,
 }
 
-/// Why a call of the source failed. The text is the cause in logs and metrics.
+/// Why a call to the source failed. The text is the cause in logs and metrics.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum SourceError {
-    /// No connection.
+    /// The connection failed.
     #[display("not reached")]
     NotReached,
-    /// No answer in time, or the connection broke.
+    /// There was no answer in time, or the connection broke.
     #[display("no answer")]
     NoAnswer,
-    /// It refuses the call for now.
+    /// The source refuses the call for now.
     #[display("refused")]
     Refused,
-    /// The changes since the given revision are no longer there: read the full state.
+    /// The changes since the given revision are no longer available; the full state must be read.
     #[display("history lost")]
     HistoryLost,
-    /// Its answer can't be read.
+    /// The answer can't be decoded.
     #[display("unreadable answer")]
     Unreadable,
 }
 
-/// How far the reading of everything has come. The caller gives up where nothing comes, however much there is
-/// to read.
+/// The progress of reading the full state. The caller gives up when no part arrives in time,
+/// however many parts there are.
 #[derive(Debug, Default)]
 pub struct ReadProgress {
     parts: AtomicU64,
 }
 
 impl ReadProgress {
-    /// A part has come.
+    /// Counts a part that has arrived.
     pub fn on_part(&self) {
         self.parts.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Parts that have come.
+    /// Returns the number of parts that have arrived.
     pub(crate) fn parts(&self) -> u64 {
         self.parts.load(Ordering::Relaxed)
     }
@@ -136,8 +136,8 @@
 /// A source of routes, customers and endpoints. Calls have no timeout of their own: the caller
 /// drops them.
 pub trait ControlSource: Send + Sync + 'static {
-    /// Reads everything, and says each time that a part has come. What is read is at least as new as the moment
-    /// of the call.
+    /// Reads the full state and reports each part to `progress`. The result is at least as new as
+    /// the moment of the call.
     ///
     /// # Errors
     /// [`SourceError`] when nothing was read.
@@ -146,17 +146,17 @@
         progress: &ReadProgress,
     ) -> impl Future<Output = Result<FullState, SourceError>> + Send;
 
-    /// Waits at most `wait` for changes after `after`. An answer without changes proves that there
-    /// was none when the call was made.
+    /// Waits for changes after `after`, for at most `wait`. An answer without changes proves that
+    /// there were none when the call was made.
     ///
     /// # Errors
-    /// [`SourceError`]; [`SourceError::HistoryLost`] asks for the full state.
+    /// [`SourceError`]; after [`SourceError::HistoryLost`] the full state must be read.
     fn changes(
         &self,
         after: Revision,
         wait: DurationMs,
     ) -> impl Future<Output = Result<Changes, SourceError>> + Send;
 
-    /// What a record says; none for one that the product doesn't use.
+    /// Decodes a record; returns none for a record that the product doesn't use.
     fn decode(&self, record: &SourceRecord) -> Option<Change>;
 }
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -1,17 +1,18 @@
-//! The state that comes from the control source: routing table, endpoints, records, and the newest
-//! proof that they are current.
+//! The state that comes from the control source: the routing table, endpoints, records, and the
+//! newest proof that they are current. A proof is an answer of the source, dated by the time of the
+//! call: at that time the state was the newest.
 //!
 //! | part | written by | read by |
 //! |---|---|---|
-//! | routing table, directory | [`crate::replication::follow`] alone | requests, without locks (read-copy-update) |
-//! | time of the newest proof | [`crate::replication::follow`] alone | requests, without locks |
-//! | holder of the duties | [`crate::replication::follow`] alone | the duties' tasks, without locks |
-//! | requests under quarantine | [`crate::replication::follow`] alone | requests, without locks (read-copy-update) |
-//! | replica | [`crate::replication::follow`] alone | daemons that follow this one, under a lock |
-//! | endpoint registry, evacuations, last outage | [`crate::replication::follow`] alone | nobody else, under locks |
+//! | routing table, directory | only [`crate::replication::follow`] | requests, without locks (read-copy-update) |
+//! | time of the newest proof | [`crate::replication::follow`], and [`crate::replication::seed_exchange`] with other seeds' proofs | requests, without locks |
+//! | holder of the duties | only [`crate::replication::follow`] | the tasks of the duties, without locks |
+//! | requests under quarantine | only [`crate::replication::follow`] | requests, without locks (read-copy-update) |
+//! | replica | only [`crate::replication::follow`] | daemons that follow this one, under a lock |
+//! | endpoint registry, evacuations, last outage | only [`crate::replication::follow`] | only the writer, under locks |
 //!
-//! Versions only rise: an older routing table, record or proof never replaces a newer one. All is
-//! lost with the process; a new one reads it again from the source or from another daemon.
+//! Versions only increase: an older routing table, record or proof never replaces a newer one. The
+//! state is lost with the process; a new process reads it from the source or from another daemon.
 
 use crate::clock::{AtomicTime, Clock};
 use crate::control::duty_holder::HolderEntry;
@@ -35,7 +36,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// The state.
+/// The state that comes from the control source.
 #[derive(Debug)]
 pub struct ControlState {
     clock: Clock,
@@ -50,7 +51,7 @@
     registry: Mutex<EndpointRegistry>,
     evacuations: Mutex<Evacuations>,
     outage: Mutex<SourceOutage>,
-    /// Counts what was taken in and proved.
+    /// Counts applied changes and proofs.
     progress: watch::Sender<u64>,
 }
 
@@ -73,69 +74,69 @@
         }
     }
 
-    /// The routing table in force; none until the first one has come.
+    /// Returns the active routing table; none until the first one has arrived.
     pub(crate) fn routing_table(&self) -> Option<Arc<RoutingTable>> {
         self.routing_table.load_full()
     }
 
-    /// The endpoints that may get work.
+    /// Returns the endpoints that may get requests.
     pub fn directory(&self) -> Arc<Directory> {
         self.directory.load_full()
     }
 
-    /// Who holds the duties.
+    /// Returns the holder of the duties.
     pub(crate) fn duty_holder(&self) -> Arc<HolderEntry> {
         self.duty_holder.load_full()
     }
 
-    /// Whether a request is under quarantine at the source. Its fingerprint is worked out only if any
-    /// is.
+    /// Returns whether a request is under quarantine at the source. The fingerprint is only
+    /// computed if any request is.
     pub(crate) fn is_quarantined(&self, request: impl FnOnce() -> RequestFingerprint) -> bool {
         let quarantined = self.quarantined.load();
         !quarantined.is_empty() && quarantined.contains(&request())
     }
 
-    /// How many endpoints may get work.
+    /// Returns the number of endpoints that may get requests.
     pub fn endpoint_count(&self) -> usize {
         self.directory.load().len()
     }
 
-    /// When the newest proof was asked for.
+    /// Returns the time at which the newest proof was requested.
     pub(crate) fn proved_at(&self) -> Option<TimeMs> {
         self.proved_at.get()
     }
 
-    /// The revision up to which the replica is complete, and the newest proof of it. A proof is noted
-    /// after the state that it proves: while the replica can't change, it holds at least what the
-    /// newest proof is about.
+    /// Returns the revision up to which the replica is complete, and its newest proof. A proof is
+    /// stored after the state that it proves, so under the replica's lock the replica is at least
+    /// as new as the newest proof.
     pub(crate) fn proved_state(&self) -> (Revision, Option<TimeMs>) {
         let replica = self.replica();
         let proved_at = self.proved_at();
-        (replica.at(), proved_at)
+        (replica.revision(), proved_at)
     }
 
-    /// Another daemon has proved at `proved_at` that its state of revision `at` was the newest: that
-    /// serves here, too, if the replica has it.
-    pub(crate) fn prove_by_other(&self, at: Revision, proved_at: TimeMs) {
-        // Revisions never go back, so that the answer still holds when the proof is noted.
-        let has_state = self.replica().at() >= at;
+    /// Adopts the proof of another daemon, made at `proved_at`, that its state at revision `at` was
+    /// the newest, if this daemon's replica is at least as new.
+    pub(crate) fn adopt_proof(&self, at: Revision, proved_at: TimeMs) {
+        // Revisions never go back, so this still holds when the proof is stored.
+        let has_state = self.replica().revision() >= at;
         if has_state && self.proved_at() < Some(proved_at) {
-            self.prove(proved_at);
+            self.store_proof(proved_at);
         }
     }
 
-    /// The age of the newest proof.
+    /// Returns the age of the newest proof.
     pub fn proof_age(&self) -> Option<DurationMs> {
         let proved_at = self.proved_at()?;
         Some(self.clock.now().since(proved_at))
     }
 
-    /// How recent the configuration is.
+    /// Returns how recent the configuration is.
     pub(crate) fn freshness(&self) -> Freshness {
         self.freshness_policy.freshness(self.proof_age())
     }
 
-    /// The records as the source has them.
+    /// Returns the records in the source's own encoding.
     pub(crate) fn replica(&self) -> MutexGuard<'_, Replica> {
         self.replica.lock().expect("no panic under this lock")
     }
@@ -148,33 +149,33 @@
         self.evacuations.lock().expect("no panic under this lock")
     }
 
-    /// Changes whenever something was taken in or proved.
+    /// Returns a receiver that changes whenever changes were applied or a proof was stored.
     pub(crate) fn progress(&self) -> watch::Receiver<u64> {
         self.progress.subscribe()
     }
 
-    fn on_progress(&self) {
+    fn notify_progress(&self) {
         self.progress.send_modify(|count| *count += 1);
     }
 
-    /// What was taken in is proved to have been the newest at `asked_at`.
-    pub(crate) fn prove(&self, asked_at: TimeMs) {
+    /// Stores a proof that the applied state was the newest at `asked_at`.
+    pub(crate) fn store_proof(&self, asked_at: TimeMs) {
         self.proved_at.set_if_later(asked_at);
-        self.on_progress();
+        self.notify_progress();
     }
 
-    /// Takes changes in.
+    /// Applies changes.
     pub(crate) fn apply(&self, source: &impl ControlSource, changes: Changes) {
         let new_records = self.replica().apply(changes);
         let removal = self.removal();
         let changes = decode(source, &new_records);
         if !changes.is_empty() {
-            self.take_in(&mut self.registry(), changes, removal);
+            self.apply_changes(&mut self.registry(), changes, removal);
         }
-        self.on_progress();
+        self.notify_progress();
     }
 
-    /// Takes a whole state in; endpoints that it doesn't list are gone.
+    /// Applies a full state; endpoints that it doesn't list are removed.
     pub(crate) fn replace(&self, source: &impl ControlSource, state: &FullState) {
         if self.replica().replace(state) {
             let removal = self.removal();
@@ -184,23 +185,23 @@
             if !names_duty_holder(&records) {
                 self.on_duty_holder_gone(state.at);
             }
-            self.take_quarantine_in(Arc::default(), &records);
+            self.apply_quarantine(Arc::default(), &records);
             self.end_unlisted_evacuations(&registry, &records, state.at);
-            self.take_in(&mut registry, records, removal);
+            self.apply_changes(&mut registry, records, removal);
         }
-        self.on_progress();
+        self.notify_progress();
     }
 
-    /// Drops endpoints whose records were lost in an outage and did not come back.
+    /// Drops endpoints whose records were lost in an outage and didn't come back.
     pub(crate) fn drop_expired_endpoints(&self) {
         let mut registry = self.registry();
         if registry.drop_expired(self.clock.now()) {
-            self.renew_directory(&mut registry);
+            self.rebuild_directory(&mut registry);
         }
     }
 
-    /// Puts the directory in force that follows from the registry and the evacuations, if it is another one.
-    fn renew_directory(&self, registry: &mut EndpointRegistry) {
+    /// Rebuilds the directory if the registry or the evacuations require it.
+    fn rebuild_directory(&self, registry: &mut EndpointRegistry) {
         let needs_directory = registry.take_needs_directory();
         let has_evacuations = self.evacuations().take_changed();
         if !needs_directory && !has_evacuations {
@@ -210,19 +211,24 @@
         self.directory.store(Arc::new(directory));
     }
 
-    /// What becomes of endpoints whose records are gone now.
+    /// Returns how endpoints whose records are removed now are treated.
     fn removal(&self) -> Removal {
         let proof_age = self.proof_age();
         let mut outage = self.outage.lock().expect("no panic under this lock");
         outage.removal(self.clock.now(), proof_age, self.expired_record_grace_ms)
     }
 
-    fn take_in(&self, registry: &mut EndpointRegistry, changes: Vec<ChangeAt>, removal: Removal) {
-        self.take_quarantine_in(self.quarantined.load_full(), &changes);
+    fn apply_changes(
+        &self,
+        registry: &mut EndpointRegistry,
+        changes: Vec<ChangeAt>,
+        removal: Removal,
+    ) {
+        self.apply_quarantine(self.quarantined.load_full(), &changes);
         registry.begin_batch();
         for ChangeAt { revision, change } in changes {
             match change {
-                Change::Routing(table) => self.put_in_force(table, revision),
+                Change::Routing(table) => self.activate(table, revision),
                 Change::Endpoint(record) => {
                     registry.upsert(record, revision, self.clock.now());
                 }
@@ -234,7 +240,7 @@
                         reason = fault,
                         revision = revision
                     );
-                    // It was written, not lost: no outage makes it come back.
+                    // The record was overwritten, not lost: it won't come back after an outage.
                     registry.remove(&id, revision, Removal::AtOnce);
                 }
                 Change::Evacuated(data_centre) => {
@@ -255,7 +261,7 @@
                     let entry = entry.with_holder(revision, holder);
                     self.duty_holder.store(Arc::new(entry));
                 }
-                // Taken in above, all at once.
+                // Applied above, all at once.
                 Change::Quarantined(_) | Change::QuarantineOver(_) => {}
                 Change::DutyHolderGone => self.on_duty_holder_gone(revision),
                 Change::Unreadable(what) => {
@@ -264,7 +270,7 @@
             }
         }
         registry.end_batch();
-        self.renew_directory(registry);
+        self.rebuild_directory(registry);
     }
 
     fn begin_evacuation(
@@ -298,7 +304,7 @@
             let limits = service.and_then(|service| service.cold);
             limits.map_or(DurationMs(0), |limits| limits.duration_ms)
         };
-        let endpoints = registry.suspect_cold(data_centre, self.clock.now(), cold_ms);
+        let endpoints = registry.assume_cold(data_centre, self.clock.now(), cold_ms);
         event!(
             Event::EvacuationOver,
             data_centre = data_centre,
@@ -307,7 +313,7 @@
         );
     }
 
-    /// Ends the evacuations that a whole state doesn't list.
+    /// Ends the evacuations that a full state doesn't list.
     fn end_unlisted_evacuations(
         &self,
         registry: &EndpointRegistry,
@@ -321,8 +327,8 @@
         }
     }
 
-    /// Changes `quarantined` so, and puts it in force.
-    fn take_quarantine_in(
+    /// Applies changes to `quarantined` and activates the result.
+    fn apply_quarantine(
         &self,
         mut quarantined: Arc<HashSet<RequestFingerprint>>,
         changes: &[ChangeAt],
@@ -347,8 +353,8 @@
         self.duty_holder.store(Arc::new(entry));
     }
 
-    /// Puts a routing table in force, unless its version is no higher than the current one's.
-    fn put_in_force(&self, table: Arc<RoutingTable>, revision: Revision) {
+    /// Activates a routing table, unless its version is no higher than the current one's.
+    fn activate(&self, table: Arc<RoutingTable>, revision: Revision) {
         let current = self.routing_table.load();
         let is_older = |current: &Arc<RoutingTable>| current.version() >= table.version();
         if current.as_ref().is_some_and(is_older) {
@@ -363,7 +369,7 @@
     }
 }
 
-/// What records say; those that the product doesn't use are left out.
+/// Decodes records; those that the product doesn't use are left out.
 fn decode(source: &impl ControlSource, records: &[SourceRecord]) -> Vec<ChangeAt> {
     let decode = |record: &SourceRecord| {
         let change = source.decode(record)?;
@@ -381,7 +387,8 @@
     endpoints.collect()
 }
 
-/// Data centres that a whole state names as evacuated. One whose record can't be read stays as it was.
+/// Returns the data centres that a full state lists as evacuated. One whose record can't be decoded
+/// stays as it was.
 fn evacuated_data_centres(records: &[ChangeAt]) -> HashSet<DataCentreId> {
     let data_centres = records.iter().filter_map(|record| match &record.change {
         Change::Evacuated(data_centre) | Change::NoEvacuation(data_centre) => {
--- a/crates/gateway/src/replication/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -142,7 +142,7 @@
         match result {
             Ok(()) => {
                 self.needs_full_state = false;
-                self.gateway.control.prove(asked_at);
+                self.gateway.control.store_proof(asked_at);
                 self.on_source_answered(asked_at);
             }
             Err(SourceError::HistoryLost) if !self.needs_full_state => {
@@ -200,7 +200,7 @@
     }
 
     async fn wait_for_changes(&mut self) -> Result<(), SourceError> {
-        let at = self.gateway.control.replica().at();
+        let at = self.gateway.control.replica().revision();
         let caller = SourceCaller {
             is_seed: self.upstreams.is_seed(),
             has_failed: self.is_source_lost,
@@ -227,7 +227,7 @@
         let after = if self.needs_full_state {
             Revision(0)
         } else {
-            self.gateway.control.replica().at()
+            self.gateway.control.replica().revision()
         };
         let now = self.gateway.clock.now();
         let until_turn = self.upstreams.source_turn(now).map(|turn| turn.since(now));
@@ -304,14 +304,14 @@
         fleet.on_total_report(&directory, answer.total_work, &answer.others_work);
         if let Some(proved_at) = answer.proved_at {
             self.needs_full_state = false;
-            self.gateway.control.prove(proved_at);
+            self.gateway.control.store_proof(proved_at);
         }
         Ok(report)
     }
 
     fn take_records_in(&mut self, at: Revision, update: Update) -> Result<(), PeerError> {
         let (is_whole, changes) = match update {
-            Update::Everything(changes) => (true, changes),
+            Update::Full(changes) => (true, changes),
             Update::Changes(changes) => (false, changes),
         };
         let resolved = self.gateway.control.replica().resolve(changes);
@@ -339,7 +339,7 @@
             Event::UpstreamChanged,
             upstream = upstream,
             proof_age_ms = self.proof_age_for_log(),
-            revision = self.gateway.control.replica().at()
+            revision = self.gateway.control.replica().revision()
         );
     }
 
--- a/crates/gateway/src/replication/message.rs
+++ b/crates/gateway/src/replication/message.rs
@@ -94,7 +94,7 @@
 
 fn changes_of(update: Update) -> (bool, Vec<RecordChange>) {
     match update {
-        Update::Everything(changes) => (true, changes),
+        Update::Full(changes) => (true, changes),
         Update::Changes(changes) => (false, changes),
     }
 }
@@ -114,7 +114,7 @@
     }
     let is_whole = parts.last().is_some_and(|last| last.is_whole);
     Ok(if is_whole {
-        Update::Everything(changes)
+        Update::Full(changes)
     } else {
         Update::Changes(changes)
     })
@@ -122,7 +122,7 @@
 
 fn change_message(change: RecordChange) -> RecordChangeMessage {
     let outcome = match change.outcome {
-        RecordOutcome::Gone => Change::Gone(true),
+        RecordOutcome::Removed => Change::Gone(true),
         RecordOutcome::Whole(value) => Change::Whole(value),
         RecordOutcome::Patched { base, patch } => Change::Patch(RecordPatch {
             base_revision: base.0,
@@ -140,7 +140,7 @@
 
 fn change_of_message(message: RecordChangeMessage) -> Result<RecordChange, MessageError> {
     let outcome = match message.change.ok_or(MessageError::UnknownChange)? {
-        Change::Gone(_) => RecordOutcome::Gone,
+        Change::Gone(_) => RecordOutcome::Removed,
         Change::Whole(value) => RecordOutcome::Whole(value),
         Change::Patch(patch) => RecordOutcome::Patched {
             base: Revision(patch.base_revision),
--- a/crates/gateway/src/replication/packed_state.rs
+++ b/crates/gateway/src/replication/packed_state.rs
@@ -38,7 +38,7 @@
         after: Revision,
         takes_parts: bool,
     ) -> Option<Update> {
-        if self.at != replica.at() {
+        if self.at != replica.revision() {
             *self = Self::default();
         }
         let is_packed = takes_parts && after == Revision(0) && !self.parts.is_empty();
@@ -61,7 +61,7 @@
             put_update(&mut answer, update);
             return vec![answer];
         }
-        let is_whole = matches!(update, Update::Everything(_));
+        let is_whole = matches!(update, Update::Full(_));
         let parts = update_parts(update);
         if is_whole {
             self.at = at;
--- a/crates/gateway/src/replication/seed_exchange.rs
+++ b/crates/gateway/src/replication/seed_exchange.rs
@@ -44,6 +44,6 @@
     let fleet = &gateway.fleet;
     fleet.on_seed_report(&directory, seed, answer.tree_work);
     if let Some(proved_at) = answer.proved_at {
-        gateway.control.prove_by_other(answer.at, proved_at);
+        gateway.control.adopt_proof(answer.at, proved_at);
     }
 }
--- a/crates/gateway/src/replication/server.rs
+++ b/crates/gateway/src/replication/server.rs
@@ -221,7 +221,7 @@
 ) {
     let mut progress = gateway.control.progress();
     let waiting = progress.wait_for(|_| {
-        let has_changes = gateway.control.replica().at() > Revision(question.at);
+        let has_changes = gateway.control.replica().revision() > Revision(question.at);
         let has_new_proof = gateway.control.proved_at() > sent_proof;
         has_changes || has_new_proof
     });
@@ -254,7 +254,7 @@
     // least what the newest proof is about.
     let replica = gateway.control.replica();
     let proved_at = gateway.control.proved_at();
-    let at = replica.at();
+    let at = replica.revision();
     let update = packed_state.update(&replica, after, question.takes_parts);
     drop(replica);
     let mut parts = packed_state.parts(at, update, question.takes_parts);
