--- a/crates/gateway/src/duties/codec.rs
+++ b/crates/gateway/src/duties/codec.rs
@@ -65,7 +65,7 @@
 }
 
 /// The report of a message.
-pub(crate) fn report_of_message(message: UsageReported) -> UsageReport {
+pub(crate) fn decode_report(message: UsageReported) -> UsageReport {
     let windows = message.windows.into_iter().map(window_of_message);
     UsageReport {
         daemon: life(&message.vm, message.incarnation),
--- a/crates/gateway/src/duties/reporter.rs
+++ b/crates/gateway/src/duties/reporter.rs
@@ -9,7 +9,7 @@
 use crate::decisions::duties::usage_window::UsageWindow;
 use crate::duties::codec::report_message;
 use crate::gateway::Gateway;
-use crate::replication::client::{FramedStream, open};
+use crate::replication::client::{FramedStream, open_connection};
 use crate::replication::peer_error::PeerError;
 use bridgevane_protocol::Frame;
 use bridgevane_protocol::frame::Body;
@@ -135,7 +135,7 @@
         let address = holder.peer_address.ok_or(PeerError::Refused)?;
         let mut frames = match self.connection.take() {
             Some((daemon, frames)) if daemon == holder.daemon => frames,
-            _ => open(address).await?,
+            _ => open_connection(address).await?,
         };
         let body = Some(Body::UsageReported(report_message(report)));
         let telling = async {
--- a/crates/gateway/src/replication/crash_news.rs
+++ b/crates/gateway/src/replication/crash_news.rs
@@ -1,9 +1,9 @@
-//! News of requests that end endpoints, between daemons that follow each other: up with questions,
-//! down with answers, and between seeds.
+//! Observations of requests that crash endpoints, exchanged between daemons that follow each other:
+//! upwards with questions, downwards with answers, and between seeds.
 //!
-//! Each side of a connection tells the other what it hasn't told on it yet, so that news go once over
-//! every edge of the tree, whoever had them first, and everything there is over a new edge. A daemon
-//! that hears news is told nothing new by hearing them again.
+//! Each side of a connection sends the observations that it hasn't sent on it yet. An observation
+//! therefore passes every edge of the tree once, whichever daemon had it first, and a new
+//! connection gets all observations. An observation that is received again is ignored.
 
 use crate::gateway::Gateway;
 use crate::work_by_endpoint::EndpointHash;
@@ -12,56 +12,60 @@
 use bridgevane_protocol::crash_news::Fact;
 use bridgevane_types::TimeMs;
 
-/// News in one message at most. Not measured, chosen because an engine of 64 slots makes so many when
-/// it ends, and they take 1.7 KB; the rest goes with the next message.
-const MAX_NEWS: usize = 64;
+/// The maximum number of observations per message. An engine with 64 slots causes this many when it
+/// crashes, and they take 1.7 KB; the rest follows with the next message.
+const MAX_OBSERVATIONS: usize = 64;
 
-/// What one side of a connection has told the other.
+/// The position up to which observations were sent on one connection.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ToldNews {
+pub(super) struct SentCrashObservations {
     cursor: NewsCursor,
 }
 
-impl ToldNews {
-    /// The next news for the other side.
-    pub(super) fn next(&mut self, gateway: &Gateway) -> Vec<CrashNewsMessage> {
-        let (news, cursor) = gateway.quarantine.news_after(self.cursor, MAX_NEWS);
+impl SentCrashObservations {
+    /// Returns the next observations for the other side, and advances.
+    pub(super) fn take_unsent(&mut self, gateway: &Gateway) -> Vec<CrashNewsMessage> {
+        let (observations, cursor) = gateway.quarantine.news_after(self.cursor, MAX_OBSERVATIONS);
         self.cursor = cursor;
         let now = gateway.clock.now();
-        news.iter().map(|news| message(now, news)).collect()
+        observations
+            .iter()
+            .map(|observation| encode(now, observation))
+            .collect()
     }
 
-    /// Waits until there is something to tell.
-    pub(super) async fn wait(&self, gateway: &Gateway) {
+    /// Waits until there are unsent observations.
+    pub(super) async fn wait_for_unsent(&self, gateway: &Gateway) {
         gateway.quarantine.news_since(self.cursor).await;
     }
 }
 
-/// Takes in what another daemon tells.
-pub(super) fn take_in(gateway: &Gateway, messages: &[CrashNewsMessage]) {
+/// Applies the observations of another daemon.
+pub(super) fn apply(gateway: &Gateway, messages: &[CrashNewsMessage]) {
     if messages.is_empty() {
         return;
     }
     let now = gateway.clock.now();
-    let news = messages.iter().filter_map(|message| news(now, message));
-    gateway.quarantine.on_news(news);
+    let observations = messages.iter().filter_map(|message| decode(now, message));
+    gateway.quarantine.on_news(observations);
 }
 
-fn message(now: TimeMs, news: &CrashNews<EndpointHash>) -> CrashNewsMessage {
-    let fact = match news.fact {
+fn encode(now: TimeMs, observation: &CrashNews<EndpointHash>) -> CrashNewsMessage {
+    let fact = match observation.fact {
         CrashFact::Crashed(endpoint) => Fact::CrashedEndpoint(endpoint.0),
         CrashFact::Served => Fact::Served(true),
         CrashFact::Quarantined => Fact::Quarantined(true),
     };
     CrashNewsMessage {
-        request: Some(news.request.into()),
-        age_ms: u32::try_from(now.since(news.at).0).unwrap_or(u32::MAX),
+        request: Some(observation.request.into()),
+        age_ms: u32::try_from(now.since(observation.at).0).unwrap_or(u32::MAX),
         fact: Some(fact),
     }
 }
 
-/// None for a fact that a later version has added, and for one from before this daemon's clock.
-fn news(now: TimeMs, message: &CrashNewsMessage) -> Option<CrashNews<EndpointHash>> {
+/// Returns none for a fact that a later version has added, and for one from before the start of
+/// this daemon's clock.
+fn decode(now: TimeMs, message: &CrashNewsMessage) -> Option<CrashNews<EndpointHash>> {
     let fact = match message.fact? {
         Fact::CrashedEndpoint(endpoint) => CrashFact::Crashed(EndpointHash(endpoint)),
         Fact::Served(_) => CrashFact::Served,
--- a/crates/gateway/src/replication/endpoint_notices.rs
+++ b/crates/gateway/src/replication/endpoint_notices.rs
@@ -1,7 +1,9 @@
-//! What endpoints ask for, told between daemons that follow each other: with each question and each answer, and between
-//! seeds. It is told as it stands, not as changes, so that nothing is remembered of who knows what.
+//! Rate limits that endpoints ask for, exchanged between daemons that follow each other: with each
+//! question and each answer, and between seeds. Each message carries the current state, not
+//! changes, so daemons don't track what others know.
 //!
-//! Leaves out what doesn't fit; an endpoint that isn't known here is passed over, and told again.
+//! Notices that don't fit into a message are left out. A notice on an endpoint that isn't known
+//! here is ignored; it is sent again later.
 
 use crate::decisions::eligibility::rate_limit::{self, LimitObservation};
 use crate::endpoints::endpoint::Endpoint;
@@ -14,12 +16,12 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Notices in one message at most, the newest ones. Chosen because at some 18 bytes each they take 1.2 KB, and a fleet has
-/// few endpoints in need at once.
+/// The maximum number of notices per message; the newest ones are sent. At some 18 bytes each they
+/// take 1.2 KB, and few endpoints of a fleet ask for a limit at the same time.
 const MAX_NOTICES: usize = 64;
 
-/// What this daemon knows, for another one.
-pub(super) fn messages(gateway: &Gateway) -> Vec<EndpointNotice> {
+/// Returns the current limits, as notices for another daemon.
+pub(super) fn current(gateway: &Gateway) -> Vec<EndpointNotice> {
     let now = gateway.clock.now();
     let directory = gateway.control.directory();
     let mut known: Vec<(EndpointHash, LimitObservation)> = directory
@@ -29,12 +31,12 @@
     known.sort_unstable_by_key(|(_, observation)| std::cmp::Reverse(observation.at));
     known.truncate(MAX_NOTICES);
     let messages = known.into_iter();
-    let messages = messages.map(|(endpoint, observation)| message(now, endpoint, observation));
+    let messages = messages.map(|(endpoint, observation)| encode(now, endpoint, observation));
     messages.collect()
 }
 
-/// Takes in what another daemon tells.
-pub(super) fn take_in(gateway: &Gateway, messages: &[EndpointNotice]) {
+/// Applies the notices of another daemon.
+pub(super) fn apply(gateway: &Gateway, messages: &[EndpointNotice]) {
     if messages.is_empty() {
         return;
     }
@@ -46,12 +48,12 @@
         .collect();
     for message in messages {
         let endpoint = by_hash.get(&EndpointHash(message.endpoint));
-        let Some((endpoint, told)) = endpoint.zip(observation(now, message)) else {
+        let Some((endpoint, observed)) = endpoint.zip(decode(now, message)) else {
             continue;
         };
         let draw = || rand::rng().random();
-        let heard = endpoint.rate_limit.on_told(now, told, draw);
-        if let Some(limit) = heard {
+        let changed = endpoint.rate_limit.on_told(now, observed, draw);
+        if let Some(limit) = changed {
             on_limit_heard(
                 endpoint,
                 &gateway.metrics,
@@ -62,7 +64,7 @@
     }
 }
 
-fn message(now: TimeMs, endpoint: EndpointHash, observation: LimitObservation) -> EndpointNotice {
+fn encode(now: TimeMs, endpoint: EndpointHash, observation: LimitObservation) -> EndpointNotice {
     let age_ms = now.since(observation.at).0;
     EndpointNotice {
         endpoint: endpoint.0,
@@ -71,8 +73,9 @@
     }
 }
 
-/// None for an observation from before this daemon's clock, and for a limit that is none.
-fn observation(now: TimeMs, message: &EndpointNotice) -> Option<LimitObservation> {
+/// Returns none for an observation from before the start of this daemon's clock, and for an invalid
+/// limit.
+fn decode(now: TimeMs, message: &EndpointNotice) -> Option<LimitObservation> {
     let at = TimeMs(now.0.checked_sub(u64::from(message.age_ms))?);
     let limit = match message.requests_per_s {
         Some(per_s) => Some(rate_limit::checked(RequestsPerSecond(per_s))?),
--- a/crates/gateway/src/replication/fleet.rs
+++ b/crates/gateway/src/replication/fleet.rs
@@ -1,8 +1,8 @@
-//! The fleet: what this daemon knows of the other daemons.
+//! The fleet: this daemon's knowledge of the other daemons.
 //!
-//! Owns its followers, its own source path, the number of daemons, and the reports of others' work,
-//! each behind a lock that no request takes. All of it is lost with the process and heard again
-//! within seconds.
+//! Owns the followers, the path to the source, the number of daemons, and the reports of others'
+//! work, each behind a lock that no request takes. The state is lost with the process and received
+//! again within seconds.
 
 use crate::clock::Clock;
 use crate::decisions::replication::fleet_size::FleetSize;
@@ -18,7 +18,7 @@
 use std::sync::{Mutex, MutexGuard};
 use tokio::sync::Notify;
 
-/// A daemon that says how recent its proof is.
+/// A daemon that reported a newer proof than this one's.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FresherDaemon {
     pub(crate) address: SocketAddr,
@@ -34,11 +34,11 @@
     seed_addresses: Vec<SocketAddr>,
     followers: Mutex<Followers>,
     path: Mutex<SourcePath>,
-    fresher: Mutex<Option<FresherDaemon>>,
-    /// Wakes the task that follows the source when `fresher` was set.
-    fresher_set: Notify,
+    fresher_daemon: Mutex<Option<FresherDaemon>>,
+    /// Wakes the task that follows the source when `fresher_daemon` was set.
+    fresher_daemon_set: Notify,
     size: Mutex<FleetSize>,
-    /// What `size` holds, for requests; 0: not known.
+    /// The value of `size`, for requests; 0: unknown.
     known_size: AtomicU32,
     reports: Mutex<WorkReports>,
 }
@@ -51,8 +51,8 @@
             seed_addresses: settings.seed_addresses.clone(),
             followers: Mutex::new(Followers::new(settings.data_centre.clone())),
             path: Mutex::default(),
-            fresher: Mutex::default(),
-            fresher_set: Notify::new(),
+            fresher_daemon: Mutex::default(),
+            fresher_daemon_set: Notify::new(),
             size: Mutex::default(),
             known_size: AtomicU32::new(0),
             reports: Mutex::default(),
@@ -71,31 +71,31 @@
         self.reports.lock().expect("no panic under this lock")
     }
 
-    /// Whether this daemon is one of the seeds.
+    /// Returns whether this daemon is one of the seeds.
     pub(crate) fn is_seed(&self) -> bool {
         self.own_seed_address().is_some()
     }
 
-    /// This daemon's address among the seeds; none on a daemon that is no seed.
+    /// Returns this daemon's address among the seeds; none if it isn't a seed.
     fn own_seed_address(&self) -> Option<SocketAddr> {
         let own = self.own_address?;
         self.seed_addresses.contains(&own).then_some(own)
     }
 
-    /// This daemon's position in the list of seeds; none on a daemon that is no seed.
+    /// Returns this daemon's position in the list of seeds; none if it isn't a seed.
     pub(crate) fn seed_position(&self) -> Option<usize> {
         let own = self.own_seed_address()?;
         self.seed_addresses.iter().position(|seed| *seed == own)
     }
 
-    /// Whether this daemon follows the control source itself.
+    /// Returns whether this daemon follows the control source itself.
     pub(crate) fn follows_source(&self) -> bool {
         let path = self.path();
         path.reaches_source() && path.daemons().is_empty()
     }
 
-    /// The other seeds, if this daemon is one; a daemon that is none has nothing to exchange with
-    /// them.
+    /// Returns the other seeds if this daemon is a seed, else none: only seeds exchange reports
+    /// with seeds.
     pub(crate) fn other_seeds(&self) -> Vec<SocketAddr> {
         let Some(own) = self.own_seed_address() else {
             return Vec::new();
@@ -104,68 +104,76 @@
         seeds.filter(|seed| *seed != own).collect()
     }
 
-    /// How this daemon follows the source.
+    /// Returns this daemon's path to the source.
     pub(crate) fn path(&self) -> SourcePath {
         self.path.lock().expect("no panic under this lock").clone()
     }
 
-    /// This daemon follows the source in another way.
+    /// Sets this daemon's path to the source.
     pub(crate) fn set_path(&self, path: SourcePath) {
         *self.path.lock().expect("no panic under this lock") = path;
     }
 
-    /// A daemon that asks has a newer proof than this one, which is old: the newest is remembered.
+    /// Remembers the daemon with the newest of the reported proofs; called while this daemon's own
+    /// proof is old.
     pub(crate) fn on_proof_report(&self, report: FresherDaemon) {
-        let mut fresher = self.fresher.lock().expect("no panic under this lock");
-        if fresher.is_none_or(|known| known.proved_at <= report.proved_at) {
-            *fresher = Some(report);
-            self.fresher_set.notify_one();
+        let mut fresher_daemon = self
+            .fresher_daemon
+            .lock()
+            .expect("no panic under this lock");
+        if fresher_daemon.is_none_or(|known| known.proved_at <= report.proved_at) {
+            *fresher_daemon = Some(report);
+            self.fresher_daemon_set.notify_one();
         }
     }
 
     /// Waits until a daemon has reported a newer proof that wasn't taken yet.
-    pub(crate) async fn wait_for_fresher(&self) {
-        while !self.has_fresher() {
-            self.fresher_set.notified().await;
+    pub(crate) async fn wait_for_fresher_daemon(&self) {
+        while !self.has_fresher_daemon() {
+            self.fresher_daemon_set.notified().await;
         }
     }
 
-    fn has_fresher(&self) -> bool {
-        let fresher = self.fresher.lock().expect("no panic under this lock");
-        fresher.is_some()
+    fn has_fresher_daemon(&self) -> bool {
+        let fresher_daemon = self
+            .fresher_daemon
+            .lock()
+            .expect("no panic under this lock");
+        fresher_daemon.is_some()
     }
 
-    /// The daemon with the newest proof of those that asked since the last call.
-    pub(crate) fn take_fresher(&self) -> Option<FresherDaemon> {
-        self.fresher
+    /// Takes the daemon with the newest proof that was reported since the last call.
+    pub(crate) fn take_fresher_daemon(&self) -> Option<FresherDaemon> {
+        self.fresher_daemon
             .lock()
             .expect("no panic under this lock")
             .take()
     }
 
-    /// Where a daemon that asks is answered.
-    pub(crate) fn place(&self, follower: Follower) -> FollowerPlacement {
+    /// Decides which daemon answers a follower.
+    pub(crate) fn place_follower(&self, follower: Follower) -> FollowerPlacement {
         let path = self.path();
         self.followers().place(self.clock.now(), follower, &path)
     }
 
-    /// A follower's question was answered.
+    /// Notes that a follower's question was answered.
     pub(crate) fn on_follower_answered(&self, vm: &VmId) {
         self.followers().on_answered(self.clock.now(), vm);
     }
 
-    /// Some other followers of the data centre of `vm`.
+    /// Returns some other followers in the data centre of `vm`.
     pub(crate) fn siblings(&self, vm: &VmId) -> Vec<SocketAddr> {
         self.followers().siblings(self.clock.now(), vm)
     }
 
-    /// How many daemons there are, as far as this one knows.
+    /// Returns the number of daemons, if known.
     pub(crate) fn size(&self) -> Option<u32> {
         let known_size = self.known_size.load(Ordering::Relaxed);
         (known_size > 0).then_some(known_size)
     }
 
-    /// Another daemon reports how many there are (0: it doesn't know); gives what counts now.
+    /// Applies a report on the number of daemons (0: unknown); returns the number that is now
+    /// assumed.
     pub(crate) fn on_size_report(&self, daemons: u32) -> Option<u32> {
         let mut size = self.size_lock();
         size.on_report(self.clock.now(), daemons);
@@ -174,17 +182,19 @@
         known
     }
 
-    /// On a seed: takes the other seeds' trees to be as large as its own; gives what counts now.
+    /// On a seed, estimates the number of daemons by assuming that the other seeds' subtrees are as
+    /// large as its own; returns the number that is now assumed.
     pub(crate) fn estimate_size(&self, directory: &Directory) -> Option<u32> {
         self.own_seed_address()?;
         let seeds = self.seed_addresses.len() as u32;
-        let tree = self.tree(directory, None);
-        self.on_size_report(tree.size.saturating_mul(seeds))
+        let subtree = self.own_subtree(directory, None);
+        self.on_size_report(subtree.size.saturating_mul(seeds))
     }
 
-    /// This daemon's tree as it is told to `asked`, of which nothing is told back. Seeds exchange
-    /// theirs among themselves: one that follows this one for a while isn't counted with it.
-    pub(crate) fn tree(&self, directory: &Directory, asked: Option<SocketAddr>) -> Tree {
+    /// Returns this daemon's subtree as it is reported to `asked`, without what `asked` reported
+    /// itself. Seeds exchange their subtrees among themselves, so a seed that follows this one for a
+    /// while isn't counted.
+    pub(crate) fn own_subtree(&self, directory: &Directory, asked: Option<SocketAddr>) -> Tree {
         let is_seed = self.is_seed();
         let is_counted = |follower: &Follower| {
             let is_other_seed = is_seed && self.seed_addresses.contains(&follower.address);
@@ -194,13 +204,13 @@
         self.followers().tree(now, own_work(directory), is_counted)
     }
 
-    /// The work of all daemons, as far as this one knows.
+    /// Returns the work of all daemons, as far as this one knows.
     pub(crate) fn total_work(&self, directory: &Directory) -> WorkByEndpoint {
-        let tree = self.tree(directory, None);
-        self.reports().total(self.clock.now(), &tree.work)
+        let subtree = self.own_subtree(directory, None);
+        self.reports().total(self.clock.now(), &subtree.work)
     }
 
-    /// The upstream reports the total, and what of it isn't this daemon's.
+    /// Applies the upstream's report of the total work, and of the part that isn't this daemon's.
     pub(crate) fn on_total_report(
         &self,
         directory: &Directory,
@@ -212,7 +222,7 @@
         self.set_others_work(directory, others);
     }
 
-    /// Another seed reports that of its tree.
+    /// Applies another seed's report of the work in its subtree.
     pub(crate) fn on_seed_report(
         &self,
         directory: &Directory,
@@ -224,7 +234,7 @@
         self.update_others_work(directory);
     }
 
-    /// How many of the other seeds that reported lately have a smaller address.
+    /// Returns how many of the other seeds that reported recently have a smaller address.
     pub(crate) fn live_seeds_before(&self) -> usize {
         let Some(own) = self.own_seed_address() else {
             return 0;
@@ -232,7 +242,8 @@
         self.reports().live_seeds_before(self.clock.now(), own)
     }
 
-    /// On a daemon that follows no other: works out what of the total isn't its own.
+    /// On a daemon that doesn't follow another one, computes the part of the total work that isn't
+    /// its own.
     pub(crate) fn update_others_work(&self, directory: &Directory) {
         let total = self.total_work(directory);
         let others = total.without(&own_work(directory));
@@ -247,7 +258,7 @@
     }
 }
 
-/// Work that this daemon has under way.
+/// Returns the work that this daemon has under way.
 pub(crate) fn own_work(directory: &Directory) -> WorkByEndpoint {
     let mut work = WorkByEndpoint::default();
     for endpoint in directory.endpoints() {
--- a/crates/gateway/src/replication/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -1,9 +1,10 @@
-//! Following the control source, itself or by another daemon: everything is read once, then
-//! changes.
+//! Following the control source, directly or through another daemon: the full state is read once,
+//! then changes.
 //!
-//! The one task that writes [`crate::control::state`]. Whom it asks is decided in
-//! [`crate::decisions::replication::upstream`]; here the question is asked, its answer taken in,
-//! and what it proves noted.
+//! This task is the only writer of [`crate::control::state`], except for proofs of other seeds
+//! ([`super::seed_exchange`]). The upstream is chosen in
+//! [`crate::decisions::replication::upstream`]; this module asks it, applies the answer and stores
+//! the proof.
 
 use crate::control::replica::Update;
 use crate::control::source::{
@@ -24,30 +25,30 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// The pause after a first failed question; it doubles. Not measured, chosen because the upstream
-/// selector has its own, longer pauses for the source: this one only keeps the loop from spinning.
+/// The delay after the first failed step; it doubles. The upstream selector has its own, longer
+/// delays for the source: this one only prevents a busy loop.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between failed questions. Not measured, chosen because a lost upstream must be
-/// replaced well within the 4.7 s that a proof lasts by default.
+/// The maximum delay between failed steps. A lost upstream must be replaced well within the default
+/// lifetime of a proof, 4.7 s.
 const MAX_PAUSE: Duration = Duration::from_millis(400);
-/// How long a part of everything may take at first; each reading that is given up doubles the limit.
-/// Measured in commit 8f01409: with a fixed limit a large state on a slow VM was begun again for
-/// ever. For all parts together there is no limit, since their number grows with the fleet: 10,000 endpoints
-/// are 50 pages, 12 s where the source takes 0.24 s for each.
+/// The initial timeout for each part of the full state; each read that times out doubles it, since
+/// with a fixed timeout a slow VM never finished reading a large state. There is no timeout for the
+/// whole read, because the number of parts grows with the fleet: 10,000 endpoints are 50 pages, 12
+/// s at a source that takes 0.24 s for each.
 const FIRST_RELOAD_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// The longest that a part of everything may take. Not measured, chosen because it is three
-/// doublings; a source that takes longer is as good as away.
+/// The maximum timeout for each part of the full state: three doublings. A slower source counts as
+/// unavailable.
 const MAX_RELOAD_TIMEOUT: Duration = Duration::from_millis(16_000);
-/// What a wait for changes may take beyond its own time. Not measured, chosen because a slow source
-/// takes some hundred milliseconds more; a silent one must be left soon.
+/// The time that a wait for changes may take beyond the wait itself. A slow source takes some
+/// hundred milliseconds more; an unresponsive one must be abandoned soon.
 const WAIT_SLACK: Duration = Duration::from_millis(1_000);
-/// What a call may take that waits for nothing. Not measured, chosen because the users' slowest source
-/// takes 0.24 s; a new connection comes on top.
+/// The time that a call without a wait may take. The users' slowest source takes 0.24 s, plus the
+/// time for a new connection.
 const ANSWER_SLACK: Duration = Duration::from_millis(600);
-/// How long changes gather before the next question: they come many at once, and one answer brings
-/// what several would. Measured in commit 568af14: 12,585 calls of the source in a quiet grown day
-/// without it, 4,400 with it and longer waits.
-const GATHER_CHANGES: Duration = Duration::from_millis(200);
+/// The delay before the next question after changes. Changes come in bursts, and one later answer
+/// brings those of several. Without this delay a fleet made 12,585 calls to the source in a quiet
+/// day, and 4,400 with it and longer waits.
+const CHANGE_BURST_DELAY: Duration = Duration::from_millis(200);
 
 /// Follows the source until the daemon ends.
 pub async fn run<S: ControlSource>(gateway: Arc<Gateway>, source: S) {
@@ -66,12 +67,12 @@
         source,
         parent_client: PeerClient::default(),
         probe_client: PeerClient::default(),
-        followed: None,
+        logged_upstream: None,
         needs_full_state: true,
         pause: FIRST_PAUSE,
         reload_timeout: FIRST_RELOAD_TIMEOUT,
         is_source_lost: false,
-        logged: Freshness::TooOld,
+        logged_freshness: Freshness::TooOld,
     };
     loop {
         follower.step().await;
@@ -84,32 +85,32 @@
     upstreams: UpstreamSelector,
     parent_client: PeerClient,
     probe_client: PeerClient,
-    /// The upstream of the step before.
-    followed: Option<Upstream>,
-    /// The replica can't be brought up to date by changes.
+    /// The upstream of the previous step.
+    logged_upstream: Option<Upstream>,
+    /// Whether the replica can't be brought up to date by changes.
     needs_full_state: bool,
     pause: Duration,
     reload_timeout: Duration,
     is_source_lost: bool,
-    /// The freshness that was last logged.
-    logged: Freshness,
+    /// The freshness that was last logged_freshness.
+    logged_freshness: Freshness,
 }
 
 impl<S: ControlSource> SourceFollower<S> {
-    /// One question to one upstream.
+    /// Selects an upstream and asks it once.
     async fn step(&mut self) {
         let now = self.gateway.clock.now();
-        // Other seeds' proofs come in beside this task.
+        // Other seeds' proofs are stored by another task.
         let proved_at = self.gateway.control.proved_at();
         self.upstreams.on_proved(now, proved_at);
-        if let Some(fresher) = self.gateway.fleet.take_fresher() {
+        if let Some(fresher) = self.gateway.fleet.take_fresher_daemon() {
             self.upstreams
                 .on_fresher_daemon(now, fresher.address, fresher.proved_at);
         }
         let upstream = self.upstreams.select(now);
         self.log_upstream(upstream);
         match upstream {
-            Upstream::Source => self.ask_source().await,
+            Upstream::Source => self.poll_source().await,
             Upstream::Peer(peer) => self.ask_peer(peer).await,
             Upstream::Probe(peer) => self.probe(peer).await,
         }
@@ -126,16 +127,16 @@
         }
     }
 
-    async fn ask_source(&mut self) {
+    async fn poll_source(&mut self) {
         self.parent_client.close();
         let cause = self.upstreams.source_cause();
         let asked_at = self.gateway.clock.now();
         let gateway = self.gateway.clone();
-        // A source that doesn't answer isn't waited for when another daemon is fresher.
+        // Doesn't wait for an unresponsive source when another daemon is fresher.
         let result = tokio::select! {
             result = self.call_source() => result,
-            () = gateway.fleet.wait_for_fresher() => Err(SourceError::NoAnswer),
-            // What was asked before a suspension is asked anew.
+            () = gateway.fleet.wait_for_fresher_daemon() => Err(SourceError::NoAnswer),
+            // Repeats a question that was sent before a suspension.
             () = gateway.woken.notified() => return,
         };
         self.gateway.metrics.source_called(cause, result);
@@ -184,7 +185,8 @@
     async fn reload(&mut self) -> Result<(), SourceError> {
         let progress = ReadProgress::default();
         let reading = self.source.full_state(&progress);
-        let Some(state) = while_parts_come(reading, &progress, self.reload_timeout).await else {
+        let Some(state) = read_while_parts_arrive(reading, &progress, self.reload_timeout).await
+        else {
             self.reload_timeout = (self.reload_timeout * 2).min(MAX_RELOAD_TIMEOUT);
             return Err(SourceError::NoAnswer);
         };
@@ -218,7 +220,7 @@
         let has_changes = !changes.records.is_empty();
         self.gateway.control.apply(&self.source, changes);
         if has_changes && self.upstreams.is_seed() {
-            sleep(GATHER_CHANGES).await;
+            sleep(CHANGE_BURST_DELAY).await;
         }
         Ok(())
     }
@@ -230,23 +232,23 @@
             self.gateway.control.replica().revision()
         };
         let now = self.gateway.clock.now();
-        let until_turn = self.upstreams.source_turn(now).map(|turn| turn.since(now));
+        let until_slot = self.upstreams.source_turn(now).map(|slot| slot.since(now));
         let gateway = self.gateway.clone();
         let asked = tokio::select! {
             asked = self.parent_client.ask(&gateway, peer, after) => asked,
             // The question is dropped with its connection; the parent is kept.
-            () = gateway.fleet.wait_for_fresher() => return,
+            () = gateway.fleet.wait_for_fresher_daemon() => return,
             () = gateway.woken.notified() => return,
-            () = wait_for_turn(until_turn) => return,
+            () = wait_for_slot(until_slot) => return,
         };
-        let taken = asked.and_then(|answer| self.take_in(answer));
-        self.gateway.metrics.peer_asked(taken.as_ref().err());
-        match taken {
+        let applied = asked.and_then(|answer| self.apply_answer(answer));
+        self.gateway.metrics.peer_asked(applied.as_ref().err());
+        match applied {
             Ok(report) => {
                 let now = self.gateway.clock.now();
                 self.upstreams.on_peer_answered(now, peer, &report);
             }
-            Err(PeerError::Circle) => {
+            Err(PeerError::Cycle) => {
                 let now = self.gateway.clock.now();
                 self.upstreams.on_circle(now, peer);
                 event!(Event::CircleLeft, peer = peer);
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Asks another daemon for its place in the tree, or tells it of this one's proof.
+    /// Asks another daemon for its place in the tree, and reports this daemon's proof to it.
     async fn probe(&mut self, peer: SocketAddr) {
         let probed = self.probe_client.probe(&self.gateway, peer).await;
         self.gateway.metrics.peer_asked(probed.as_ref().err());
@@ -280,11 +282,11 @@
         event!(Event::PeerLost, peer = peer, cause = error);
     }
 
-    /// Takes another daemon's answer in, and notes what it proves.
-    fn take_in(&mut self, answer: PeerAnswer) -> Result<PeerReport, PeerError> {
-        // Before anything else: what such an answer proves is what this daemon has told.
+    /// Applies another daemon's answer, and stores its proof.
+    fn apply_answer(&mut self, answer: PeerAnswer) -> Result<PeerReport, PeerError> {
+        // Checked first: the proof in such an answer is this daemon's own.
         if self.upstreams.leads_back(&answer.path) {
-            return Err(PeerError::Circle);
+            return Err(PeerError::Cycle);
         }
         let now = self.gateway.clock.now();
         let report = PeerReport {
@@ -294,7 +296,7 @@
             redirect: answer.redirect,
             siblings: answer.siblings,
         };
-        self.take_records_in(answer.at, answer.update)?;
+        self.apply_records(answer.at, answer.update)?;
         let gateway = &self.gateway;
         let fleet_size = gateway.fleet.on_size_report(answer.fleet_size);
         self.upstreams.on_fleet_size(fleet_size.unwrap_or_default());
@@ -309,7 +311,7 @@
         Ok(report)
     }
 
-    fn take_records_in(&mut self, at: Revision, update: Update) -> Result<(), PeerError> {
+    fn apply_records(&mut self, at: Revision, update: Update) -> Result<(), PeerError> {
         let (is_whole, changes) = match update {
             Update::Full(changes) => (true, changes),
             Update::Changes(changes) => (false, changes),
@@ -329,12 +331,12 @@
     }
 
     fn log_upstream(&mut self, upstream: Upstream) {
-        // A probe changes nothing by itself.
+        // A probe doesn't change the upstream.
         let is_probe = matches!(upstream, Upstream::Probe(_));
-        if is_probe || self.followed == Some(upstream) {
+        if is_probe || self.logged_upstream == Some(upstream) {
             return;
         }
-        self.followed = Some(upstream);
+        self.logged_upstream = Some(upstream);
         event!(
             Event::UpstreamChanged,
             upstream = upstream,
@@ -345,7 +347,7 @@
 
     fn log_freshness(&mut self) {
         let freshness = self.gateway.control.freshness();
-        if std::mem::replace(&mut self.logged, freshness) == freshness {
+        if std::mem::replace(&mut self.logged_freshness, freshness) == freshness {
             return;
         }
         let event = match freshness {
@@ -360,15 +362,15 @@
         );
     }
 
-    /// The age of the newest proof in milliseconds; -1: there is none.
+    /// Returns the age of the newest proof in milliseconds; -1: there is none.
     fn proof_age_for_log(&self) -> i64 {
         let proof_age = self.gateway.control.proof_age();
         proof_age.map_or(-1, |age| age.0 as i64)
     }
 }
 
-/// Reads on for as long as a part comes in each `limit`; none: it was given up.
-async fn while_parts_come<T>(
+/// Runs a read for as long as a part arrives within each `limit`; returns none if it timed out.
+async fn read_while_parts_arrive<T>(
     reading: impl Future<Output = T>,
     progress: &ReadProgress,
     limit: Duration,
@@ -385,10 +387,10 @@
     }
 }
 
-/// Returns after so long; never where there is no turn.
-async fn wait_for_turn(until_turn: Option<DurationMs>) {
-    match until_turn {
-        Some(until_turn) => sleep(until_turn.as_std()).await,
+/// Waits for the given time; forever if there is none.
+async fn wait_for_slot(until_slot: Option<DurationMs>) {
+    match until_slot {
+        Some(until_slot) => sleep(until_slot.as_std()).await,
         None => std::future::pending().await,
     }
 }
--- a/crates/gateway/src/replication/message.rs
+++ b/crates/gateway/src/replication/message.rs
@@ -1,6 +1,6 @@
-//! Records, changes and work as messages between daemons, and back.
+//! Encoding and decoding of records, changes and work as messages between daemons.
 //!
-//! The messages are `bridgevane-protocol`'s; their field numbers never change.
+//! The messages are defined in `bridgevane-protocol`; their field numbers never change.
 
 use crate::control::patch::Patch;
 use crate::control::replica::{RecordChange, RecordOutcome, Update};
@@ -17,63 +17,63 @@
 use prost::Message;
 use std::net::SocketAddr;
 
-/// Moments are whole milliseconds, so that an age may be one more than their difference.
-pub(super) const CLOCK_GRAIN_MS: u64 = 1;
+/// The resolution of the clock: an age may be this much more than the difference of its times.
+pub(super) const CLOCK_RESOLUTION_MS: u64 = 1;
 
-/// Records are packed from so many bytes on. Not measured by itself (commit 8f01409: states of 0.9
-/// MB over links of 10 Mbit/s), chosen because below it packing saves a packet or two.
-const PACKED_FROM_BYTES: usize = 4 * 1024;
-/// The most that the packed records of one answer may unpack to. Chosen because it is sixteen times the
-/// largest value of the platform's store, and the records of some 60,000 endpoints at 270 bytes each; a
-/// sender can't make a daemon allocate more.
+/// The minimum size at which records are packed. States of 0.9 MB went over links of 10 Mbit/s;
+/// below this size packing saves only a packet or two.
+const MIN_PACKED_BYTES: usize = 4 * 1024;
+/// The maximum size to which the packed records of one answer may unpack, so that a sender can't
+/// make a daemon allocate more. It is sixteen times the largest value of the platform's store, and
+/// holds the records of some 60,000 endpoints at 270 bytes each.
 pub(super) const MAX_UNPACKED_BYTES: usize = 16 << 20;
-/// Records in one message of several, before they are packed. Chosen because packed they are some 40 KB
-/// (measured: `fleet_state`, benches), which sixteen followers each get within a third of a second over
-/// a link of 20 Mbit/s, whatever the fleet's size: so long a daemon waits for the next message before it takes
-/// its upstream for lost.
+/// The maximum size of the records in one of several messages, before packing. Packed they take
+/// some 40 KB (`fleet_state`, benches), which sixteen followers each receive within a third of a
+/// second over a link of 20 Mbit/s, whatever the fleet's size: within a
+/// daemon's timeout for the next message.
 const MAX_PART_BYTES: usize = 256 * 1024;
-/// Endpoints in one message at most, those with the most work. Not measured by itself, chosen
-/// because at some 13 bytes each they take 3.3 KB, five times a second, of a link of 10 Mbit/s.
+/// The maximum number of endpoints per message; those with the most work are sent. At some 13 bytes
+/// each they take 3.3 KB, five times a second, of a link of 10 Mbit/s.
 const MAX_REPORTED_ENDPOINTS: usize = 256;
-/// A running request weighs as much as so many prompt tokens when endpoints are left out. Not
-/// measured, chosen because an engine reads so many in 30 ms, which decides nothing.
+/// The weight of a running request in prompt tokens, for choosing the reported endpoints. An engine
+/// reads this many tokens in 30 ms, which doesn't affect any decision.
 const RUNNING_WEIGHT_TOKENS: u64 = 1_500;
 
-/// Records in an answer that can't be used here.
+/// Why the records in an answer can't be used.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// Packed records that would unpack to too much.
+    /// The packed records would unpack to too many bytes.
     #[display("the packed records are too large")]
     TooLarge,
-    /// Packed records that are damaged.
+    /// The packed records are damaged.
     #[display("the packed records are damaged")]
     Damaged,
-    /// The address of a daemon that is none, or a path of too many daemons.
+    /// A daemon's address is invalid, or a path has too many daemons.
     #[display("a bad address or path of daemons")]
     BadPath,
-    /// A kind of change that a later version has added.
+    /// The kind of change is unknown; a later version has added it.
     #[display("a change of an unknown kind")]
     UnknownChange,
-    /// A patch for another value than this daemon has.
+    /// A patch was made for another value than this daemon has.
     #[display("a patch doesn't fit the value here")]
     PatchDoesNotFit,
 }
 
-/// Puts an update into one answer.
+/// Encodes an update into one answer.
 pub fn put_update(answer: &mut RecordsAnswer, update: Update) {
-    let (is_whole, changes) = changes_of(update);
+    let (is_whole, changes) = into_changes(update);
     answer.is_whole = is_whole;
-    answer.records = changes.into_iter().map(change_message).collect();
+    answer.records = changes.into_iter().map(encode_change).collect();
     pack(answer);
 }
 
-/// An update as messages, of which all but the last say that more follow; one at least.
+/// Encodes an update as one or more answers, of which all but the last say that more follow.
 pub fn update_parts(update: Update) -> Vec<RecordsAnswer> {
-    let (is_whole, changes) = changes_of(update);
+    let (is_whole, changes) = into_changes(update);
     let mut parts = vec![RecordsAnswer::default()];
     let mut part_bytes = 0;
     for change in changes {
-        let message = change_message(change);
+        let message = encode_change(change);
         let bytes = message.encoded_len();
         if part_bytes > 0 && part_bytes + bytes > MAX_PART_BYTES {
             parts.push(RecordsAnswer::default());
@@ -92,24 +92,24 @@
     parts
 }
 
-fn changes_of(update: Update) -> (bool, Vec<RecordChange>) {
+fn into_changes(update: Update) -> (bool, Vec<RecordChange>) {
     match update {
         Update::Full(changes) => (true, changes),
         Update::Changes(changes) => (false, changes),
     }
 }
 
-/// Takes the update out of the messages of an answer.
+/// Decodes the update from the messages of an answer.
 ///
 /// # Errors
-/// [`MessageError`] when a part of it can't be used here.
+/// [`MessageError`] when a part of it can't be used.
 pub fn take_update(parts: &mut [RecordsAnswer]) -> Result<Update, MessageError> {
     let mut changes: Vec<RecordChange> = Vec::new();
     let mut left_bytes = MAX_UNPACKED_BYTES;
     for part in &mut *parts {
         left_bytes -= unpack(part, left_bytes)?;
         for message in std::mem::take(&mut part.records) {
-            changes.push(change_of_message(message)?);
+            changes.push(decode_change(message)?);
         }
     }
     let is_whole = parts.last().is_some_and(|last| last.is_whole);
@@ -120,7 +120,7 @@
     })
 }
 
-fn change_message(change: RecordChange) -> RecordChangeMessage {
+fn encode_change(change: RecordChange) -> RecordChangeMessage {
     let outcome = match change.outcome {
         RecordOutcome::Removed => Change::Gone(true),
         RecordOutcome::Whole(value) => Change::Whole(value),
@@ -138,7 +138,7 @@
     }
 }
 
-fn change_of_message(message: RecordChangeMessage) -> Result<RecordChange, MessageError> {
+fn decode_change(message: RecordChangeMessage) -> Result<RecordChange, MessageError> {
     let outcome = match message.change.ok_or(MessageError::UnknownChange)? {
         Change::Gone(_) => RecordOutcome::Removed,
         Change::Whole(value) => RecordOutcome::Whole(value),
@@ -158,11 +158,11 @@
     })
 }
 
-/// Packs many records: those of endpoints are much alike, and links may be narrow.
+/// Packs many records: those of endpoints are similar to each other, and links may be slow.
 fn pack(answer: &mut RecordsAnswer) {
     let records = std::mem::take(&mut answer.records);
     let batch = RecordBatch { records };
-    if batch.encoded_len() < PACKED_FROM_BYTES {
+    if batch.encoded_len() < MIN_PACKED_BYTES {
         answer.records = batch.records;
         return;
     }
@@ -170,7 +170,7 @@
     answer.packed_records = packed.into();
 }
 
-/// Unpacks the records of an answer, to `max_bytes` at most; gives how many bytes they are.
+/// Unpacks the records of an answer, to at most `max_bytes`; returns their size in bytes.
 fn unpack(answer: &mut RecordsAnswer, max_bytes: usize) -> Result<usize, MessageError> {
     let packed = std::mem::take(&mut answer.packed_records);
     if packed.is_empty() {
@@ -187,8 +187,8 @@
     Ok(length)
 }
 
-/// Work as messages: the endpoints with the most.
-pub(super) fn work_messages(work: &WorkByEndpoint) -> Vec<EndpointWork> {
+/// Encodes work, for the endpoints with the most of it.
+pub(super) fn encode_work(work: &WorkByEndpoint) -> Vec<EndpointWork> {
     let mut reported: Vec<(EndpointHash, Work)> = work.iter().collect();
     if reported.len() > MAX_REPORTED_ENDPOINTS {
         let weight = |work: Work| {
@@ -206,8 +206,8 @@
     messages.collect()
 }
 
-/// Work of messages.
-pub(super) fn work_of_messages(messages: &[EndpointWork]) -> WorkByEndpoint {
+/// Decodes work.
+pub(super) fn decode_work(messages: &[EndpointWork]) -> WorkByEndpoint {
     let mut work = WorkByEndpoint::default();
     for message in messages {
         let endpoint = EndpointHash(message.endpoint);
@@ -220,8 +220,8 @@
     work
 }
 
-/// A source path as a message.
-pub(super) fn path_message(path: &SourcePath) -> SourcePathMessage {
+/// Encodes a source path.
+pub(super) fn encode_path(path: &SourcePath) -> SourcePathMessage {
     let daemons = path.daemons().iter().map(ToString::to_string);
     SourcePathMessage {
         daemons: daemons.collect(),
@@ -229,19 +229,17 @@
     }
 }
 
-/// The source path of a message; without one the daemon follows nobody.
-pub(super) fn path_of_message(
-    message: Option<SourcePathMessage>,
-) -> Result<SourcePath, MessageError> {
+/// Decodes a source path; without one the daemon doesn't follow any other.
+pub(super) fn decode_path(message: Option<SourcePathMessage>) -> Result<SourcePath, MessageError> {
     let Some(message) = message else {
         return Ok(SourcePath::detached());
     };
-    let daemons = addresses_of_messages(&message.daemons)?;
+    let daemons = parse_addresses(&message.daemons)?;
     SourcePath::new(daemons, message.reaches_source).ok_or(MessageError::BadPath)
 }
 
-/// The addresses of daemons.
-pub(super) fn addresses_of_messages(texts: &[String]) -> Result<Vec<SocketAddr>, MessageError> {
+/// Parses the addresses of daemons.
+pub(super) fn parse_addresses(texts: &[String]) -> Result<Vec<SocketAddr>, MessageError> {
     let addresses = texts.iter().map(|text| text.parse());
     let addresses: Result<Vec<SocketAddr>, _> = addresses.collect();
     addresses.map_err(|_| MessageError::BadPath)
--- a/crates/gateway/src/replication/mod.rs
+++ b/crates/gateway/src/replication/mod.rs
@@ -1,13 +1,14 @@
-//! Daemons pass on to each other what the control source says, and how recent it is, so that the
-//! source bears a few callers and not one for each daemon, and so that a daemon that the source
-//! turns away goes on with what its neighbours know.
+//! Replication: daemons forward the state of the control source, and how recent it is, to each
+//! other. The source then serves a few callers instead of every daemon, and a daemon that the
+//! source refuses continues with the state of its neighbours.
 //!
 //! A daemon follows one upstream at a time: the source itself, or another daemon
-//! ([`crate::decisions::replication::upstream`]). What it has taken in is its replica
+//! ([`crate::decisions::replication::upstream`]). The received state is its replica
 //! ([`crate::control::replica`]), from which it answers daemons that follow it ([`server`],
-//! [`client`]). Messages also carry how many daemons there are and the work that they have under way
-//! ([`fleet`]), which requests end the endpoints that run them ([`crash_news`]), and what endpoints ask for ([`endpoint_notices`]). Nothing is agreed on and nothing is kept: a replica is a cache of the source, and
-//! the source's revision is its only clock.
+//! [`client`]). Messages also carry the number of daemons and the work that they have under way
+//! ([`fleet`]), which requests crash endpoints ([`crash_news`]), and the limits that endpoints ask
+//! for ([`endpoint_notices`]). There is no consensus and nothing is stored: a replica is a cache of
+//! the source, ordered only by the source's revision.
 
 pub(crate) mod client;
 pub(crate) mod crash_news;
--- a/crates/gateway/src/replication/packed_state.rs
+++ b/crates/gateway/src/replication/packed_state.rs
@@ -1,8 +1,9 @@
-//! The whole state as messages, packed once for all daemons that ask for it at one revision.
+//! The full state as messages, packed once for all daemons that request it at one revision.
 //!
-//! When a fleet starts, each daemon with followers sends up to sixteen of them everything at once. Packing the
-//! records of 10,000 endpoints takes 9 ms of a core, 70 ms on the smallest VM (`fleet_state`, benches).
-//! Forgotten with the revision, so that it takes memory only while states are asked for.
+//! When a fleet starts, each daemon with followers sends the full state to up to sixteen of them at
+//! once. Packing the records of 10,000 endpoints takes 9 ms of a core, and 70 ms on the smallest VM
+//! (`fleet_state`, benches). The messages are dropped when the revision changes, so that they take
+//! memory only while states are requested.
 
 use crate::control::replica::{Replica, Update};
 use crate::control::source::Revision;
@@ -22,7 +23,7 @@
     }
 }
 
-/// The messages, and the revision that they are of; none: nothing is packed.
+/// The packed messages and their revision; empty if nothing is packed.
 #[derive(Debug, Default)]
 pub(crate) struct Packed {
     at: Revision,
@@ -30,9 +31,9 @@
 }
 
 impl Packed {
-    /// What a daemon lacks that has every change up to `after`; none: it is packed here. A daemon that takes no
-    /// parts never finds it packed.
-    pub(crate) fn update(
+    /// Returns the update for a daemon that is complete up to `after`; none if it is packed
+    /// already. A daemon that doesn't accept parts never gets the packed state.
+    pub(crate) fn update_unless_packed(
         &mut self,
         replica: &Replica,
         after: Revision,
@@ -45,8 +46,8 @@
         (!is_packed).then(|| replica.update_since(after))
     }
 
-    /// The messages of an update at a revision, or of the state that is packed. A daemon that takes no parts
-    /// gets one message.
+    /// Returns the messages of an update at a revision, or of the packed state. A daemon that
+    /// doesn't accept parts gets one message.
     pub(crate) fn parts(
         &mut self,
         at: Revision,
--- a/crates/gateway/src/replication/peer_error.rs
+++ b/crates/gateway/src/replication/peer_error.rs
@@ -1,6 +1,6 @@
-//! Why another daemon gave no answer that can be used.
+//! Why another daemon gave no usable answer.
 //!
-//! Both kinds of unreadable answers have one text, which dashboards and log searches know.
+//! Both kinds of unreadable answers have the same text, which dashboards and log searches match.
 
 use crate::replication::message::MessageError;
 use derive_more::{Display, Error};
@@ -8,22 +8,22 @@
 /// The error. Its text is the cause in logs and metrics.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub(crate) enum PeerError {
-    /// Nobody listens there.
+    /// The connection was refused.
     #[display("refused")]
     Refused,
-    /// No answer in time.
+    /// There was no answer in time.
     #[display("no answer")]
     NoAnswer,
     /// The connection broke.
     #[display("broken")]
     Broken,
-    /// The answer is no answer to the question.
+    /// The message isn't an answer to the question.
     #[display("unreadable answer")]
     Unreadable,
-    /// It follows this daemon, directly or not.
+    /// The other daemon follows this one, directly or indirectly.
     #[display("circle")]
-    Circle,
-    /// The answer's records can't be used here.
+    Cycle,
+    /// The records of the answer can't be used.
     #[display("unreadable answer")]
     BadRecords(MessageError),
 }
--- a/crates/gateway/src/replication/seed_exchange.rs
+++ b/crates/gateway/src/replication/seed_exchange.rs
@@ -1,8 +1,9 @@
-//! Seeds ask each other for the work that the daemons of their trees have under way, and for proofs.
+//! Exchange between seeds: each asks the others for the work that the daemons of their subtrees have
+//! under way, and for proofs.
 //!
-//! Seeds follow the source and not each other, so that no upstream tells them the total. What one of them
-//! has proved serves all that have the same state, so that some may ask the source less often
-//! ([`crate::decisions::replication::source_pacing::watch_wait`]).
+//! Seeds follow the source and not each other, so no upstream reports the total work to them. A
+//! proof of one seed is valid for all that have the same state, so some seeds may ask the source
+//! less often ([`crate::decisions::replication::source_pacing::watch_wait`]).
 
 use crate::gateway::Gateway;
 use crate::replication::client::{PeerClient, ProbeAnswer};
@@ -10,14 +11,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The pause between two questions. Not measured by itself (commit cf81c29), chosen because
-/// followers' questions are held as long while there is work to report.
+/// The delay between two questions. Followers' questions are held for the same time while there is
+/// work to report.
 const INTERVAL: Duration = Duration::from_millis(200);
-/// The pause after a question without an answer. Not measured, chosen because a seed that is away
-/// is away for seconds, and its report expires meanwhile.
+/// The delay after an unanswered question. A seed that is down stays down for seconds, and its
+/// report expires meanwhile.
 const FAILURE_PAUSE: Duration = Duration::from_millis(2_000);
 
-/// Starts to ask the other seeds, if this daemon is a seed; goes on until the daemon ends.
+/// Starts asking the other seeds, if this daemon is a seed; continues until the daemon ends.
 pub(crate) fn start(gateway: &Arc<Gateway>) {
     for seed in gateway.fleet.other_seeds() {
         tokio::spawn(ask_repeatedly(gateway.clone(), seed));
@@ -32,7 +33,8 @@
                 on_answer(&gateway, seed, answer);
                 INTERVAL
             }
-            // Not logged: the report expires by itself, and a seed that is away is asked for long.
+            // Not logged: the report expires by itself, and a seed that is down is asked for a long
+            // time.
             Err(_) => FAILURE_PAUSE,
         };
         tokio::time::sleep(pause).await;
--- a/crates/gateway/src/replication/server.rs
+++ b/crates/gateway/src/replication/server.rs
@@ -1,19 +1,20 @@
-//! The peer address: answers daemons that follow this one, and those that report their usage to it.
+//! The server at the peer address: answers daemons that follow this one, and those that report
+//! their usage to it.
 //!
-//! Owns the connections of followers. Answers are made of [`crate::control::state`] and
-//! [`super::fleet`]; who is answered here is decided in
-//! [`crate::decisions::replication::followers`].
+//! Owns the connections of followers. Answers are built from [`crate::control::state`] and
+//! [`super::fleet`]; [`crate::decisions::replication::followers`] decides which followers are
+//! answered here.
 
 use crate::control::source::Revision;
 use crate::counter::Counter;
 use crate::decisions::replication::followers::{Follower, FollowerPlacement, Tree};
 use crate::decisions::replication::hold::hold;
-use crate::duties::codec::report_of_message;
+use crate::duties::codec::decode_report;
 use crate::gateway::Gateway;
-use crate::replication::crash_news::{self, ToldNews};
+use crate::replication::crash_news::{self, SentCrashObservations};
 use crate::replication::endpoint_notices;
 use crate::replication::fleet::FresherDaemon;
-use crate::replication::message::{CLOCK_GRAIN_MS, path_message, work_messages, work_of_messages};
+use crate::replication::message::{CLOCK_RESOLUTION_MS, decode_work, encode_path, encode_work};
 use crate::sockets::{accept, set_options};
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::{
@@ -28,21 +29,21 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// How long a daemon may take from one question to the next. Not measured, chosen because a
-/// follower expires after 2 s; the rest spares a slow one a new connection.
+/// Timeout for the next question on a connection. A follower expires after 2 s; the rest saves a
+/// slow one from reconnecting.
 const NEXT_QUESTION_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// Answers on one connection from which one names siblings. Not measured, chosen because siblings change
-/// seldom and some ten answers take two seconds or more.
+/// Of this many answers on a connection, one lists siblings. Siblings change seldom, and ten answers
+/// take two seconds or more.
 const SIBLINGS_EVERY: u64 = 10;
-/// Connections from other daemons at most. Measured in commit 45ec449: a seed had 115 at 301
-/// daemons when all started at once, of 128 that were allowed then.
+/// The maximum number of connections from other daemons. A seed had 115 when 301 daemons started at
+/// once.
 const MAX_CONNECTIONS: u64 = 512;
 
-/// How long news of requests that end endpoints gather before they are told: an endpoint that ends makes
-/// many at once. Not measured by itself, chosen as a quarter of the time that a busy question is held.
-const GATHER_CRASH_NEWS: Duration = Duration::from_millis(50);
+/// The delay for collecting crash observations before they are sent: an endpoint that crashes causes
+/// many at once. It is a quarter of the time for which a question is held while there is work.
+const CRASH_OBSERVATION_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers until the daemon ends.
+/// Serves other daemons until the daemon ends.
 pub async fn run(gateway: Arc<Gateway>, listener: TcpListener) {
     let connections = Counter::default();
     loop {
@@ -54,18 +55,18 @@
         let gateway = gateway.clone();
         tokio::spawn(async move {
             let _guard = guard;
-            // A daemon that is gone, or sends what is no question, opens a new connection.
+            // A daemon that broke the connection or the protocol has to reconnect.
             let _ = serve(&gateway, stream).await;
         });
     }
 }
 
-/// Answers one daemon until it leaves, stays silent or sends what is no question.
+/// Serves one daemon until it disconnects, times out or breaks the protocol.
 async fn serve(gateway: &Gateway, stream: TcpStream) -> Result<(), FrameError> {
     let mut frames = Framed::new(stream, FrameCodec::default());
-    // When the proof that was last sent on this connection was made.
+    // The time of the proof that was last sent on this connection.
     let mut sent_proof: Option<TimeMs> = None;
-    let mut told_news = ToldNews::default();
+    let mut sent_observations = SentCrashObservations::default();
     let mut answers = 0;
     loop {
         let Ok(Some(frame)) = timeout(NEXT_QUESTION_TIMEOUT, frames.next()).await else {
@@ -74,40 +75,40 @@
         let question = match frame?.body {
             Some(Body::RecordsWanted(question)) => question,
             Some(Body::UsageReported(report)) => {
-                let is_holder = gateway.duty_book.on_report(report_of_message(report));
+                let is_holder = gateway.duty_book.on_report(decode_report(report));
                 let body = Some(Body::UsageHeard(UsageHeard { is_holder }));
                 frames.send(Frame { body }).await?;
                 continue;
             }
             _ => return Ok(()),
         };
-        note_proof(gateway, &question);
-        crash_news::take_in(gateway, &question.crash_news);
-        endpoint_notices::take_in(gateway, &question.endpoint_notices);
+        remember_fresher_daemon(gateway, &question);
+        crash_news::apply(gateway, &question.crash_news);
+        endpoint_notices::apply(gateway, &question.endpoint_notices);
         let placement = if question.is_for_work {
             None
         } else {
-            Some(place(gateway, &question))
+            Some(place_follower(gateway, &question))
         };
         let answer = match placement {
             None => RecordsAnswer {
-                crash_news: told_news.next(gateway),
-                ..place_in_tree(gateway)
+                crash_news: sent_observations.take_unsent(gateway),
+                ..probe_answer(gateway)
             },
-            Some(FollowerPlacement::Circle) => circle(gateway, &question),
-            Some(FollowerPlacement::Redirect(address)) => redirection(gateway, address),
+            Some(FollowerPlacement::Circle) => cycle_answer(gateway, &question),
+            Some(FollowerPlacement::Redirect(address)) => redirect_answer(gateway, address),
             Some(FollowerPlacement::Here) => {
                 let asked_at = gateway.clock.now();
                 let asked = Instant::now();
-                wait_for_news(gateway, sent_proof, &told_news, &question, asked).await;
-                let (parts, mut answer, proved_at) = records(gateway, &question, asked_at);
+                wait_for_update(gateway, sent_proof, &sent_observations, &question, asked).await;
+                let (parts, mut answer, proved_at) = records_answer(gateway, &question, asked_at);
                 for part in parts {
                     let body = Some(Body::RecordsAnswer(part));
                     frames.send(Frame { body }).await?;
                 }
                 sent_proof = proved_at;
-                answer.crash_news = told_news.next(gateway);
-                answer.endpoint_notices = endpoint_notices::messages(gateway);
+                answer.crash_news = sent_observations.take_unsent(gateway);
+                answer.endpoint_notices = endpoint_notices::current(gateway);
                 if answers % SIBLINGS_EVERY == 0 {
                     let siblings = gateway.fleet.siblings(&VmId::from(question.vm.as_str()));
                     answer.siblings = siblings.iter().map(ToString::to_string).collect();
@@ -125,8 +126,8 @@
     }
 }
 
-/// Remembers an asking daemon whose proof is newer than this one's, if that is old.
-fn note_proof(gateway: &Gateway, question: &RecordsWanted) {
+/// Remembers an asking daemon whose proof is newer than this one's, if this one's is old.
+fn remember_fresher_daemon(gateway: &Gateway, question: &RecordsWanted) {
     let Some(age_ms) = question.proof_age_ms else {
         return;
     };
@@ -134,7 +135,7 @@
     let Ok(address) = question.peer_address.parse() else {
         return;
     };
-    // A proof from before the beginning of this daemon's clock is too old to be of use.
+    // A proof from before the start of this daemon's clock is too old to be of use.
     let Some(proved_at) = gateway.clock.now().0.checked_sub(age_ms).map(TimeMs) else {
         return;
     };
@@ -148,25 +149,27 @@
     }
 }
 
-/// This daemon's place in the tree, how recent it is, and the work of the daemons below it.
-fn place_in_tree(gateway: &Gateway) -> RecordsAnswer {
-    let tree = gateway.fleet.tree(&gateway.control.directory(), None);
+/// Returns this daemon's place in the tree, its proof, and the work of the daemons below it.
+fn probe_answer(gateway: &Gateway) -> RecordsAnswer {
+    let subtree = gateway
+        .fleet
+        .own_subtree(&gateway.control.directory(), None);
     let path = gateway.fleet.path();
     let (at, proved_at) = gateway.control.proved_state();
     RecordsAnswer {
         at: at.0,
         data_centre: gateway.settings.data_centre.to_string(),
         proof_age_ms: proof_age_ms(gateway, proved_at),
-        path: Some(path_message(&path)),
-        work: work_messages(&tree.work),
-        endpoint_notices: endpoint_notices::messages(gateway),
+        path: Some(encode_path(&path)),
+        work: encode_work(&subtree.work),
+        endpoint_notices: endpoint_notices::current(gateway),
         ..Default::default()
     }
 }
 
-/// Shows the asking daemon that it would follow itself: it is in the path. Nothing is proved, since no
-/// records go along.
-fn circle(gateway: &Gateway, question: &RecordsWanted) -> RecordsAnswer {
+/// Returns an answer that shows the asking daemon that it would follow itself: the path contains
+/// it. The answer has no records and no proof.
+fn cycle_answer(gateway: &Gateway, question: &RecordsWanted) -> RecordsAnswer {
     RecordsAnswer {
         data_centre: gateway.settings.data_centre.to_string(),
         path: Some(SourcePath {
@@ -177,14 +180,14 @@
     }
 }
 
-/// The age of a proof now, never less than the truth.
+/// Returns the current age of a proof, never less than the actual age.
 fn proof_age_ms(gateway: &Gateway, proved_at: Option<TimeMs>) -> Option<u64> {
     let age = gateway.clock.now().since(proved_at?);
-    Some(age.0 + CLOCK_GRAIN_MS)
+    Some(age.0 + CLOCK_RESOLUTION_MS)
 }
 
-/// Sends the daemon on to another one.
-fn redirection(gateway: &Gateway, address: SocketAddr) -> RecordsAnswer {
+/// Returns an answer that redirects the daemon to another one.
+fn redirect_answer(gateway: &Gateway, address: SocketAddr) -> RecordsAnswer {
     RecordsAnswer {
         data_centre: gateway.settings.data_centre.to_string(),
         redirect: address.to_string(),
@@ -192,30 +195,30 @@
     }
 }
 
-/// Where the daemon is answered. Decided before any record is sent: a whole state is much for the link
-/// of a small VM.
-fn place(gateway: &Gateway, question: &RecordsWanted) -> FollowerPlacement {
+/// Decides which daemon answers. This happens before any record is sent: a full state is large for
+/// the link of a small VM.
+fn place_follower(gateway: &Gateway, question: &RecordsWanted) -> FollowerPlacement {
     let Ok(address) = question.peer_address.parse() else {
-        // Nobody can follow a daemon without an address; it is answered here.
+        // A daemon without an address can't be followed; it is answered here.
         return FollowerPlacement::Here;
     };
-    gateway.fleet.place(Follower {
+    gateway.fleet.place_follower(Follower {
         vm: VmId::from(question.vm.as_str()),
         data_centre: DataCentreId::from(question.data_centre.as_str()),
         address,
         tree: Tree {
             size: question.tree_size,
             depth: question.tree_depth,
-            work: work_of_messages(&question.tree_work),
+            work: decode_work(&question.tree_work),
         },
     })
 }
 
-/// Waits until there is something that the daemon doesn't have, but not for long.
-async fn wait_for_news(
+/// Waits until there is something new for the daemon, or until the hold time is over.
+async fn wait_for_update(
     gateway: &Gateway,
     sent_proof: Option<TimeMs>,
-    told_news: &ToldNews,
+    sent_observations: &SentCrashObservations,
     question: &RecordsWanted,
     asked: Instant,
 ) {
@@ -231,50 +234,50 @@
         || gateway.quarantine.has_fresh_news();
     let limits = gateway.settings.proof_limits();
     let hold = hold(is_busy, gateway.control.proof_age(), limits).as_std();
-    // Without news the answer says so: it shows that this daemon is there.
+    // An answer without changes shows that this daemon is alive.
     let _ = timeout_at(asked + hold, async {
         tokio::select! {
             _ = async { waiting.await.is_ok() } => {}
-            () = told_news.wait(gateway) => sleep(GATHER_CRASH_NEWS).await,
+            () = sent_observations.wait_for_unsent(gateway) => sleep(CRASH_OBSERVATION_DELAY).await,
         }
     })
     .await;
 }
 
-/// The records that the daemon lacks, and the moment of the proof that goes along. Those that don't fit into the
-/// last message stand in the ones before it.
-fn records(
+/// Returns the records that the daemon lacks, and the time of their proof. Records that don't fit
+/// into the last message are in the messages before it.
+fn records_answer(
     gateway: &Gateway,
     question: &RecordsWanted,
     asked_at: TimeMs,
 ) -> (Vec<RecordsAnswer>, RecordsAnswer, Option<TimeMs>) {
     let after = Revision(question.at);
     let mut packed_state = gateway.packed_state.lock();
-    // A proof is noted after the state that it proves: while the replica can't change, it holds at
-    // least what the newest proof is about.
+    // A proof is stored after the state that it proves, so under the replica's lock the replica is
+    // at least as new as the newest proof.
     let replica = gateway.control.replica();
     let proved_at = gateway.control.proved_at();
     let at = replica.revision();
-    let update = packed_state.update(&replica, after, question.takes_parts);
+    let update = packed_state.update_unless_packed(&replica, after, question.takes_parts);
     drop(replica);
     let mut parts = packed_state.parts(at, update, question.takes_parts);
     drop(packed_state);
-    // Age and holding are of one moment: the follower takes one from the other.
+    // Age and hold time refer to the same moment: the follower subtracts one from the other.
     let proof_age_ms = proof_age_ms(gateway, proved_at);
     let held = gateway.clock.now().since(asked_at);
     let total_work = gateway.fleet.total_work(&gateway.control.directory());
     let path = gateway.fleet.path();
-    // There is one at least.
+    // There is at least one part.
     let last = parts.pop().unwrap_or_default();
     let answer = RecordsAnswer {
         at: at.0,
-        path: Some(path_message(&path)),
+        path: Some(encode_path(&path)),
         proof_age_ms,
         held_ms: held.0,
         data_centre: gateway.settings.data_centre.to_string(),
-        // 0 says that it isn't known.
+        // 0 means unknown.
         fleet_size: gateway.fleet.size().unwrap_or_default(),
-        work: work_messages(&total_work),
+        work: encode_work(&total_work),
         ..last
     };
     (parts, answer, proved_at)
--- a/crates/gateway/src/replication/work_reports.rs
+++ b/crates/gateway/src/replication/work_reports.rs
@@ -1,6 +1,6 @@
-//! What other daemons report of the work that they have under way at endpoints.
+//! Other daemons' reports of the work that they have under way at endpoints.
 //!
-//! Owns the newest report of each; expired ones count as nothing.
+//! Owns the newest report of each daemon; expired reports are ignored.
 
 use crate::decisions::endpoint::load_report::is_peer_report_current;
 use crate::work_by_endpoint::WorkByEndpoint;
@@ -17,24 +17,24 @@
 /// The newest reports.
 #[derive(Debug, Default)]
 pub struct WorkReports {
-    /// From the upstream: the total of all daemons, with this daemon's tree in it.
+    /// The upstream's report: the total of all daemons, including this daemon's subtree.
     total: Option<Report>,
-    /// From other seeds: those of their trees.
+    /// The other seeds' reports: the work of their subtrees.
     seeds: HashMap<SocketAddr, Report>,
 }
 
 impl WorkReports {
-    /// The upstream reports the total of all daemons.
+    /// Stores the upstream's report of the total work.
     pub fn on_total(&mut self, now: TimeMs, work: WorkByEndpoint) {
         self.total = Some(Report { at: now, work });
     }
 
-    /// Another seed reports that of its tree.
+    /// Stores another seed's report of its subtree's work.
     pub fn on_seed(&mut self, now: TimeMs, seed: SocketAddr, work: WorkByEndpoint) {
         self.seeds.insert(seed, Report { at: now, work });
     }
 
-    /// How many seeds with an address smaller than this one have reported lately.
+    /// Returns how many seeds with an address smaller than `own` have reported recently.
     pub(crate) fn live_seeds_before(&self, now: TimeMs, own: SocketAddr) -> usize {
         let is_before = |(seed, report): &(&SocketAddr, &Report)| {
             **seed < own && is_peer_report_current(now, report.at)
@@ -42,7 +42,7 @@
         self.seeds.iter().filter(is_before).count()
     }
 
-    /// The total of all daemons, where `tree` is that of this daemon's own tree.
+    /// Returns the total work of all daemons; `tree` is the work of this daemon's own subtree.
     pub fn total(&self, now: TimeMs, tree: &WorkByEndpoint) -> WorkByEndpoint {
         let is_current = |report: &&Report| is_peer_report_current(now, report.at);
         if let Some(total) = self.total.as_ref().filter(is_current) {
--- a/crates/gateway/tests/freshness.rs
+++ b/crates/gateway/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! What is believed has an age: without a proof that it is the newest, nothing is passed on.
+//! Proofs of freshness expire: without a recent one, requests aren't forwarded.
 
 mod support;
 
@@ -15,11 +15,13 @@
 use support::{Running, start, start_with};
 use tokio::net::TcpListener;
 
-async fn stage() -> (Running, Endpoint) {
-    stage_with(support::settings()).await
+/// Starts a daemon with one endpoint.
+async fn start_gateway() -> (Running, Endpoint) {
+    start_gateway_with(support::settings()).await
 }
 
-async fn stage_with(settings: GatewaySettings) -> (Running, Endpoint) {
+/// Starts a daemon with one endpoint and these settings.
+async fn start_gateway_with(settings: GatewaySettings) -> (Running, Endpoint) {
     let source = ScriptedSource::new();
     source.configure(
         3,
@@ -37,34 +39,37 @@
     client.answer().await.expect("an answer").status
 }
 
-/// Changes gather for 200 ms between two calls of the source.
-async fn settle() {
+/// Waits for changes to arrive: 200 ms pass between two calls to the source.
+async fn wait_for_changes() {
     tokio::time::sleep(Duration::from_millis(300)).await;
 }
 
+/// Guards against a removed key that stays valid.
 #[tokio::test]
 async fn a_removed_key_is_refused_at_once() {
-    let (running, endpoint) = stage().await;
+    let (running, endpoint) = start_gateway().await;
     assert_eq!(status(&running).await, 200);
     let routes = vec![plain_route("often", Idempotent, 2)];
     running.source.configure(4, routes, &[OTHER_KEY]);
-    settle().await;
+    wait_for_changes().await;
     assert_eq!(status(&running).await, 401);
     assert_eq!(endpoint.count(), 1);
 }
 
+/// Guards against requests that are forwarded or refused for good after the last proof has expired:
+/// routes and keys may have changed since.
 #[tokio::test]
-async fn without_a_proof_nothing_is_passed_on_and_nothing_refused_for_good() {
-    let (running, endpoint) = stage().await;
+async fn without_a_proof_requests_get_a_retryable_503() {
+    let (running, endpoint) = start_gateway().await;
     running.source.fail(Some(SourceError::NoAnswer));
-    settle().await;
-    assert_eq!(status(&running).await, 200, "the last proof still holds");
+    wait_for_changes().await;
+    assert_eq!(status(&running).await, 200, "the last proof is still valid");
     tokio::time::sleep(Duration::from_millis(900)).await;
     let mut client = Client::connect(running.address).await;
     client.send(&request("GET", "/often/x", "a1", "", "")).await;
-    let got = client.answer().await.expect("an answer");
-    assert_eq!(got.status, 503);
-    assert!(got.header("retry-after").is_some());
+    let response = client.answer().await.expect("an answer");
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
     client.send(&request("GET", "/none/x", "a1", "", "")).await;
     assert_eq!(client.answer().await.expect("an answer").status, 503);
     assert!(!running.gateway.is_ready());
@@ -74,29 +79,32 @@
     assert_eq!(status(&running).await, 200);
 }
 
+/// Guards against a configuration that goes back to an older version.
 #[tokio::test]
-async fn an_older_version_is_never_put_in_force() {
-    let (running, _) = stage().await;
+async fn an_older_configuration_version_is_not_activated() {
+    let (running, _) = start_gateway().await;
     running.source.configure(2, Vec::new(), &[]);
-    settle().await;
+    wait_for_changes().await;
     assert_eq!(status(&running).await, 200);
 }
 
+/// Guards against changes that are missed because the source no longer has its history.
 #[tokio::test]
-async fn lost_history_is_made_good_by_reading_everything() {
-    let (running, endpoint) = stage().await;
+async fn lost_history_causes_a_full_read() {
+    let (running, endpoint) = start_gateway().await;
     let before = running.source.full_reads();
     running.source.fail(Some(SourceError::HistoryLost));
     running.source.drain("e-0", "plain", endpoint.address);
-    settle().await;
+    wait_for_changes().await;
     running.source.fail(None);
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert!(running.source.full_reads() > before);
-    assert_eq!(status(&running).await, 503, "the endpoint drains");
+    assert_eq!(status(&running).await, 503, "the only endpoint drains");
     assert_eq!(endpoint.count(), 0);
 }
 
-async fn after_an_outage(gone: &str) -> (Running, Endpoint) {
+/// Returns a daemon after an outage of the source in which the record `removed` was lost.
+async fn gateway_after_outage(removed: &str) -> (Running, Endpoint) {
     let source = ScriptedSource::new();
     let routes = vec![plain_route("often", Idempotent, 2)];
     source.configure(3, routes, &[KEY]);
@@ -105,33 +113,41 @@
     let running = start(source).await;
     running.source.fail(Some(SourceError::NoAnswer));
     tokio::time::sleep(Duration::from_millis(2_700)).await;
-    running.source.gone(gone);
+    running.source.gone(removed);
     running.source.fail(None);
     tokio::time::sleep(Duration::from_millis(500)).await;
     (running, endpoint)
 }
 
+/// Guards against endpoints that get no requests after an outage, because their leases expired
+/// while they couldn't renew them.
 #[tokio::test]
-async fn a_record_that_lapsed_while_the_source_was_away_may_come_back() {
-    let (running, endpoint) = after_an_outage("e-0").await;
-    assert_eq!(status(&running).await, 200, "it is used meanwhile");
+async fn a_record_lost_in_an_outage_may_come_back() {
+    let (running, endpoint) = gateway_after_outage("e-0").await;
+    assert_eq!(
+        status(&running).await,
+        200,
+        "the endpoint is used meanwhile"
+    );
     running.source.endpoint("e-0", "plain", endpoint.address);
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    assert_eq!(status(&running).await, 200, "it is back");
+    assert_eq!(status(&running).await, 200, "the record is back");
 }
 
+/// Guards against an endpoint that is kept after its record was lost in an outage and didn't come
+/// back.
 #[tokio::test]
-async fn a_record_that_does_not_come_back_is_taken_as_gone_in_time() {
-    let (running, _endpoint) = after_an_outage("e-0").await;
+async fn an_endpoint_is_dropped_when_its_record_does_not_come_back() {
+    let (running, _endpoint) = gateway_after_outage("e-0").await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     assert_eq!(status(&running).await, 503);
 }
 
-/// A daemon that has not heard of its source yet.
-async fn starting(full_read: Duration) -> (std::net::SocketAddr, ScriptedSource) {
+/// Starts a daemon that hasn't read the source yet.
+async fn start_unready_gateway(full_read: Duration) -> (std::net::SocketAddr, ScriptedSource) {
     let source = ScriptedSource::new();
     source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
-    source.slow_full_reads(full_read);
+    source.delay_full_reads(full_read);
     let meter = opentelemetry::global::meter("test");
     let gateway = Gateway::new(support::settings(), support::names(), &meter);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -141,9 +157,10 @@
     (address, source)
 }
 
+/// Guards against a refusal when the daemon is about to read its first configuration.
 #[tokio::test]
-async fn a_request_waits_a_moment_for_a_daemon_that_starts() {
-    let (address, source) = starting(Duration::from_millis(200)).await;
+async fn a_request_waits_for_a_start_unready_gateway() {
+    let (address, source) = start_unready_gateway(Duration::from_millis(200)).await;
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
     source.endpoint("e-0", "plain", endpoint.address);
     let mut client = Client::connect(address).await;
@@ -151,43 +168,46 @@
     assert_eq!(client.answer().await.expect("an answer").status, 200);
 }
 
+/// Guards against a request that spends its whole deadline waiting for a daemon that starts.
 #[tokio::test]
-async fn it_waits_for_a_quarter_of_the_client_s_time_at_most() {
-    let (address, _source) = starting(Duration::from_millis(1_500)).await;
+async fn a_request_waits_for_at_most_a_quarter_of_its_deadline() {
+    let (address, _source) = start_unready_gateway(Duration::from_millis(1_500)).await;
     let mut client = Client::connect(address).await;
-    let begun = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     let deadline = "x-deadline: 400\r\n";
     client
         .send(&request("GET", "/often/x", "a1", deadline, ""))
         .await;
-    let got = client.answer().await.expect("an answer");
-    assert_eq!(got.status, 503);
-    assert!(got.header("retry-after").is_some());
+    let response = client.answer().await.expect("an answer");
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
     assert!(
-        begun.elapsed() < Duration::from_millis(350),
-        "a quarter of it"
+        started_at.elapsed() < Duration::from_millis(350),
+        "a quarter of the deadline"
     );
 }
 
-/// Before, a reading that took more than two seconds was given up and begun again for ever.
+/// Guards against a full read that never succeeds: with a fixed timeout of two seconds it was given
+/// up and started again forever.
 #[tokio::test]
-async fn a_source_that_takes_long_to_read_is_read_nonetheless() {
-    let full_reads = full_reads_of_a_start(Duration::from_millis(2_500), 1).await;
-    assert_eq!(full_reads, 2, "the second is given longer");
+async fn a_slow_full_read_succeeds_with_a_longer_timeout() {
+    let full_reads = full_reads_until_ready(Duration::from_millis(2_500), 1).await;
+    assert_eq!(full_reads, 2, "the second read has a longer timeout");
 }
 
-/// A large fleet's state comes in many parts: what counts is that they come, not how long all of them take.
+/// Guards against a timeout for a large fleet's state, which comes in many parts: the timeout is
+/// for each part, not for all of them.
 #[tokio::test]
-async fn a_state_of_many_parts_is_read_at_once_however_long_it_takes() {
-    let full_reads = full_reads_of_a_start(Duration::from_millis(4_500), 9).await;
+async fn a_full_read_of_many_parts_does_not_time_out() {
+    let full_reads = full_reads_until_ready(Duration::from_millis(4_500), 9).await;
     assert_eq!(full_reads, 1);
 }
 
-/// How often everything is read until a daemon that starts has it.
-async fn full_reads_of_a_start(takes: Duration, parts: u32) -> usize {
+/// Returns how often a starting daemon reads the full state until it is ready.
+async fn full_reads_until_ready(duration: Duration, parts: u32) -> usize {
     let source = ScriptedSource::new();
     source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
-    source.slow_full_reads_in_parts(takes, parts);
+    source.delay_full_reads_in_parts(duration, parts);
     let settings = GatewaySettings {
         freshness: FreshnessPolicy {
             proof_lifetime_ms: DurationMs(10_000),
@@ -197,33 +217,34 @@
     };
     let limit = Duration::from_secs(10);
     let started = tokio::time::timeout(limit, start_with(source, settings));
-    let running = started.await.expect("it is read");
+    let running = started.await.expect("the daemon becomes ready");
     running.source.full_reads()
 }
 
+/// Guards against requests to an endpoint that drains or was removed.
 #[tokio::test]
-async fn an_endpoint_that_drains_or_is_gone_gets_nothing() {
-    let (running, endpoint) = stage().await;
+async fn a_draining_or_removed_endpoint_gets_no_requests() {
+    let (running, endpoint) = start_gateway().await;
     running.source.drain("e-0", "plain", endpoint.address);
-    settle().await;
+    wait_for_changes().await;
     assert_eq!(status(&running).await, 503);
     running.source.endpoint("e-1", "plain", endpoint.address);
-    settle().await;
+    wait_for_changes().await;
     assert_eq!(status(&running).await, 200);
     running.source.gone("e-1");
-    settle().await;
+    wait_for_changes().await;
     assert_eq!(status(&running).await, 503);
 }
 
-/// Daemons that may serve on for three seconds.
-fn lenient() -> GatewaySettings {
+/// Returns settings that allow serving with a proof up to three seconds old.
+fn settings_allowing_stale() -> GatewaySettings {
     let mut settings = support::settings();
     settings.freshness.max_stale_age_ms = DurationMs(3_000);
     settings
 }
 
-async fn lenient_stage() -> (Running, Endpoint) {
-    stage_with(lenient()).await
+async fn start_gateway_allowing_stale() -> (Running, Endpoint) {
+    start_gateway_with(settings_allowing_stale()).await
 }
 
 async fn status_of(running: &Running, path: &str, key: &str) -> u16 {
@@ -233,16 +254,18 @@
     client.answer().await.expect("an answer").status
 }
 
-/// Beyond the lifetime of a proof.
-async fn grow_stale(running: &Running) {
+/// Makes the source fail, and waits longer than the lifetime of a proof.
+async fn let_proof_expire(running: &Running) {
     running.source.fail(Some(SourceError::NoAnswer));
     tokio::time::sleep(Duration::from_millis(1_100)).await;
 }
 
+/// Guards against a daemon that stops serving while stale configurations are allowed, or that
+/// denies requests by one.
 #[tokio::test]
-async fn a_stale_configuration_serves_and_denies_nothing_where_that_is_allowed() {
-    let (running, endpoint) = lenient_stage().await;
-    grow_stale(&running).await;
+async fn a_stale_configuration_serves_but_denies_nothing_for_good() {
+    let (running, endpoint) = start_gateway_allowing_stale().await;
+    let_proof_expire(&running).await;
     assert!(running.gateway.is_ready());
     assert_eq!(status_of(&running, "/often/x", KEY).await, 200);
     assert_eq!(endpoint.count(), 1);
@@ -251,9 +274,10 @@
     assert_eq!(status_of(&running, "/often/x", "key-9").await, 503);
 }
 
+/// Guards against serving with a configuration older than the settings allow.
 #[tokio::test]
 async fn a_configuration_that_is_too_old_serves_nothing() {
-    let (running, endpoint) = lenient_stage().await;
+    let (running, endpoint) = start_gateway_allowing_stale().await;
     running.source.fail(Some(SourceError::NoAnswer));
     tokio::time::sleep(Duration::from_millis(3_200)).await;
     assert!(!running.gateway.is_ready());
@@ -261,10 +285,11 @@
     assert_eq!(endpoint.count(), 0);
 }
 
+/// Guards against changes that are missed because they were made during an outage.
 #[tokio::test]
-async fn changes_of_an_outage_are_in_force_once_the_source_is_back() {
-    let (running, endpoint) = lenient_stage().await;
-    grow_stale(&running).await;
+async fn changes_during_an_outage_are_active_after_it() {
+    let (running, endpoint) = start_gateway_allowing_stale().await;
+    let_proof_expire(&running).await;
     let routes = vec![
         plain_route("often", Idempotent, 2),
         plain_route("new", Idempotent, 2),
@@ -272,22 +297,27 @@
     running.source.configure(4, routes, &[OTHER_KEY]);
     running.source.endpoint("e-1", "plain", endpoint.address);
     running.source.drain("e-0", "plain", endpoint.address);
-    assert_eq!(status_of(&running, "/often/x", KEY).await, 200, "not known");
+    assert_eq!(
+        status_of(&running, "/often/x", KEY).await,
+        200,
+        "the removal isn't known yet"
+    );
     running.source.fail(None);
     tokio::time::sleep(Duration::from_millis(900)).await;
     assert_eq!(status_of(&running, "/often/x", KEY).await, 401);
     assert_eq!(status_of(&running, "/new/x", OTHER_KEY).await, 200);
 }
 
+/// Guards against a daemon that counts as stale, and serves, before it has read any configuration.
 #[tokio::test]
-async fn a_daemon_without_any_configuration_refuses_whatever_is_allowed() {
+async fn a_daemon_without_a_configuration_refuses_all_requests() {
     let source = ScriptedSource::new();
     source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     source.fail(Some(SourceError::NoAnswer));
     let meter = opentelemetry::global::meter("test");
-    let gateway = Gateway::new(lenient(), support::names(), &meter);
+    let gateway = Gateway::new(settings_allowing_stale(), support::names(), &meter);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it listens");
+    let address = listener.local_addr().expect("the address of the listener");
     tokio::spawn(follow_control_source(gateway.clone(), source.clone()));
     tokio::spawn(serve_clients(gateway.clone(), listener));
     let running = Running {
@@ -300,21 +330,21 @@
     assert!(!running.gateway.is_ready());
 }
 
-/// A daemon that has seen an endpoint drain is bound by that in an outage, too.
+/// Guards against requests to an endpoint that was seen draining before an outage.
 #[tokio::test]
-async fn an_endpoint_that_drains_gets_nothing_in_an_outage_either() {
-    let (running, endpoint) = lenient_stage().await;
+async fn a_draining_endpoint_gets_no_requests_in_an_outage() {
+    let (running, endpoint) = start_gateway_allowing_stale().await;
     running.source.drain("e-0", "plain", endpoint.address);
-    settle().await;
-    grow_stale(&running).await;
+    wait_for_changes().await;
+    let_proof_expire(&running).await;
     assert_eq!(status_of(&running, "/often/x", KEY).await, 503);
     assert_eq!(endpoint.count(), 0);
 }
 
-/// A suspended VM doesn't see time pass on its steady clock, and others go on meanwhile: keys are removed,
-/// endpoints leave. It is known before anything is answered.
+/// Guards against a daemon that serves with an outdated configuration after its VM was suspended:
+/// its monotonic clock doesn't advance meanwhile, though keys are removed and endpoints leave.
 #[tokio::test]
-async fn what_is_believed_ages_while_the_vm_is_suspended() {
+async fn proofs_age_while_the_vm_is_suspended() {
     let source = ScriptedSource::new();
     source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
--- a/crates/gateway/tests/replication.rs
+++ b/crates/gateway/tests/replication.rs
@@ -20,27 +20,28 @@
     address: SocketAddr,
 }
 
-/// A daemon that is started in an outage: its clock began after the proof that it learns of.
+/// Guards against a daemon that rejects a proof which is older than its own process: it is started
+/// in an outage, and another daemon's proof is from before its start.
 #[tokio::test]
-async fn a_daemon_started_in_an_outage_serves_by_what_the_others_know() {
-    let (source, _endpoint) = source().await;
+async fn a_daemon_started_in_an_outage_serves_with_an_older_proof() {
+    let (source, _endpoint) = source_with_endpoint().await;
     let lenient = |mut settings: GatewaySettings| {
         settings.freshness.max_stale_age_ms = DurationMs(60_000);
         settings
     };
-    let one = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let seed_address = one.local_addr().unwrap();
+    let first_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let seed_address = first_listener.local_addr().unwrap();
     let settings = peer_settings("vm-1", seed_address, &[seed_address]);
     let seed = start_with(source.clone(), lenient(settings)).await;
-    tokio::spawn(serve_peers(seed.gateway.clone(), one));
+    tokio::spawn(serve_peers(seed.gateway.clone(), first_listener));
     source.fail(Some(SourceError::NoAnswer));
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let two = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let own = two.local_addr().unwrap();
+    let second_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let own = second_listener.local_addr().unwrap();
     let settings = lenient(peer_settings("vm-2", own, &[seed_address]));
-    let starting = start_with(unreachable(&source), settings);
+    let starting = start_with(unreachable_source(&source), settings);
     let late = tokio::time::timeout(Duration::from_millis(1_400), starting).await;
-    let late = late.expect("it is ready before its proof is as old as its process");
+    let late = late.expect("ready before its process is as old as the proof");
     let mut client = Client::connect(late.address).await;
     client.send(&request("GET", "/often/x", "a1", "", "")).await;
     assert_eq!(client.answer().await.expect("an answer").status, 200);
@@ -55,15 +56,16 @@
     }
 }
 
-/// A daemon that the others follow, if it is the first, or that follows `seed`.
-async fn peer(vm: &str, source: &ScriptedSource, seed: Option<SocketAddr>) -> Peer {
+/// Starts a daemon that follows `seed`, or that is the only seed itself.
+async fn start_peer(vm: &str, source: &ScriptedSource, seed: Option<SocketAddr>) -> Peer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let seeds = [seed.unwrap_or(address)];
-    peer_among(vm, source, listener, &seeds).await
+    start_peer_among(vm, source, listener, &seeds).await
 }
 
-async fn source() -> (ScriptedSource, Endpoint) {
+/// Returns a source with one route and one endpoint.
+async fn source_with_endpoint() -> (ScriptedSource, Endpoint) {
     let source = ScriptedSource::new();
     let routes = vec![plain_route("often", Idempotent, 2)];
     source.configure(3, routes, &[KEY, OTHER_KEY]);
@@ -72,18 +74,19 @@
     (source, endpoint)
 }
 
-/// A daemon that knows these seeds, itself among them or not.
-async fn peer_among(
+/// Starts a daemon that knows these seeds; it may be one of them.
+async fn start_peer_among(
     vm: &str,
     source: &ScriptedSource,
     listener: TcpListener,
     seeds: &[SocketAddr],
 ) -> Peer {
     let address = listener.local_addr().unwrap();
-    peer_with(peer_settings(vm, address, seeds), source, listener).await
+    start_peer_with(peer_settings(vm, address, seeds), source, listener).await
 }
 
-async fn peer_with(
+/// Starts a daemon that also serves other daemons.
+async fn start_peer_with(
     settings: GatewaySettings,
     source: &ScriptedSource,
     listener: TcpListener,
@@ -94,8 +97,8 @@
     Peer { running, address }
 }
 
-/// What the daemon believes that others have under way at the only engine.
-fn told(peer: &Peer) -> u64 {
+/// Returns the prefill tokens that other daemons reported to this one for the only engine.
+fn others_prefill_tokens(peer: &Peer) -> u64 {
     let gateway = &peer.running.gateway;
     let directory = gateway.control.directory();
     let service = directory.service(&"model".into()).expect("the service");
@@ -103,50 +106,65 @@
     service.all[0].load.snapshot(now).others_prefill_tokens
 }
 
+/// Guards against daemons that don't learn of the work that others have at an engine, or of its
+/// end: below another seed, at a sibling, or at the parent.
 #[tokio::test]
-async fn work_under_way_is_told_up_and_down_the_tree_and_between_seeds() {
+async fn work_is_reported_up_and_down_the_tree_and_between_seeds() {
     let source = ScriptedSource::new();
     source.configure(3, vec![stream_route("long", false, 1)], &[KEY]);
     let engine = Endpoint::start(|_| vec![Act::Hang]).await;
     source.endpoint("e-0", "model", engine.address);
-    let one = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let two = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let seeds = [one.local_addr().unwrap(), two.local_addr().unwrap()];
-    let first = peer_among("vm-1", &source, one, &seeds).await;
-    let second = peer_among("vm-2", &source, two, &seeds).await;
-    let child = peer("vm-3", &source, Some(first.address)).await;
-    let other = peer("vm-4", &source, Some(first.address)).await;
+    let first_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let second_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let seeds = [
+        first_listener.local_addr().unwrap(),
+        second_listener.local_addr().unwrap(),
+    ];
+    let first = start_peer_among("vm-1", &source, first_listener, &seeds).await;
+    let second = start_peer_among("vm-2", &source, second_listener, &seeds).await;
+    let child = start_peer("vm-3", &source, Some(first.address)).await;
+    let other = start_peer("vm-4", &source, Some(first.address)).await;
     let mut client = Client::connect(child.running.address).await;
     let prompt = "x-parts: aa:3000,bb:17000\r\nx-tokens: 20000,50\r\n";
     client
         .send(&request("POST", "/long/x", "a1", prompt, ""))
         .await;
-    let everyone_knows = async {
-        while [&first, &second, &other].iter().any(|peer| told(peer) == 0) {
+    let all_informed = async {
+        while [&first, &second, &other]
+            .iter()
+            .any(|peer| others_prefill_tokens(peer) == 0)
+        {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
     let limit = Duration::from_millis(5_000);
-    tokio::time::timeout(limit, everyone_knows)
+    tokio::time::timeout(limit, all_informed)
         .await
         .expect("in time");
-    // Four fifths of the shared part are believed to be kept there.
-    assert_eq!(told(&first), 20_000 - 2_400);
-    assert_eq!(told(&child), 0, "it is its own");
+    // Four fifths of the shared part count as cached there.
+    assert_eq!(others_prefill_tokens(&first), 20_000 - 2_400);
+    assert_eq!(
+        others_prefill_tokens(&child),
+        0,
+        "its own work isn't reported by others"
+    );
     drop(client);
-    let forgotten = async {
-        while [&first, &second, &other].iter().any(|peer| told(peer) > 0) {
+    let all_cleared = async {
+        while [&first, &second, &other]
+            .iter()
+            .any(|peer| others_prefill_tokens(peer) > 0)
+        {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(limit, forgotten)
+    tokio::time::timeout(limit, all_cleared)
         .await
         .expect("in time");
 }
 
-/// A source that knows what records say, and lets nobody call it.
-fn unreachable(source: &ScriptedSource) -> ScriptedSource {
-    let own = source.with_faults_of_its_own();
+/// Returns a source that decodes records, but fails every call.
+fn unreachable_source(source: &ScriptedSource) -> ScriptedSource {
+    let own = source.with_separate_calls();
     own.fail(Some(SourceError::NotReached));
     own
 }
@@ -157,48 +175,54 @@
     client.answer().await.expect("an answer").status
 }
 
-async fn settle() {
+/// Waits until a change has reached all daemons.
+async fn wait_for_propagation() {
     tokio::time::sleep(Duration::from_millis(350)).await;
 }
 
+/// Guards against a daemon that can't reach the source and doesn't get the changes of keys and
+/// endpoints from its parent.
 #[tokio::test]
-async fn a_daemon_that_never_reaches_the_source_serves_by_another() {
-    let (source, endpoint) = source().await;
-    let seed = peer("vm-1", &source, None).await;
-    let cut_off = unreachable(&source);
-    let child = peer("vm-2", &cut_off, Some(seed.address)).await;
+async fn a_daemon_without_the_source_gets_changes_from_another() {
+    let (source, endpoint) = source_with_endpoint().await;
+    let seed = start_peer("vm-1", &source, None).await;
+    let cut_off = unreachable_source(&source);
+    let child = start_peer("vm-2", &cut_off, Some(seed.address)).await;
     assert_eq!(status(&child).await, 200);
     source.configure(4, vec![plain_route("often", Idempotent, 2)], &[OTHER_KEY]);
-    settle().await;
-    assert_eq!(status(&child).await, 401, "the key's removal went through");
+    wait_for_propagation().await;
+    assert_eq!(status(&child).await, 401, "the removed key is refused");
     source.configure(5, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     source.drain("e-0", "plain", endpoint.address);
-    settle().await;
-    assert_eq!(status(&child).await, 503, "the endpoint drains");
+    wait_for_propagation().await;
+    assert_eq!(status(&child).await, 503, "the only endpoint drains");
     assert_eq!(cut_off.full_reads(), 0);
 }
 
+/// Guards against a source that is called by every daemon.
 #[tokio::test]
-async fn a_daemon_of_others_asks_the_source_nothing() {
-    let (source, _endpoint) = source().await;
-    let seed = peer("vm-1", &source, None).await;
+async fn a_daemon_that_follows_another_does_not_call_the_source() {
+    let (source, _endpoint) = source_with_endpoint().await;
+    let seed = start_peer("vm-1", &source, None).await;
     let before = source.full_reads();
-    let child = peer("vm-2", &source, Some(seed.address)).await;
-    settle().await;
+    let child = start_peer("vm-2", &source, Some(seed.address)).await;
+    wait_for_propagation().await;
     assert_eq!(status(&child).await, 200);
     assert_eq!(source.full_reads(), before);
 }
 
+/// Guards against daemons that renew each other's proofs: during an outage all of them must stop
+/// serving when the last proof has expired.
 #[tokio::test]
-async fn the_age_of_a_proof_goes_along() {
-    let (source, endpoint) = source().await;
-    let seed = peer("vm-1", &source, None).await;
-    let child = peer("vm-2", &unreachable(&source), Some(seed.address)).await;
-    let grandchild = peer("vm-3", &unreachable(&source), Some(child.address)).await;
+async fn the_age_of_a_proof_is_forwarded() {
+    let (source, endpoint) = source_with_endpoint().await;
+    let seed = start_peer("vm-1", &source, None).await;
+    let child = start_peer("vm-2", &unreachable_source(&source), Some(seed.address)).await;
+    let grandchild = start_peer("vm-3", &unreachable_source(&source), Some(child.address)).await;
     assert_eq!(status(&grandchild).await, 200);
     let served = endpoint.count();
     source.fail(Some(SourceError::NoAnswer));
-    // The daemons go on telling each other that there is nothing new, which proves nothing.
+    // The daemons continue to send each other answers without changes, which prove nothing.
     tokio::time::sleep(Duration::from_millis(900)).await;
     for peer in [&seed, &child, &grandchild] {
         assert_eq!(status(peer).await, 503);
@@ -210,38 +234,44 @@
     assert_eq!(status(&grandchild).await, 200);
 }
 
-/// The seed ends with all its connections, as a process does: with the listener alone gone, it would go
-/// on telling the child over the open connection.
+/// Guards against a daemon that stays without changes after its only upstream has stopped. The seed
+/// ends with all its connections, as a process does: with only the listener closed it would
+/// continue to answer over the open connection.
 #[tokio::test]
-async fn who_loses_its_upstream_goes_to_the_source() {
-    let (source, _endpoint) = source().await;
+async fn a_daemon_that_loses_its_upstream_follows_the_source() {
+    let (source, _endpoint) = source_with_endpoint().await;
     let seed_process = Runtime::new().unwrap();
     let seed_source = source.clone();
     let starting =
-        seed_process.spawn(async move { peer("vm-1", &seed_source, None).await.address });
+        seed_process.spawn(async move { start_peer("vm-1", &seed_source, None).await.address });
     let seed_address = starting.await.expect("the seed starts");
-    let calls_of_child = source.with_faults_of_its_own();
-    let child = peer("vm-2", &calls_of_child, Some(seed_address)).await;
-    // Beyond the time in which daemons that start together wait for each other.
+    let child_source = source.with_separate_calls();
+    let child = start_peer("vm-2", &child_source, Some(seed_address)).await;
+    // Longer than daemons that start together wait for each other.
     tokio::time::sleep(Duration::from_millis(900)).await;
-    assert_eq!(calls_of_child.calls(), 0, "it follows the seed");
+    assert_eq!(
+        child_source.calls(),
+        0,
+        "it follows the seed, not the source"
+    );
     seed_process.shutdown_background();
     source.configure(4, vec![plain_route("often", Idempotent, 2)], &[OTHER_KEY]);
-    let fell_back = async {
+    let key_refused = async {
         while status(&child).await != 401 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
     let limit = Duration::from_millis(2_000);
-    let in_time = tokio::time::timeout(limit, fell_back).await;
-    in_time.expect("the key's removal is in force in time");
-    assert!(calls_of_child.calls() > 0);
+    let in_time = tokio::time::timeout(limit, key_refused).await;
+    in_time.expect("the removed key is refused in time");
+    assert!(child_source.calls() > 0);
 }
 
-/// Calls of the source are dear: what one seed has proved serves the others.
+/// Guards against seeds that each call the source at the full rate, though a proof of one is valid
+/// for all.
 #[tokio::test]
-async fn three_seeds_ask_the_source_less_than_twice_as_often_as_one() {
-    let (source, _endpoint) = source().await;
+async fn three_seeds_call_the_source_less_than_twice_as_often_as_one() {
+    let (source, _endpoint) = source_with_endpoint().await;
     let mut listeners = Vec::new();
     for _ in 0..3 {
         listeners.push(TcpListener::bind("127.0.0.1:0").await.unwrap());
@@ -253,12 +283,12 @@
     for (at, listener) in listeners.into_iter().enumerate() {
         let own = listener.local_addr().unwrap();
         let mut settings = peer_settings(&format!("vm-{at}"), own, &seeds);
-        // Seeds tell each other their proofs every 0.2 s, whatever the lifetime: they must last so long that
-        // none is old by then.
+        // Seeds exchange proofs every 0.2 s, whatever the lifetime: proofs must live long enough
+        // that none is old by then.
         settings.freshness.proof_lifetime_ms = DurationMs(2_000);
-        peers.push(peer_with(settings, &source, listener).await);
+        peers.push(start_peer_with(settings, &source, listener).await);
     }
-    // Until they know of each other.
+    // Until the seeds have proofs of each other.
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     let waits = source.waits();
     let watched = Duration::from_millis(2_400);
@@ -273,43 +303,45 @@
         }
     };
     let _ = tokio::time::timeout(watched, watching).await;
-    // Their waits are of 0.1, 0.2 and 0.3 s; each alone would ask 24 times.
+    // They wait 0.1, 0.2 and 0.3 s per call; each alone would make 24 calls.
     let asked = source.waits() - waits;
     assert!((24..=48).contains(&asked), "{asked} calls in 2.4 s");
 }
 
-/// Whether the daemon takes the only plain endpoint for limited.
-fn takes_it_for_limited(peer: &Peer) -> bool {
+/// Returns whether the daemon considers the only plain endpoint limited.
+fn considers_endpoint_limited(peer: &Peer) -> bool {
     let directory = peer.running.gateway.control.directory();
     let service = directory.service(&"plain".into()).expect("the service");
     service.all[0].rate_limit.is_limited()
 }
 
-/// Waits until all daemons take the endpoint for limited, or none does; `meanwhile` is done in between.
+/// Waits until all daemons consider the endpoint limited, or none does; runs `meanwhile` between
+/// checks.
 async fn wait_for_limit(peers: &[&Peer], is_limited: bool, mut meanwhile: impl AsyncFnMut()) {
-    let agreed = async {
+    let all_agree = async {
         while peers
             .iter()
-            .any(|peer| takes_it_for_limited(peer) != is_limited)
+            .any(|peer| considers_endpoint_limited(peer) != is_limited)
         {
             meanwhile().await;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(Duration::from_millis(6_000), agreed).await;
-    waited.expect("the daemons tell each other in time");
+    let waited = tokio::time::timeout(Duration::from_millis(6_000), all_agree).await;
+    waited.expect("the daemons report it to each other in time");
 }
 
-/// Guards against daemons that send an endpoint in need their usual share until it has told each of them, and against daemons
-/// with few turns that take it for limited long after the others have heard that it isn't.
+/// Guards against daemons that send a limited endpoint their usual share until it has announced its
+/// limit to each of them, and against daemons with few requests that consider it limited long after
+/// others know that it isn't.
 #[tokio::test]
-async fn a_limit_and_its_end_are_told_up_and_down_the_tree_and_between_seeds() {
+async fn a_limit_and_its_end_are_reported_up_and_down_the_tree_and_between_seeds() {
     let source = ScriptedSource::new();
     source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
-    let is_in_need = Arc::new(AtomicBool::new(true));
-    let in_need = is_in_need.clone();
+    let is_limited = Arc::new(AtomicBool::new(true));
+    let announces_limit = is_limited.clone();
     let endpoint = Endpoint::start(move |_| {
-        let limit = if in_need.load(Ordering::SeqCst) {
+        let limit = if announces_limit.load(Ordering::SeqCst) {
             "x-rate-limit: 40\r\n"
         } else {
             ""
@@ -321,15 +353,18 @@
     })
     .await;
     source.endpoint("e-0", "plain", endpoint.address);
-    let one = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let two = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let seeds = [one.local_addr().unwrap(), two.local_addr().unwrap()];
-    let first = peer_among("vm-1", &source, one, &seeds).await;
-    let second = peer_among("vm-2", &source, two, &seeds).await;
-    let child = peer("vm-3", &source, Some(first.address)).await;
-    let other = peer("vm-4", &source, Some(first.address)).await;
+    let first_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let second_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let seeds = [
+        first_listener.local_addr().unwrap(),
+        second_listener.local_addr().unwrap(),
+    ];
+    let first = start_peer_among("vm-1", &source, first_listener, &seeds).await;
+    let second = start_peer_among("vm-2", &source, second_listener, &seeds).await;
+    let child = start_peer("vm-3", &source, Some(first.address)).await;
+    let other = start_peer("vm-4", &source, Some(first.address)).await;
     let all = [&first, &second, &child, &other];
-    // Only one daemon asks the endpoint, and only as often as its turns let it.
+    // Only one daemon sends requests, and only as often as its share of the limit allows.
     let ask = async || {
         let mut client = Client::connect(child.running.address).await;
         client.send(&request("GET", "/often/x", "a1", "", "")).await;
@@ -337,7 +372,11 @@
     };
     ask().await;
     wait_for_limit(&all, true, async || {}).await;
-    assert_eq!(endpoint.count(), 1, "the others were told");
-    is_in_need.store(false, Ordering::SeqCst);
+    assert_eq!(
+        endpoint.count(),
+        1,
+        "the others learned of the limit without a request"
+    );
+    is_limited.store(false, Ordering::SeqCst);
     wait_for_limit(&all, false, ask).await;
 }
--- a/crates/gateway/tests/support/source.rs
+++ b/crates/gateway/tests/support/source.rs
@@ -1,4 +1,4 @@
-//! A control source that a test writes to and breaks.
+//! A control source whose records and faults tests control.
 
 use bridgevane_gateway::{
     Change, Changes, ClientLimits, ControlSource, Customer, EndpointRecord, FullState,
@@ -25,7 +25,7 @@
     format!("{EVACUATION_PREFIX}{data_centre}")
 }
 
-/// What an endpoint says of one of its lives.
+/// The fields of an endpoint's record that differ between its incarnations.
 #[derive(Clone, Copy, Debug)]
 pub struct Life {
     pub born: Option<u64>,
@@ -43,12 +43,12 @@
     fault: Option<SourceError>,
     full_reads: usize,
     waits: usize,
-    full_read_takes: Duration,
+    full_read_duration: Duration,
     full_read_parts: u32,
     forgets_history: bool,
 }
 
-/// The source; clones share one state.
+/// The source; clones share their state.
 #[derive(Clone)]
 pub struct ScriptedSource {
     state: Arc<Mutex<State>>,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// The same records, with calls that are counted and fail apart.
-    pub fn with_faults_of_its_own(&self) -> Self {
+    /// Returns a source with the same records, whose calls are counted and fail independently.
+    pub fn with_separate_calls(&self) -> Self {
         Self {
             calls: Arc::default(),
             ..self.clone()
@@ -89,7 +89,7 @@
             Change::NoEvacuation(data_centre) => (evacuation_key(data_centre), false),
             Change::EvacuationOver(data_centre) => (evacuation_key(data_centre), true),
         };
-        // The value is where the change stands in the log.
+        // The value is the position of the change in the log.
         let value = (!is_gone).then(|| revision.0.to_string().into());
         let record = SourceRecord {
             key,
@@ -101,6 +101,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
+    /// Publishes a configuration version with these routes and keys.
     pub fn configure(&self, version: u64, routes: Vec<Route>, keys: &[&str]) {
         let customer = Arc::new(Customer {
             id: "customer-1".into(),
@@ -128,11 +129,12 @@
         self.put(Change::Routing(Arc::new(table)));
     }
 
+    /// Publishes an endpoint's record.
     pub fn endpoint(&self, id: &str, service: &str, address: SocketAddr) {
         self.put(Change::Endpoint(record(id, service, address, false)));
     }
 
-    /// An endpoint of a data centre.
+    /// Publishes the record of an endpoint in a data centre.
     pub fn endpoint_in(&self, data_centre: &str, id: &str, service: &str, address: SocketAddr) {
         self.put(Change::Endpoint(EndpointRecord {
             data_centre: data_centre.into(),
@@ -140,28 +142,28 @@
         }));
     }
 
-    /// Operators evacuate a data centre.
+    /// Starts the evacuation of a data centre.
     pub fn evacuate(&self, data_centre: &str) {
         self.put(Change::Evacuated(data_centre.into()));
     }
 
-    /// They take it back.
+    /// Ends the evacuation of a data centre.
     pub fn take_back(&self, data_centre: &str) {
         self.put(Change::EvacuationOver(data_centre.into()));
     }
 
-    /// The record of its evacuation becomes unreadable.
+    /// Makes the record of an evacuation unreadable.
     pub fn spoil_evacuation(&self, data_centre: &str) {
         self.put(Change::NoEvacuation(data_centre.into()));
     }
 
-    /// Forgets the history of changes: the next wait fails, and everything is read again.
+    /// Drops the history of changes: the next wait fails, and the daemon reads the full state.
     pub fn fail_once_with_history_lost(&self) {
         self.calls.lock().unwrap().forgets_history = true;
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// A life of an endpoint: its record as it wrote it then.
+    /// Publishes the record of one incarnation of an endpoint.
     pub fn life(&self, id: &str, service: &str, address: SocketAddr, life: Life) {
         self.put(Change::Endpoint(EndpointRecord {
             born: life.born.map(WallTimeMs),
@@ -170,46 +172,51 @@
         }));
     }
 
+    /// Publishes an endpoint's record as draining.
     pub fn drain(&self, id: &str, service: &str, address: SocketAddr) {
         self.put(Change::Endpoint(record(id, service, address, true)));
     }
 
+    /// Removes an endpoint's record.
     pub fn gone(&self, id: &str) {
         self.put(Change::EndpointGone(EndpointId::from(id)));
     }
 
-    /// From now on every call fails so; none: they succeed.
+    /// Makes all calls fail with this error from now on; none: they succeed.
     pub fn fail(&self, fault: Option<SourceError>) {
         self.calls.lock().unwrap().fault = fault;
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// From now on reading everything takes so long.
-    pub fn slow_full_reads(&self, takes: Duration) {
-        self.slow_full_reads_in_parts(takes, 1);
+    /// Makes full reads take this long from now on.
+    pub fn delay_full_reads(&self, duration: Duration) {
+        self.delay_full_reads_in_parts(duration, 1);
     }
 
-    /// From now on reading everything takes so long, in which so many parts come.
-    pub fn slow_full_reads_in_parts(&self, takes: Duration, parts: u32) {
+    /// Makes full reads take this long in total from now on, with so many parts.
+    pub fn delay_full_reads_in_parts(&self, duration: Duration, parts: u32) {
         let mut calls = self.calls.lock().unwrap();
-        calls.full_read_takes = takes;
+        calls.full_read_duration = duration;
         calls.full_read_parts = parts;
     }
 
+    /// Returns the number of calls that read the full state.
     pub fn full_reads(&self) -> usize {
         self.calls.lock().unwrap().full_reads
     }
 
+    /// Returns the number of calls that wait for changes.
     pub fn waits(&self) -> usize {
         self.calls.lock().unwrap().waits
     }
 
-    /// Calls of any kind.
+    /// Returns the number of all calls.
     pub fn calls(&self) -> usize {
         self.full_reads() + self.waits()
     }
 
-    fn since(&self, after: Revision) -> Result<Option<Changes>, SourceError> {
+    /// Returns the changes after a revision; none if there are none.
+    fn changes_after(&self, after: Revision) -> Result<Option<Changes>, SourceError> {
         {
             let mut calls = self.calls.lock().unwrap();
             if let Some(fault) = calls.fault {
@@ -252,12 +259,12 @@
                 return Err(fault);
             }
         }
-        let (takes, parts) = {
+        let (duration, parts) = {
             let calls = self.calls.lock().unwrap();
-            (calls.full_read_takes, calls.full_read_parts)
+            (calls.full_read_duration, calls.full_read_parts)
         };
         for _ in 0..parts {
-            tokio::time::sleep(takes / parts).await;
+            tokio::time::sleep(duration / parts).await;
             progress.on_part();
         }
         let state = self.state.lock().unwrap();
@@ -277,7 +284,7 @@
         let mut changed = self.changed.subscribe();
         let waiting = async {
             loop {
-                match self.since(after) {
+                match self.changes_after(after) {
                     Ok(None) => {}
                     Ok(Some(changes)) => return Ok(changes),
                     Err(error) => return Err(error),
@@ -321,7 +328,7 @@
     }
 }
 
-/// A route to a plain service, under `/name/`.
+/// Returns a route to a plain service, under `/name/`.
 pub fn plain_route(name: &str, repeatability: Repeatability, max_attempts: u32) -> Route {
     Route {
         name: name.into(),
@@ -343,7 +350,7 @@
     }
 }
 
-/// A route to a model service that answers with a stream, under `/name/`.
+/// Returns a route to a model service that answers with a stream, under `/name/`.
 pub fn stream_route(name: &str, is_resumable: bool, max_attempts: u32) -> Route {
     Route {
         stream: Some(StreamPolicy { is_resumable }),
