--- a/crates/gateway/src/duties/api.rs
+++ b/crates/gateway/src/duties/api.rs
@@ -1,7 +1,7 @@
-//! What the duties need of the platform: its store's leases and conditional writes, and the calls
-//! that are the duties. An adapter implements both.
+//! The platform's interfaces for the duties: leases and conditional writes of its store, and the
+//! calls that are the duties. An adapter implements both.
 //!
-//! Calls have no time limit and are made once: the caller drops them, and decides on retries. A
+//! Calls have no timeout and are made once: the caller drops them, and decides on retries. A
 //! dropped call must not reach the platform later: its connection is reset.
 
 use crate::control::source::{Revision, SourceError};
@@ -15,73 +15,73 @@
 /// A key of the store that belongs to the duties.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyKey {
-    /// Who holds the duties; goes with the holder's lease.
+    /// The holder's record; removed with the holder's lease.
     Holder,
-    /// What a holder leaves for its successor; stays.
+    /// The state that a holder leaves for its successor; permanent.
     State,
 }
 
-/// A lease of the store.
+/// The id of a lease of the store.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub struct LeaseId(pub u64);
 
-/// What became of a renewal.
+/// The result of renewing a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseRenewal {
-    /// The lease lasts its whole time from now on.
+    /// The lease was renewed for its full duration.
     Renewed,
-    /// It is over.
+    /// The lease has ended.
     Gone,
 }
 
 /// The value of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredValue {
-    /// The revision that wrote it.
+    /// The revision that wrote the value.
     pub revision: Revision,
     /// The value.
     pub value: Bytes,
-    /// The lease with which it goes; none: it stays.
+    /// The lease with which the key is removed; none if it is permanent.
     pub lease: Option<LeaseId>,
 }
 
-/// A value to be written.
+/// A write of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Put {
     /// The key.
     pub key: DutyKey,
-    /// Its new value.
+    /// The new value.
     pub value: Bytes,
-    /// The lease with which it goes; none: it stays.
+    /// The lease with which the key is removed; none if it is permanent.
     pub lease: Option<LeaseId>,
 }
 
-/// Writes that are done together, or not at all.
+/// Writes that are applied together or not at all.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transaction {
-    /// The revisions that keys must have; 0: the key must not be there.
+    /// The revisions that keys must have; 0: the key must not exist.
     pub expected: Vec<(DutyKey, Revision)>,
     /// The writes.
     pub puts: Vec<Put>,
 }
 
-/// What became of a transaction.
+/// The result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// It was done, at this revision.
+    /// The writes were applied at this revision.
     Done(Revision),
-    /// A key had another revision than expected; nothing was done.
+    /// A key had another revision than expected; nothing was written.
     Conflict,
-    /// The lease is over; nothing was done.
+    /// The lease has ended; nothing was written.
     NoLease,
 }
 
-/// The store, as the duties need it.
+/// The store, as far as the duties use it.
 pub trait DutyStore: Send + Sync + 'static {
-    /// Takes out a lease. It runs from the arrival of the call.
+    /// Takes out a lease. Its duration starts when the call arrives.
     ///
     /// # Errors
-    /// [`SourceError`] when there is no answer that can be used; a lease may run all the same.
+    /// [`SourceError`] when there is no usable answer; the lease may exist nevertheless.
     fn grant_lease(
         &self,
         lease_ms: DurationMs,
@@ -90,19 +90,19 @@
     /// Renews a lease.
     ///
     /// # Errors
-    /// [`SourceError`] when it isn't known whether it was renewed.
+    /// [`SourceError`] when it isn't known whether the lease was renewed.
     fn renew_lease(
         &self,
         lease: LeaseId,
     ) -> impl Future<Output = Result<LeaseRenewal, SourceError>> + Send;
 
-    /// Ends a lease and the keys under it.
+    /// Ends a lease, and removes the keys under it.
     ///
     /// # Errors
-    /// [`SourceError`] when it isn't known whether it was ended.
+    /// [`SourceError`] when it isn't known whether the lease was ended.
     fn end_lease(&self, lease: LeaseId) -> impl Future<Output = Result<(), SourceError>> + Send;
 
-    /// Reads a key; none: it isn't there.
+    /// Reads a key; returns none if it doesn't exist.
     ///
     /// # Errors
     /// [`SourceError`] when nothing was read.
@@ -111,48 +111,49 @@
         key: DutyKey,
     ) -> impl Future<Output = Result<Option<StoredValue>, SourceError>> + Send;
 
-    /// Writes under conditions.
+    /// Applies a transaction.
     ///
     /// # Errors
-    /// [`SourceError`] when it isn't known whether the writes were done, or will be done later.
+    /// [`SourceError`] when it isn't known whether the writes were applied, or will be applied
+    /// later.
     fn write(
         &self,
         transaction: &Transaction,
     ) -> impl Future<Output = Result<TransactionOutcome, SourceError>> + Send;
 }
 
-/// Under whose name a duty's call is made.
+/// The identity under which a duty's call is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Credentials {
     /// The daemon that holds the duties.
     pub holder: VmId,
-    /// Its fence.
+    /// The holder's fencing token.
     pub fence: FenceToken,
 }
 
 /// Why a duty's call failed. The text is the cause in logs.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum DutyCallError {
-    /// No connection.
+    /// The connection failed.
     #[display("not reached")]
     NotReached,
-    /// No answer in time, or the connection broke; the call may have been taken.
+    /// There was no answer in time, or the connection broke; the call may have been accepted.
     #[display("no answer")]
     NoAnswer,
-    /// The platform takes no calls now.
+    /// The platform accepts no calls for now.
     #[display("refused")]
     Refused,
-    /// The platform will not take this call.
+    /// The platform rejects this call for good.
     #[display("rejected")]
     Rejected,
 }
 
-/// The calls that are the duties.
+/// The platform's calls that are the duties.
 pub trait DutyPlatform: Send + Sync + 'static {
-    /// Tells the usage of a window. Telling the same again does nothing.
+    /// Submits the usage of a window. Submitting the same usage again has no effect.
     ///
     /// # Errors
-    /// [`DutyCallError`] when it isn't known to be taken.
+    /// [`DutyCallError`] when the usage isn't known to be accepted.
     fn tell_usage(
         &self,
         credentials: &Credentials,
@@ -162,7 +163,7 @@
     /// Orders engines.
     ///
     /// # Errors
-    /// [`DutyCallError`] when the order isn't known to be taken.
+    /// [`DutyCallError`] when the order isn't known to be accepted.
     fn order_engines(
         &self,
         credentials: &Credentials,
--- a/crates/gateway/src/duties/book.rs
+++ b/crates/gateway/src/duties/book.rs
@@ -1,7 +1,8 @@
-//! This daemon's part in the duties: what it counted, and, on the holder, what it heard.
+//! Usage counts: this daemon's own and, on the holder of the duties, those that other daemons
+//! reported.
 //!
-//! Owns the ledger and the collection, each behind a short lock; a request takes the ledger's once,
-//! when it begins to run.
+//! Owns the ledger and the collection, each behind a lock that is held briefly; a request takes the
+//! ledger's lock once, when it begins to run.
 
 use crate::clock::Clock;
 use crate::decisions::duties::usage_collection::{DaemonLife, UsageCollection, UsageReport};
@@ -12,18 +13,18 @@
 use std::sync::{Mutex, MutexGuard};
 use tokio::sync::Notify;
 
-/// Counts and reports of usage.
+/// Usage counts and reports.
 #[derive(Debug)]
 pub struct DutyBook {
     clock: Clock,
     daemon: DaemonLife,
-    /// None where usage isn't this fleet's duty.
+    /// None if the fleet doesn't submit usage.
     calendar: Option<UsageCalendar>,
     ledger: Option<Mutex<UsageLedger>>,
     /// Set while this daemon holds the duties, or is about to.
     collection: Mutex<Option<UsageCollection>>,
-    /// Wakes the task that tells usage when a report came.
-    reported: Notify,
+    /// Wakes the task that submits usage when a report has arrived.
+    report_arrived: Notify,
 }
 
 impl DutyBook {
@@ -38,21 +39,21 @@
             calendar,
             ledger: calendar.map(|calendar| Mutex::new(UsageLedger::new(calendar))),
             collection: Mutex::default(),
-            reported: Notify::new(),
+            report_arrived: Notify::new(),
         }
     }
 
-    /// This life of this daemon.
+    /// Returns this daemon's VM and incarnation.
     pub(crate) fn daemon(&self) -> &DaemonLife {
         &self.daemon
     }
 
-    /// The windows of usage; none where usage isn't this fleet's duty.
+    /// Returns the usage windows; none if the fleet doesn't submit usage.
     pub(crate) fn calendar(&self) -> Option<UsageCalendar> {
         self.calendar
     }
 
-    /// A request of a customer began to run.
+    /// Counts a customer's request that began to run.
     pub fn on_request_began(&self, at: TimeMs, customer: &CustomerId) {
         if let Some(ledger) = &self.ledger {
             let mut ledger = ledger.lock().expect("no panic under this lock");
@@ -60,12 +61,13 @@
         }
     }
 
-    /// What this daemon counted in the newest windows; none where usage isn't this fleet's duty.
+    /// Returns this daemon's counts of the newest windows; none if the fleet doesn't submit usage.
     pub(crate) fn own_report(&self) -> Option<UsageReport> {
         let calendar = self.calendar?;
         let now = self.clock.wall(self.clock.now());
         let first_open = calendar.first_open_at(now);
-        // What is older is told too late; whoever held the duties then has heard it.
+        // Older windows can't be submitted in time any more, and were reported to an earlier
+        // holder.
         let first = calendar.window_at(now).minus(calendar.timely_windows() - 1);
         let ledger = self.ledger.as_ref()?;
         let ledger = ledger.lock().expect("no panic under this lock");
@@ -79,8 +81,8 @@
         })
     }
 
-    /// The same when the process ends: nothing more will come.
-    pub(crate) fn last_report(&self) -> Option<UsageReport> {
+    /// Returns the report at the end of the process, which closes all windows.
+    pub(crate) fn final_report(&self) -> Option<UsageReport> {
         let report = self.own_report()?;
         Some(UsageReport {
             first_open: UsageWindow(u64::MAX),
@@ -92,30 +94,31 @@
         self.collection.lock().expect("no panic under this lock")
     }
 
-    /// This daemon takes the duties over, from a fleet of so many daemons.
+    /// Starts collecting reports from a fleet of `daemons` daemons; called when this daemon becomes
+    /// the holder.
     pub(super) fn start_collecting(&self, daemons: usize) {
         let now = self.clock.now();
         *self.collection() = Some(UsageCollection::new(now, daemons));
     }
 
-    /// This daemon no longer holds the duties.
+    /// Stops collecting reports; called when this daemon is no longer the holder.
     pub(super) fn stop_collecting(&self) {
         *self.collection() = None;
     }
 
-    /// Another daemon reports; gives whether this one holds the duties.
+    /// Stores another daemon's report; returns whether this daemon holds the duties.
     pub(crate) fn on_report(&self, report: UsageReport) -> bool {
         let mut collection = self.collection();
         let Some(collection) = collection.as_mut() else {
             return false;
         };
         collection.on_report(self.clock.now(), report);
-        self.reported.notify_one();
+        self.report_arrived.notify_one();
         true
     }
 
-    /// Works on what all daemons reported, this one included; none on a daemon that isn't the
-    /// holder.
+    /// Runs `work` on the reports of all daemons, including this one; returns none if this daemon
+    /// isn't the holder.
     pub(super) fn with_collection<T>(
         &self,
         work: impl FnOnce(TimeMs, &mut UsageCollection) -> T,
@@ -131,7 +134,7 @@
     }
 
     /// Waits until another daemon has reported.
-    pub(super) async fn reported(&self) {
-        self.reported.notified().await;
+    pub(super) async fn wait_for_report(&self) {
+        self.report_arrived.notified().await;
     }
 }
--- a/crates/gateway/src/duties/codec.rs
+++ b/crates/gateway/src/duties/codec.rs
@@ -1,6 +1,7 @@
-//! The duties' values in the platform's store and their messages between daemons, and back.
+//! Encoding and decoding of the duties' values in the platform's store and of their messages
+//! between daemons.
 //!
-//! The messages are `bridgevane-protocol`'s; their field numbers never change.
+//! The messages are defined in `bridgevane-protocol`; their field numbers never change.
 
 use crate::decisions::duties::duty_state::{DutyState, WindowUsage};
 use crate::decisions::duties::usage_collection::{DaemonLife, UsageReport};
@@ -13,13 +14,13 @@
 use bytes::Bytes;
 use prost::{DecodeError, Message};
 
-/// The value of the duties' state.
-pub(super) fn state_value(state: &DutyState) -> Bytes {
+/// Encodes the duties' state as a value of the store.
+pub(super) fn encode_state(state: &DutyState) -> Bytes {
     let needed = state.needed_engines.iter();
     let message = DutyStateMessage {
         vm: state.holder.vm.to_string(),
         incarnation: state.holder.incarnation.0,
-        told: state.told.iter().map(window_message).collect(),
+        told: state.told.iter().map(encode_window).collect(),
         daemons: u32::try_from(state.daemons).unwrap_or(u32::MAX),
         needed_engines: needed
             .map(|(service, engines)| NeededEngines {
@@ -31,13 +32,13 @@
     message.encode_to_vec().into()
 }
 
-/// The state of a value.
-pub(super) fn state_of_value(value: &Bytes) -> Result<DutyState, DecodeError> {
+/// Decodes the duties' state.
+pub(super) fn decode_state(value: &Bytes) -> Result<DutyState, DecodeError> {
     let message = DutyStateMessage::decode(value.clone())?;
     let needed = message.needed_engines.into_iter();
     Ok(DutyState {
-        holder: life(&message.vm, message.incarnation),
-        told: message.told.into_iter().map(window_of_message).collect(),
+        holder: decode_daemon(&message.vm, message.incarnation),
+        told: message.told.into_iter().map(decode_window).collect(),
         daemons: message.daemons as usize,
         needed_engines: needed
             .map(|needed| {
@@ -48,8 +49,8 @@
     })
 }
 
-/// A daemon's report as a message.
-pub(super) fn report_message(report: &UsageReport) -> UsageReported {
+/// Encodes a daemon's usage report.
+pub(super) fn encode_report(report: &UsageReport) -> UsageReported {
     let windows = report.windows.iter();
     UsageReported {
         vm: report.daemon.vm.to_string(),
@@ -58,37 +59,37 @@
         windows: windows
             .map(|(window, counts)| WindowRequests {
                 window: window.0,
-                customers: customer_messages(counts),
+                customers: encode_customers(counts),
             })
             .collect(),
     }
 }
 
-/// The report of a message.
+/// Decodes a daemon's usage report.
 pub(crate) fn decode_report(message: UsageReported) -> UsageReport {
-    let windows = message.windows.into_iter().map(window_of_message);
+    let windows = message.windows.into_iter().map(decode_window);
     UsageReport {
-        daemon: life(&message.vm, message.incarnation),
+        daemon: decode_daemon(&message.vm, message.incarnation),
         first_open: UsageWindow(message.first_open_window),
         windows: windows.map(|usage| (usage.window, usage.counts)).collect(),
     }
 }
 
-fn life(vm: &str, incarnation: u64) -> DaemonLife {
+fn decode_daemon(vm: &str, incarnation: u64) -> DaemonLife {
     DaemonLife {
         vm: VmId::from(vm),
         incarnation: Incarnation(incarnation),
     }
 }
 
-fn window_message(usage: &WindowUsage) -> WindowRequests {
+fn encode_window(usage: &WindowUsage) -> WindowRequests {
     WindowRequests {
         window: usage.window.0,
-        customers: customer_messages(&usage.counts),
+        customers: encode_customers(&usage.counts),
     }
 }
 
-fn window_of_message(message: WindowRequests) -> WindowUsage {
+fn decode_window(message: WindowRequests) -> WindowUsage {
     let customers = message.customers.into_iter();
     let counts: UsageCounts = customers
         .map(|entry| (CustomerId::from(entry.customer.as_str()), entry.requests))
@@ -99,7 +100,7 @@
     }
 }
 
-fn customer_messages(counts: &UsageCounts) -> Vec<CustomerRequests> {
+fn encode_customers(counts: &UsageCounts) -> Vec<CustomerRequests> {
     let counts = counts.iter();
     counts
         .map(|(customer, requests)| CustomerRequests {
--- a/crates/gateway/src/duties/engines.rs
+++ b/crates/gateway/src/duties/engines.rs
@@ -1,13 +1,14 @@
 //! Ordering engines.
 //!
-//! How many are planned is decided in [`crate::decisions::duties::engine_plan`], which order is next
-//! in [`crate::decisions::duties::engine_orders`]; here the inputs are gathered and orders given.
+//! [`crate::decisions::duties::engine_plan`] decides how many engines are planned, and
+//! [`crate::decisions::duties::engine_orders`] which order is next; this module gathers the inputs
+//! and sends the orders.
 
 use crate::decisions::duties::engine_need::{EngineNeed, Need};
 use crate::decisions::duties::engine_orders::{EngineOrder, OrderBook, OrderInputs};
 use crate::decisions::duties::engine_plan::{EngineScaling, EnginesByDataCentre, PlanInputs, plan};
 use crate::duties::api::{DutyCallError, DutyPlatform, DutyStore};
-use crate::duties::hold::{DUTY_CALL_TIMEOUT, Hold, HoldEnd};
+use crate::duties::hold::{DUTY_CALL_TIMEOUT, HolderSession, SessionEnd};
 use crate::endpoints::directory::Directory;
 use crate::gateway::Gateway;
 use crate::route::Service;
@@ -18,21 +19,21 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How often the holder compares what runs with what is planned. Not measured, chosen because an
-/// engine takes seconds to start.
+/// How often the holder compares the running engines with the plan. An engine takes seconds to
+/// start.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Orders for one data centre in one look at most. Chosen for reclaimable engines, permanent ones, and
-/// the reclaimable ones again that these have made room for.
-const MAX_ORDERS_EACH: usize = 3;
+/// The maximum number of orders per data centre and check: for reclaimable engines, for permanent
+/// ones, and again for the reclaimable ones for which these made room.
+const MAX_ORDERS_PER_DATA_CENTRE: usize = 3;
 
-/// Orders engines until the hold ends.
-pub(super) async fn order<S: DutyStore, P: DutyPlatform>(
+/// Orders engines until the session ends.
+pub(super) async fn order_engines<S: DutyStore, P: DutyPlatform>(
     gateway: &Gateway,
-    hold: &Hold<'_, S>,
+    session: &HolderSession<'_, S>,
     platform: &P,
     settings: &DutySettings,
-) -> HoldEnd {
+) -> SessionEnd {
     if !settings.orders_engines {
         return std::future::pending().await;
     }
@@ -42,12 +43,12 @@
             let ordered = ordered.entry(service.clone()).or_default();
             let orderer = EngineOrderer {
                 gateway,
-                hold,
+                session,
                 platform,
                 service: &service,
                 scaling: &scaling,
             };
-            if let Err(end) = orderer.adjust(ordered).await {
+            if let Err(end) = orderer.order_due_engines(ordered).await {
                 return end;
             }
         }
@@ -55,7 +56,7 @@
     }
 }
 
-/// The services whose engines are ordered.
+/// Returns the services whose engines are ordered.
 fn scaled_services(gateway: &Gateway) -> Vec<(ServiceName, EngineScaling)> {
     let Some(table) = gateway.control.routing_table() else {
         return Vec::new();
@@ -64,7 +65,7 @@
     table.services().filter_map(scaled).collect()
 }
 
-/// What this holder knows of one service.
+/// The holder's state for one service.
 #[derive(Debug, Default)]
 struct OrderedService {
     need: EngineNeed,
@@ -73,21 +74,21 @@
 
 struct EngineOrderer<'a, S, P> {
     gateway: &'a Gateway,
-    hold: &'a Hold<'a, S>,
+    session: &'a HolderSession<'a, S>,
     platform: &'a P,
     service: &'a ServiceName,
     scaling: &'a EngineScaling,
 }
 
 impl<S: DutyStore, P: DutyPlatform> EngineOrderer<'_, S, P> {
-    /// Gives the orders that are due.
-    async fn adjust(&self, ordered: &mut OrderedService) -> Result<(), HoldEnd> {
-        // What an old configuration says of engines isn't acted on.
+    /// Sends the orders that are due for the service.
+    async fn order_due_engines(&self, ordered: &mut OrderedService) -> Result<(), SessionEnd> {
+        // An outdated configuration isn't acted on.
         if !self.gateway.control.freshness().may_deny() {
             return Ok(());
         }
         let running = running_engines(&self.gateway.control.directory(), self.service);
-        let need = self.need(&mut ordered.need, &running).await?;
+        let need = self.observe_need(&mut ordered.need, &running).await?;
         let data_centres = self.scaling.data_centres(&running);
         let book = &mut ordered.book;
         let without_reclaimable = book.without_reclaimable();
@@ -102,7 +103,7 @@
             .engines(self.service, &planned, &running);
         let is_idle = self.is_idle();
         // Reclaimable engines are ordered again once permanent ones have made room for them.
-        for _ in 0..MAX_ORDERS_EACH * data_centres.len() {
+        for _ in 0..MAX_ORDERS_PER_DATA_CENTRE * data_centres.len() {
             let order = book.next(&OrderInputs {
                 now: self.gateway.clock.now(),
                 planned: &planned,
@@ -114,17 +115,17 @@
             let Some(order) = order else {
                 break;
             };
-            if !self.give(book, &order, &running, need.engines).await {
+            if !self.send_order(book, &order, &running, need.engines).await {
                 break;
             }
         }
         Ok(())
     }
 
-    /// Whether no request runs, and none began in the window before this one or since.
+    /// Returns whether no request runs, and none began in the previous window or since.
     fn is_idle(&self) -> bool {
         let book = &self.gateway.duty_book;
-        // Without usage nobody tells the holder that work has begun.
+        // Without usage reports the holder doesn't know whether requests have begun.
         let Some(calendar) = book.calendar() else {
             return false;
         };
@@ -136,36 +137,36 @@
         is_idle.unwrap_or_default() && work.is_empty()
     }
 
-    /// Engines that the service needs. A need that has grown is left for the successor.
-    async fn need(
+    /// Returns the engines that the service needs. An increased need is stored for the successor.
+    async fn observe_need(
         &self,
         need: &mut EngineNeed,
         running: &EnginesByDataCentre,
-    ) -> Result<Need, HoldEnd> {
+    ) -> Result<Need, SessionEnd> {
         let permanent = running.values().map(|counts| counts.permanent).sum();
-        let known = self.hold.state().await.needed_engines;
+        let known = self.session.state().await.needed_engines;
         let known = known.get(self.service).copied().unwrap_or_default();
         let need = need.observe(self.gateway.clock.now(), known, permanent);
         if need.is_settled && need.engines > known {
-            self.hold
+            self.session
                 .write_state(|state| state.with_needed_engines(self.service, need.engines))
                 .await?;
         }
         Ok(need)
     }
 
-    /// Gives an order; false: the platform can't be called now.
-    async fn give(
+    /// Sends an order; returns false when the platform can't be called now.
+    async fn send_order(
         &self,
         book: &mut OrderBook,
         order: &EngineOrder,
         running: &EnginesByDataCentre,
         needed: u32,
     ) -> bool {
-        if !self.hold.may_act() {
+        if !self.session.may_act() {
             return false;
         }
-        let credentials = self.hold.credentials();
+        let credentials = self.session.credentials();
         let ordering = self
             .platform
             .order_engines(&credentials, self.service, order);
@@ -195,8 +196,8 @@
     }
 }
 
-/// The engines of a service that don't drain. Those of an evacuated data centre run on: ordered again, they
-/// would run twice.
+/// Returns the engines of a service that don't drain. Those of an evacuated data centre keep
+/// running, and count: otherwise they would be ordered a second time.
 fn running_engines(directory: &Directory, service: &ServiceName) -> EnginesByDataCentre {
     let mut running = EnginesByDataCentre::new();
     for endpoint in directory.endpoints() {
--- a/crates/gateway/src/duties/hold.rs
+++ b/crates/gateway/src/duties/hold.rs
@@ -1,7 +1,7 @@
-//! One hold of the duties: its lease, its tenure, and the state that it keeps for a successor.
+//! The session of a holder: its lease, its tenure, and the state that it stores for a successor.
 //!
-//! Owns the calls to the store while this daemon holds the duties. Whether it may act is decided in
-//! [`crate::decisions::duties::tenure`].
+//! Owns the calls to the store while this daemon holds the duties.
+//! [`crate::decisions::duties::tenure`] decides whether the holder may act.
 
 use crate::clock::Clock;
 use crate::control::source::Revision;
@@ -10,39 +10,37 @@
 use crate::duties::api::{
     Credentials, DutyKey, DutyStore, LeaseId, LeaseRenewal, Put, Transaction, TransactionOutcome,
 };
-use crate::duties::codec::state_value;
+use crate::duties::codec::encode_state;
 use bridgevane_types::{DurationMs, VmId};
 use derive_more::Display;
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How long a call of the store for the duties may take. Chosen because the users' slowest store
-/// takes 0.24 s, and a lease of 3 s is renewed each second.
+/// Timeout for the duties' calls to the store. The users' slowest store takes 0.24 s, and a lease
+/// of 3 s is renewed each second.
 pub(super) const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a duty's call of the platform may take; it is reset then. Not measured, chosen because
-/// it must fit between two renewals of a lease of 3 s; the users' platform takes 15 ms, and fifty
-/// times as long when it is slow.
+/// Timeout for a duty's call to the platform, after which it is reset. It must fit between two
+/// renewals of a lease of 3 s; the users' platform takes 15 ms, and fifty times as long when it is
+/// slow.
 pub(super) const DUTY_CALL_TIMEOUT: DurationMs = DurationMs(1_000);
-/// The pause after a call that failed. Not measured, chosen because it is well within the time of a
-/// lease, and doesn't hurry a store that is overloaded.
+/// The delay after a failed call. It is well within the duration of a lease, and doesn't add much
+/// load to an overloaded store.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// How often a holder that may not act looks again. Not measured, chosen as a part of a second: it
-/// waits for a renewal.
-const ACT_PAUSE: Duration = Duration::from_millis(100);
-/// A lease is renewed each time such a part of it is over. Not measured, chosen so that two renewals
-/// may be lost.
-const RENEWALS_IN_LEASE: u32 = 3;
-
-/// Why a hold ended. The text is the cause in logs.
+/// How often a holder that may not act checks again: it waits for a renewal.
+const ACT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The number of renewals per duration of a lease, so that two of them may fail.
+const RENEWALS_PER_LEASE: u32 = 3;
+
+/// Why a session ended. The text is the cause in logs.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub(super) enum HoldEnd {
-    /// The lease is over, or another daemon has written the duties' state.
+pub(super) enum SessionEnd {
+    /// The lease has ended, or another daemon has written the duties' state.
     #[display("the lease is over")]
     Lost,
-    /// The store answers and the platform doesn't: another daemon may reach it.
+    /// The store answers but the platform doesn't: another daemon may reach it.
     #[display("the platform isn't reached")]
-    PlatformAway,
+    PlatformUnreachable,
     /// This daemon stops.
     #[display("the daemon stops")]
     Stopping,
@@ -54,33 +52,33 @@
     state: DutyState,
 }
 
-/// A hold of the duties.
+/// The time in which this daemon holds the duties under one lease.
 #[derive(Debug)]
-pub(super) struct Hold<'a, S> {
+pub(super) struct HolderSession<'a, S> {
     clock: Clock,
     store: &'a S,
     vm: VmId,
     lease: LeaseId,
     lease_ms: DurationMs,
     tenure: Mutex<Tenure>,
-    /// Written by one task at a time.
+    /// Locked for the whole of a write, so that only one task writes at a time.
     stored: tokio::sync::Mutex<StoredState>,
 }
 
-/// What a hold begins with.
+/// The initial values of a session.
 #[derive(Debug)]
-pub(super) struct HoldStart {
+pub(super) struct SessionStart {
     pub(super) vm: VmId,
     pub(super) lease: LeaseId,
     pub(super) lease_ms: DurationMs,
     pub(super) tenure: Tenure,
-    /// The duties' state as this holder wrote it, and the revision of that.
+    /// The duties' state as this holder wrote it; `revision` is that of the write.
     pub(super) state: DutyState,
     pub(super) revision: Revision,
 }
 
-impl<'a, S: DutyStore> Hold<'a, S> {
-    pub(super) fn begin(clock: Clock, store: &'a S, start: HoldStart) -> Self {
+impl<'a, S: DutyStore> HolderSession<'a, S> {
+    pub(super) fn begin(clock: Clock, store: &'a S, start: SessionStart) -> Self {
         Self {
             clock,
             store,
@@ -99,7 +97,7 @@
         self.tenure.lock().expect("no panic under this lock")
     }
 
-    /// Under which name calls are made.
+    /// Returns the identity for calls to the platform.
     pub(super) fn credentials(&self) -> Credentials {
         Credentials {
             holder: self.vm.clone(),
@@ -107,7 +105,7 @@
         }
     }
 
-    /// Whether a duty's call may be sent now.
+    /// Returns whether a duty's call may be sent now.
     pub(super) fn may_act(&self) -> bool {
         self.tenure().may_act(self.clock.now(), DUTY_CALL_TIMEOUT)
     }
@@ -120,58 +118,59 @@
         };
         sleep(until_first.as_std()).await;
         while !self.may_act() {
-            sleep(ACT_PAUSE).await;
+            sleep(ACT_CHECK_INTERVAL).await;
         }
     }
 
-    /// Renews the lease until it is over.
-    pub(super) async fn keep_lease(&self) -> HoldEnd {
-        let interval = self.lease_ms.as_std() / RENEWALS_IN_LEASE;
+    /// Renews the lease until it has ended.
+    pub(super) async fn keep_lease(&self) -> SessionEnd {
+        let interval = self.lease_ms.as_std() / RENEWALS_PER_LEASE;
         loop {
             sleep(interval).await;
             while !self.renew().await {
                 sleep(RETRY_PAUSE).await;
             }
             if self.tenure().is_over() {
-                return HoldEnd::Lost;
+                return SessionEnd::Lost;
             }
         }
     }
 
-    /// Renews the lease once; false: it isn't known whether it was renewed.
+    /// Renews the lease once; returns false when it isn't known whether it was renewed.
     async fn renew(&self) -> bool {
         let asked_at = self.clock.now();
         let renewing = timeout(STORE_CALL_TIMEOUT, self.store.renew_lease(self.lease)).await;
         match renewing {
             Ok(Ok(LeaseRenewal::Renewed)) => self.tenure().on_renewed(asked_at),
             Ok(Ok(LeaseRenewal::Gone)) => self.tenure().end(),
-            // Not logged: the follower of the store logs that it is away.
+            // Not logged: the task that follows the store logs that it is unavailable.
             Ok(Err(_)) | Err(_) => return false,
         }
         true
     }
 
-    /// Ends the lease, so that a successor needn't wait for its end.
+    /// Ends the lease, so that a successor doesn't wait for it to expire.
     pub(super) async fn release(&self) {
         self.tenure().end();
-        // A lease that isn't ended runs out by itself.
+        // A lease that isn't ended expires by itself.
         let _ = timeout(STORE_CALL_TIMEOUT, self.store.end_lease(self.lease)).await;
     }
 
-    /// The state as it was last written.
+    /// Returns the state as it was last written.
     pub(super) async fn state(&self) -> DutyState {
         self.stored.lock().await.state.clone()
     }
 
-    /// Writes a changed state. Tries until it is known whether the write was done: it may be done
-    /// seconds after a call without an answer, and no other state may be written meanwhile.
+    /// Writes a changed state. Retries until it is known whether the write was applied: after an
+    /// unanswered call it may be applied seconds later, and no other state may be written
+    /// meanwhile.
     ///
     /// # Errors
-    /// [`HoldEnd::Lost`] when another daemon may hold the duties.
+    /// [`SessionEnd::Lost`] when another daemon may hold the duties.
     pub(super) async fn write_state(
         &self,
         change: impl FnOnce(&DutyState) -> DutyState,
-    ) -> Result<(), HoldEnd> {
+    ) -> Result<(), SessionEnd> {
         let mut stored = self.stored.lock().await;
         let next = change(&stored.state);
         let transaction = self.state_transaction(stored.revision, &next);
@@ -180,10 +179,10 @@
             match writing {
                 Ok(Ok(TransactionOutcome::Done(revision))) => break revision,
                 Ok(Ok(TransactionOutcome::Conflict)) => {
-                    break self.find_written(&transaction).await?;
+                    break self.find_applied_write(&transaction).await?;
                 }
-                Ok(Ok(TransactionOutcome::NoLease)) => return Err(HoldEnd::Lost),
-                // Not logged: the follower of the store logs that it is away.
+                Ok(Ok(TransactionOutcome::NoLease)) => return Err(SessionEnd::Lost),
+                // Not logged: the task that follows the store logs that it is unavailable.
                 Ok(Err(_)) | Err(_) => sleep(RETRY_PAUSE).await,
             }
         };
@@ -198,14 +197,14 @@
             expected: vec![(DutyKey::Holder, fence), (DutyKey::State, revision)],
             puts: vec![Put {
                 key: DutyKey::State,
-                value: state_value(next),
+                value: encode_state(next),
                 lease: None,
             }],
         }
     }
 
-    /// A write met another revision: an earlier try of the same write may have been done.
-    async fn find_written(&self, transaction: &Transaction) -> Result<Revision, HoldEnd> {
+    /// Returns the revision of an earlier attempt of the same write, after a conflict.
+    async fn find_applied_write(&self, transaction: &Transaction) -> Result<Revision, SessionEnd> {
         loop {
             let reading = timeout(STORE_CALL_TIMEOUT, self.store.read(DutyKey::State)).await;
             if let Ok(Ok(found)) = reading {
@@ -215,7 +214,7 @@
                 };
                 let is_done = transaction.puts.iter().all(is_own);
                 let revision = found.as_ref().map(|found| found.revision);
-                return revision.filter(|_| is_done).ok_or(HoldEnd::Lost);
+                return revision.filter(|_| is_done).ok_or(SessionEnd::Lost);
             }
             sleep(RETRY_PAUSE).await;
         }
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -1,7 +1,7 @@
-//! Standing for the duties, and holding them.
+//! Becoming the holder of the duties, and holding them.
 //!
-//! One task of each daemon. Who may stand and who may act is decided in
-//! [`crate::decisions::duties::tenure`]; here the calls are made.
+//! Every daemon runs this task. [`crate::decisions::duties::tenure`] decides which daemon is a
+//! candidate when, and whether a holder may act; this module makes the calls.
 
 use crate::control::duty_holder::HolderView;
 use crate::control::holder_record::HolderRecord;
@@ -11,8 +11,10 @@
 use crate::duties::api::{
     DutyKey, DutyPlatform, DutyStore, LeaseId, Put, StoredValue, Transaction, TransactionOutcome,
 };
-use crate::duties::codec::{state_of_value, state_value};
-use crate::duties::hold::{Hold, HoldEnd, HoldStart, RETRY_PAUSE, STORE_CALL_TIMEOUT};
+use crate::duties::codec::{decode_state, encode_state};
+use crate::duties::hold::{
+    HolderSession, RETRY_PAUSE, STORE_CALL_TIMEOUT, SessionEnd, SessionStart,
+};
 use crate::duties::{engines, usage};
 use crate::gateway::Gateway;
 use crate::settings::DutySettings;
@@ -23,14 +25,13 @@
 use tokio::time::{sleep, timeout};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a daemon that couldn't reach the platform leaves the duties to others. Not measured,
-/// chosen as long as usage may be late: another holder has had its chance by then.
-const HOLD_OFF: DurationMs = DurationMs(10_000);
-/// How often a holder looks whether its daemon stops. Not measured, chosen because a stop takes
-/// seconds.
+/// How long a daemon that could not reach the platform does not become a candidate. It is as long
+/// as usage may be late, so another daemon can become the holder meanwhile.
+const CANDIDACY_COOLDOWN: DurationMs = DurationMs(10_000);
+/// How often a holder checks whether its daemon stops. A stop takes seconds.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Stands for the duties and holds them, until the daemon ends.
+/// Tries to become the holder of the duties and performs them, until the daemon ends.
 pub async fn run<S: DutyStore, P: DutyPlatform>(gateway: Arc<Gateway>, store: S, platform: P) {
     let Some(settings) = gateway.settings.duties.clone() else {
         return;
@@ -43,12 +44,12 @@
         settings,
         spread,
         was_holder: false,
-        held_off_until: None,
+        cooldown_until: None,
     };
     loop {
-        candidate.wait_until_standing().await;
-        match candidate.stand().await {
-            Ok(Some(start)) => candidate.hold(start).await,
+        candidate.wait_for_candidacy().await;
+        match candidate.try_become_holder().await {
+            Ok(Some(start)) => candidate.perform_duties(start).await,
             Ok(None) => sleep(RETRY_PAUSE).await,
             Err(error) => {
                 event!(Event::DutyCallFailed, call = "stand", cause = error);
@@ -63,33 +64,33 @@
     store: S,
     platform: P,
     settings: DutySettings,
-    /// From 0 to 1, by the VM's name: where this daemon stands among those that are no seeds.
+    /// From 0 to 1, a hash of the VM's name: spreads the candidacies of daemons that aren't seeds.
     spread: f64,
-    /// Whether this daemon was the last holder that it knows of.
+    /// Whether this daemon was the last known holder.
     was_holder: bool,
-    /// Until when it leaves the duties to others.
-    held_off_until: Option<TimeMs>,
+    /// Until when this daemon does not become a candidate.
+    cooldown_until: Option<TimeMs>,
 }
 
 impl<S: DutyStore, P: DutyPlatform> DutyCandidate<S, P> {
-    /// Waits until the key is vacant and it is this daemon's turn.
-    async fn wait_until_standing(&mut self) {
+    /// Waits until there is no holder and this daemon becomes a candidate.
+    async fn wait_for_candidacy(&mut self) {
         let gateway = self.gateway.clone();
         let mut progress = gateway.control.progress();
         loop {
             let now = gateway.clock.now();
-            let turn = self.turn(now).map(|turn| turn.since(now));
-            match turn {
+            let candidacy = self.candidacy_at(now).map(|at| at.since(now));
+            match candidacy {
                 Some(DurationMs(0)) => return,
-                Some(until_turn) => sleep(until_turn.as_std()).await,
-                // The sender lives as long as the gateway.
+                Some(until_candidacy) => sleep(until_candidacy.as_std()).await,
+                // Never fails: the sender lives as long as the gateway.
                 None => drop(progress.changed().await),
             }
         }
     }
 
-    /// When this daemon stands, as things are; none: it doesn't.
-    fn turn(&mut self, now: TimeMs) -> Option<TimeMs> {
+    /// Returns when this daemon becomes a candidate; none if it can't in the current state.
+    fn candidacy_at(&mut self, now: TimeMs) -> Option<TimeMs> {
         let gateway = &self.gateway;
         let holder = gateway.control.duty_holder();
         let vacant_since = match holder.view() {
@@ -100,16 +101,16 @@
             }
             HolderView::Vacant { since } => *since,
         };
-        let is_held_off = self.held_off_until.is_some_and(|until| now < until);
+        let is_in_cooldown = self.cooldown_until.is_some_and(|until| now < until);
         let is_fresh = gateway.control.freshness().may_serve();
         let follows_source = gateway.fleet.follows_source();
-        if gateway.shutdown.is_stopping() || is_held_off || !is_fresh || !follows_source {
+        if gateway.shutdown.is_stopping() || is_in_cooldown || !is_fresh || !follows_source {
             return None;
         }
-        Some(stands_at(vacant_since, self.place()))
+        Some(stands_at(vacant_since, self.candidate_rank()))
     }
 
-    fn place(&self) -> StandingPlace {
+    fn candidate_rank(&self) -> StandingPlace {
         if self.was_holder {
             return StandingPlace::LastHolder;
         }
@@ -121,11 +122,11 @@
         }
     }
 
-    /// Tries to become the holder; none: another daemon did.
-    async fn stand(&mut self) -> Result<Option<HoldStart>, SourceError> {
-        let before = call(self.store.read(DutyKey::State)).await?;
+    /// Tries to become the holder; returns none if another daemon did.
+    async fn try_become_holder(&mut self) -> Result<Option<SessionStart>, SourceError> {
+        let before = call_store(self.store.read(DutyKey::State)).await?;
         let daemon = self.gateway.duty_book.daemon().clone();
-        let previous = before.as_ref().map(|stored| state_of_value(&stored.value));
+        let previous = before.as_ref().map(|stored| decode_state(&stored.value));
         let previous = previous.transpose().map_err(|_| SourceError::Unreadable)?;
         let predecessor = match &previous {
             None => Predecessor::Nobody,
@@ -138,8 +139,8 @@
         };
         let lease_ms = self.settings.lease_ms;
         let lease_asked_at = self.gateway.clock.now();
-        let lease = call(self.store.grant_lease(lease_ms)).await?;
-        let transaction = self.transaction(lease, before.as_ref(), &state);
+        let lease = call_store(self.store.grant_lease(lease_ms)).await?;
+        let transaction = self.holder_transaction(lease, before.as_ref(), &state);
         let Some(revision) = self.write_holder(lease, &transaction).await? else {
             return Ok(None);
         };
@@ -157,7 +158,7 @@
             predecessor = predecessor,
             acts_in_ms = acts_in
         );
-        Ok(Some(HoldStart {
+        Ok(Some(SessionStart {
             vm: self.gateway.settings.vm.clone(),
             lease,
             lease_ms,
@@ -167,7 +168,7 @@
         }))
     }
 
-    fn transaction(
+    fn holder_transaction(
         &self,
         lease: LeaseId,
         before: Option<&StoredValue>,
@@ -188,62 +189,63 @@
                 },
                 Put {
                     key: DutyKey::State,
-                    value: state_value(state),
+                    value: encode_state(state),
                     lease: None,
                 },
             ],
         }
     }
 
-    /// Writes the holder's key; gives the revision, or none when this daemon isn't the holder.
+    /// Writes the holder's key; returns its revision, or none if this daemon isn't the holder.
     async fn write_holder(
         &self,
         lease: LeaseId,
         transaction: &Transaction,
     ) -> Result<Option<Revision>, SourceError> {
-        match call(self.store.write(transaction)).await {
+        match call_store(self.store.write(transaction)).await {
             Ok(TransactionOutcome::Done(revision)) => return Ok(Some(revision)),
             Ok(TransactionOutcome::Conflict | TransactionOutcome::NoLease) => {}
-            // It may have been done, or may be done later. Only a key under this very lease says
-            // that it was: one of an earlier try goes with that try's lease.
+            // The write may have been applied, or may be applied later. Only a key under this lease
+            // proves that it was: the key of an earlier attempt is removed with that attempt's
+            // lease.
             Err(_) => {
-                let found = call(self.store.read(DutyKey::Holder)).await?;
+                let found = call_store(self.store.read(DutyKey::Holder)).await?;
                 let own = found.filter(|found| found.lease == Some(lease));
                 if let Some(own) = own {
                     return Ok(Some(own.revision));
                 }
             }
         }
-        // Without its lease a late write isn't done; one that isn't ended runs out by itself.
-        let _ = call(self.store.end_lease(lease)).await;
+        // Without its lease a late write isn't applied; a lease that isn't ended expires by itself.
+        let _ = call_store(self.store.end_lease(lease)).await;
         Ok(None)
     }
 
-    /// Does the duties until the hold ends.
-    async fn hold(&mut self, start: HoldStart) {
+    /// Performs the duties until the session ends.
+    async fn perform_duties(&mut self, start: SessionStart) {
         let gateway = self.gateway.clone();
         gateway.duty_book.start_collecting(start.state.daemons);
         gateway.metrics.duties_held(true);
-        let hold = Hold::begin(gateway.clock, &self.store, start);
+        let session = HolderSession::begin(gateway.clock, &self.store, start);
         let end = tokio::select! {
-            end = hold.keep_lease() => end,
-            end = usage::tell(&gateway, &hold, &self.platform) => end,
-            end = engines::order(&gateway, &hold, &self.platform, &self.settings) => end,
-            () = wait_for_stop(&gateway) => HoldEnd::Stopping,
+            end = session.keep_lease() => end,
+            end = usage::submit_windows(&gateway, &session, &self.platform) => end,
+            end = engines::order_engines(&gateway, &session, &self.platform, &self.settings) => end,
+            () = wait_for_stop(&gateway) => SessionEnd::Stopping,
         };
         gateway.duty_book.stop_collecting();
         gateway.metrics.duties_held(false);
         event!(
             Event::DutiesLost,
-            fence = hold.credentials().fence,
+            fence = session.credentials().fence,
             cause = end
         );
         match end {
-            HoldEnd::Lost => {}
-            HoldEnd::Stopping => hold.release().await,
-            HoldEnd::PlatformAway => {
-                hold.release().await;
-                self.held_off_until = Some(gateway.clock.now() + HOLD_OFF);
+            SessionEnd::Lost => {}
+            SessionEnd::Stopping => session.release().await,
+            SessionEnd::PlatformUnreachable => {
+                session.release().await;
+                self.cooldown_until = Some(gateway.clock.now() + CANDIDACY_COOLDOWN);
             }
         }
     }
@@ -255,8 +257,10 @@
     }
 }
 
-/// A call of the store within its time.
-async fn call<T>(calling: impl Future<Output = Result<T, SourceError>>) -> Result<T, SourceError> {
+/// Makes a call to the store, with a timeout.
+async fn call_store<T>(
+    calling: impl Future<Output = Result<T, SourceError>>,
+) -> Result<T, SourceError> {
     let called = timeout(STORE_CALL_TIMEOUT, calling).await;
     called.map_err(|_| SourceError::NoAnswer)?
 }
--- a/crates/gateway/src/duties/mod.rs
+++ b/crates/gateway/src/duties/mod.rs
@@ -1,15 +1,15 @@
-//! Duties: calls to the platform that one daemon makes for the whole fleet, carried out.
+//! Duties: calls to the platform that one daemon, the holder, makes for the whole fleet.
 //!
 //! | task | on | module |
 //! |---|---|---|
 //! | counts requests as they begin | every daemon | [`book`] |
-//! | tells the holder what it counted | every daemon but the holder | [`reporter`] |
-//! | stands for the duties, holds and renews them | daemons that follow the store | [`holder`], [`hold`] |
-//! | tells the platform each window's usage | the holder | [`usage`] |
+//! | reports its counts to the holder | every daemon but the holder | [`reporter`] |
+//! | tries to become the holder, and keeps the lease | daemons that follow the store | [`holder`], [`hold`] |
+//! | submits each window's usage to the platform | the holder | [`usage`] |
 //! | orders engines | the holder | [`engines`] |
 //!
-//! What is decided stands in [`crate::decisions::duties`]. Nothing here outlives the process; what a
-//! successor needs is in the platform's store ([`crate::decisions::duties::duty_state`]).
+//! The rules are in [`crate::decisions::duties`]. Nothing here outlives the process; the state for
+//! a successor is in the platform's store ([`crate::decisions::duties::duty_state`]).
 
 pub(crate) mod api;
 pub(crate) mod book;
--- a/crates/gateway/src/duties/reporter.rs
+++ b/crates/gateway/src/duties/reporter.rs
@@ -1,13 +1,13 @@
-//! Telling the holder of the duties what this daemon counted.
+//! Reporting this daemon's usage counts to the holder of the duties.
 //!
-//! Owns one connection, to the holder that the replica names. Straight to the holder rather than up
-//! the tree of followers: compared in docs/design/16.
+//! Owns one connection, to the holder in the replica. Reports go directly to the holder, not up the
+//! tree of followers: see docs/design/16.
 
 use crate::control::duty_holder::HolderView;
 use crate::control::holder_record::HolderRecord;
 use crate::decisions::duties::usage_collection::{DaemonLife, UsageReport};
 use crate::decisions::duties::usage_window::UsageWindow;
-use crate::duties::codec::report_message;
+use crate::duties::codec::encode_report;
 use crate::gateway::Gateway;
 use crate::replication::client::{FramedStream, open_connection};
 use crate::replication::peer_error::PeerError;
@@ -19,17 +19,17 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// The pause between two reports: what a dying daemon counted since the last one is lost. Not
-/// measured by itself; a sixth of the daemons that die at once lose a thirtieth of their part of a
-/// window of 5 s, well within the 5 in 100 that usage may be off.
+/// The interval between two reports. The counts since the last report are lost when a daemon
+/// crashes: if a sixth of the daemons crash at once, at most a thirtieth of the counts of a window of
+/// 5 s is lost, well within the 5 % by which usage may be off.
 const REPORT_INTERVAL_MS: u64 = 1_000;
-/// Daemons report spread over so much of the interval. Not measured, chosen so that the holder of a
-/// large fleet isn't called by all at once, and the last is soon enough.
+/// Daemons spread their reports over this part of the interval, so that not all of a large fleet
+/// call the holder at once, and the last one is soon enough.
 const SPREAD_MS: u64 = 300;
-/// How long the holder may take to answer. Not measured, chosen because a report waits for nothing.
+/// Timeout for the holder's answer, which is sent immediately.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Tells the holder, until the daemon ends.
+/// Reports usage to the holder, until the daemon ends.
 pub async fn run(gateway: Arc<Gateway>) {
     if gateway.duty_book.calendar().is_none() {
         return;
@@ -38,17 +38,17 @@
     let mut reporter = Reporter {
         gateway,
         connection: None,
-        heard: None,
+        acknowledged: None,
     };
     loop {
-        sleep(reporter.until_next(phase_ms)).await;
-        reporter.report_news().await;
+        sleep(reporter.until_next_report(phase_ms)).await;
+        reporter.report_changes().await;
     }
 }
 
-/// Tells the holder what this daemon counted when its process ends.
+/// Sends the final report to the holder when the process ends.
 pub async fn report_last(gateway: Arc<Gateway>) {
-    let Some(report) = gateway.duty_book.last_report() else {
+    let Some(report) = gateway.duty_book.final_report() else {
         return;
     };
     let Some(holder) = other_holder(&gateway) else {
@@ -57,39 +57,40 @@
     let mut reporter = Reporter {
         gateway,
         connection: None,
-        heard: None,
+        acknowledged: None,
     };
-    // The process ends: nobody tries again.
-    let _ = reporter.tell(&holder, &report).await;
+    // Not retried: the process ends.
+    let _ = reporter.send_report(&holder, &report).await;
 }
 
-/// What a holder has heard.
+/// The counts that a holder has acknowledged.
 #[derive(Debug)]
-struct Heard {
+struct AcknowledgedCounts {
     holder: DaemonLife,
     first_open: UsageWindow,
-    /// Requests that it was told, by window: counts only rise, so that the sum shows news.
+    /// The number of reported requests by window. Counts only increase, so a different sum shows
+    /// that a window has changed.
     requests: BTreeMap<UsageWindow, u64>,
 }
 
 struct Reporter {
     gateway: Arc<Gateway>,
     connection: Option<(DaemonLife, FramedStream)>,
-    heard: Option<Heard>,
+    acknowledged: Option<AcknowledgedCounts>,
 }
 
 impl Reporter {
-    /// The time until the next report: at the same part of every second, so that windows that have
-    /// just been closed are told soon.
-    fn until_next(&self, phase_ms: u64) -> Duration {
+    /// Returns the time until the next report: at the same offset in every second, so that windows
+    /// that have just been closed are reported soon.
+    fn until_next_report(&self, phase_ms: u64) -> Duration {
         let clock = &self.gateway.clock;
         let now_ms = clock.wall(clock.now()).0;
         let since_last_ms = (now_ms + REPORT_INTERVAL_MS - phase_ms) % REPORT_INTERVAL_MS;
         Duration::from_millis(REPORT_INTERVAL_MS - since_last_ms)
     }
 
-    /// Tells the holder what it hasn't heard.
-    async fn report_news(&mut self) {
+    /// Reports the counts that the holder hasn't acknowledged.
+    async fn report_changes(&mut self) {
         let Some(holder) = other_holder(&self.gateway) else {
             self.connection = None;
             return;
@@ -97,18 +98,19 @@
         let Some(mut report) = self.gateway.duty_book.own_report() else {
             return;
         };
-        let heard = self.heard.take();
-        let heard = heard.filter(|heard| heard.holder == holder.daemon);
+        let acknowledged = self.acknowledged.take();
+        let acknowledged = acknowledged.filter(|acknowledged| acknowledged.holder == holder.daemon);
         let requests: BTreeMap<UsageWindow, u64> = report
             .windows
             .iter()
             .map(|(window, counts)| (*window, counts.total()))
             .collect();
-        if let Some(heard) = &heard {
-            let is_news = |window: &UsageWindow| heard.requests.get(window) != requests.get(window);
-            report.windows.retain(|(window, _)| is_news(window));
-            if report.windows.is_empty() && heard.first_open == report.first_open {
-                self.heard = Some(Heard {
+        if let Some(acknowledged) = &acknowledged {
+            let has_changed =
+                |window: &UsageWindow| acknowledged.requests.get(window) != requests.get(window);
+            report.windows.retain(|(window, _)| has_changed(window));
+            if report.windows.is_empty() && acknowledged.first_open == report.first_open {
+                self.acknowledged = Some(AcknowledgedCounts {
                     holder: holder.daemon,
                     first_open: report.first_open,
                     requests,
@@ -116,9 +118,9 @@
                 return;
             }
         }
-        // Not logged: the report is repeated until it is heard.
-        if self.tell(&holder, &report).await == Ok(true) {
-            self.heard = Some(Heard {
+        // Not logged: the report is repeated until it is acknowledged.
+        if self.send_report(&holder, &report).await == Ok(true) {
+            self.acknowledged = Some(AcknowledgedCounts {
                 holder: holder.daemon,
                 first_open: report.first_open,
                 requests,
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Sends a report; gives whether the other daemon holds the duties.
-    async fn tell(
+    /// Sends a report; returns whether the other daemon holds the duties.
+    async fn send_report(
         &mut self,
         holder: &HolderRecord,
         report: &UsageReport,
@@ -137,8 +139,8 @@
             Some((daemon, frames)) if daemon == holder.daemon => frames,
             _ => open_connection(address).await?,
         };
-        let body = Some(Body::UsageReported(report_message(report)));
-        let telling = async {
+        let body = Some(Body::UsageReported(encode_report(report)));
+        let sending = async {
             let sent = frames.send(Frame { body }).await;
             sent.map_err(|_| PeerError::Broken)?;
             let frame = frames.next().await.ok_or(PeerError::Broken)?;
@@ -147,14 +149,14 @@
                 _ => Err(PeerError::Unreadable),
             }
         };
-        let told = timeout(ANSWER_TIMEOUT, telling).await;
-        let is_holder = told.map_err(|_| PeerError::NoAnswer)??;
+        let sent = timeout(ANSWER_TIMEOUT, sending).await;
+        let is_holder = sent.map_err(|_| PeerError::NoAnswer)??;
         self.connection = Some((holder.daemon.clone(), frames));
         Ok(is_holder)
     }
 }
 
-/// The holder of the duties, if it is another daemon.
+/// Returns the holder of the duties, if it is another daemon.
 fn other_holder(gateway: &Gateway) -> Option<HolderRecord> {
     match gateway.control.duty_holder().view() {
         HolderView::Held(holder) if holder.daemon != *gateway.duty_book.daemon() => {
--- a/crates/gateway/src/duties/usage.rs
+++ b/crates/gateway/src/duties/usage.rs
@@ -1,62 +1,62 @@
-//! Telling the platform the usage of each window.
+//! Submitting the usage of each window to the platform.
 //!
-//! When a window is told is decided in [`crate::decisions::duties::usage_window`], with which counts
-//! in [`crate::decisions::duties::usage_collection`].
+//! [`crate::decisions::duties::usage_window`] decides when a window is submitted, and
+//! [`crate::decisions::duties::usage_collection`] with which counts.
 
 use crate::decisions::duties::duty_state::WindowUsage;
 use crate::decisions::duties::usage_ledger::remembered_windows;
 use crate::decisions::duties::usage_window::{UsageCalendar, UsageDue, UsageWindow};
 use crate::duties::api::{DutyCallError, DutyPlatform, DutyStore};
-use crate::duties::hold::{DUTY_CALL_TIMEOUT, Hold, HoldEnd, RETRY_PAUSE};
+use crate::duties::hold::{DUTY_CALL_TIMEOUT, HolderSession, RETRY_PAUSE, SessionEnd};
 use crate::gateway::Gateway;
 use bridgevane_events::{Event, event};
 use bridgevane_types::WallTimeMs;
 use tokio::time::{sleep, timeout};
 
-/// Failed calls in a row after which the duties are left to another daemon. Chosen because with
-/// their pauses they take some four seconds, less than usage may be late.
+/// The number of consecutive failed calls after which the duties are left to another daemon. With
+/// their delays they take some four seconds, less than usage may be late.
 const MAX_FAILURES: u32 = 4;
 
-/// Tells each window's usage until the hold ends.
-pub(super) async fn tell<S: DutyStore, P: DutyPlatform>(
+/// Submits each window's usage until the session ends.
+pub(super) async fn submit_windows<S: DutyStore, P: DutyPlatform>(
     gateway: &Gateway,
-    hold: &Hold<'_, S>,
+    session: &HolderSession<'_, S>,
     platform: &P,
-) -> HoldEnd {
+) -> SessionEnd {
     let Some(calendar) = gateway.duty_book.calendar() else {
         return std::future::pending().await;
     };
-    let teller = UsageTeller {
+    let submitter = UsageSubmitter {
         gateway,
-        hold,
+        session,
         platform,
         calendar,
     };
-    match teller.run().await {
+    match submitter.run().await {
         Ok(never) => match never {},
         Err(end) => end,
     }
 }
 
-struct UsageTeller<'a, S, P> {
+struct UsageSubmitter<'a, S, P> {
     gateway: &'a Gateway,
-    hold: &'a Hold<'a, S>,
+    session: &'a HolderSession<'a, S>,
     platform: &'a P,
     calendar: UsageCalendar,
 }
 
-impl<S: DutyStore, P: DutyPlatform> UsageTeller<'_, S, P> {
-    async fn run(&self) -> Result<std::convert::Infallible, HoldEnd> {
-        let state = self.hold.state().await;
-        // The holder before may not have told these.
+impl<S: DutyStore, P: DutyPlatform> UsageSubmitter<'_, S, P> {
+    async fn run(&self) -> Result<std::convert::Infallible, SessionEnd> {
+        let state = self.session.state().await;
+        // The previous holder may not have submitted these.
         for usage in &state.told {
-            self.send(usage).await?;
+            self.submit(usage).await?;
         }
         let mut window = self.first_window(state.newest_window());
         loop {
             self.wait_until_due(window).await;
-            self.tell_window(window).await?;
-            window = window.next().max(self.oldest_worth_telling());
+            self.submit_window(window).await?;
+            window = window.next().max(self.oldest_remembered_window());
         }
     }
 
@@ -65,18 +65,18 @@
         clock.wall(clock.now())
     }
 
-    /// What is older is no longer remembered by any daemon.
-    fn oldest_worth_telling(&self) -> UsageWindow {
+    /// Returns the oldest window that daemons still remember.
+    fn oldest_remembered_window(&self) -> UsageWindow {
         let current = self.calendar.window_at(self.now());
         current.minus(remembered_windows(self.calendar) - 1)
     }
 
-    /// The first window that no holder has fixed.
-    fn first_window(&self, newest_told: Option<UsageWindow>) -> UsageWindow {
-        match newest_told {
-            Some(newest) => newest.next().max(self.oldest_worth_telling()),
-            // Nobody has told anything: what daemons remember is told.
-            None => self.oldest_worth_telling(),
+    /// Returns the first window that no holder has stored.
+    fn first_window(&self, newest_submitted: Option<UsageWindow>) -> UsageWindow {
+        match newest_submitted {
+            Some(newest) => newest.next().max(self.oldest_remembered_window()),
+            // No window was submitted yet: starts with the oldest one that daemons remember.
+            None => self.oldest_remembered_window(),
         }
     }
 
@@ -86,7 +86,8 @@
             let is_complete =
                 book.with_collection(|now, collection| collection.is_complete(now, window));
             let now = self.now();
-            // Without a collection this daemon no longer holds the duties, and is about to end.
+            // Without a collection this daemon is no longer the holder, and the session is about to
+            // end.
             let due = self
                 .calendar
                 .due(now, window, is_complete.unwrap_or_default());
@@ -95,14 +96,14 @@
             };
             tokio::select! {
                 () = sleep(at.since(now).as_std()) => {}
-                () = book.reported() => {}
+                () = book.wait_for_report() => {}
             }
         }
     }
 
-    /// Fixes the usage of a window in the store, then tells it. A window without requests isn't
-    /// told: where all daemons were lost, nobody knows of its requests.
-    async fn tell_window(&self, window: UsageWindow) -> Result<(), HoldEnd> {
+    /// Stores the usage of a window, then submits it. A window without requests isn't submitted: if
+    /// all daemons were lost, its requests are unknown.
+    async fn submit_window(&self, window: UsageWindow) -> Result<(), SessionEnd> {
         let book = &self.gateway.duty_book;
         let collected = book.with_collection(|now, collection| {
             let is_complete = collection.is_complete(now, window);
@@ -119,10 +120,10 @@
         }
         let usage = WindowUsage { window, counts };
         let fixed = usage.clone();
-        self.hold
+        self.session
             .write_state(|state| state.with_window(fixed, daemons))
             .await?;
-        self.send(&usage).await?;
+        self.submit(&usage).await?;
         let after_end = self.now().since(self.calendar.end_of(window));
         event!(
             Event::UsageTold,
@@ -136,14 +137,14 @@
         Ok(())
     }
 
-    /// Tells usage that is fixed, again and again until the platform has taken it.
-    async fn send(&self, usage: &WindowUsage) -> Result<(), HoldEnd> {
+    /// Submits stored usage, with retries until the platform has accepted it.
+    async fn submit(&self, usage: &WindowUsage) -> Result<(), SessionEnd> {
         for _ in 0..MAX_FAILURES {
-            self.hold.wait_until_may_act().await;
-            let credentials = self.hold.credentials();
-            let telling = self.platform.tell_usage(&credentials, usage);
-            let told = timeout(DUTY_CALL_TIMEOUT.as_std(), telling).await;
-            let Err(error) = told.unwrap_or(Err(DutyCallError::NoAnswer)) else {
+            self.session.wait_until_may_act().await;
+            let credentials = self.session.credentials();
+            let submitting = self.platform.tell_usage(&credentials, usage);
+            let submitted = timeout(DUTY_CALL_TIMEOUT.as_std(), submitting).await;
+            let Err(error) = submitted.unwrap_or(Err(DutyCallError::NoAnswer)) else {
                 return Ok(());
             };
             event!(
@@ -157,6 +158,6 @@
             }
             sleep(RETRY_PAUSE).await;
         }
-        Err(HoldEnd::PlatformAway)
+        Err(SessionEnd::PlatformUnreachable)
     }
 }
