--- a/crates/coordination/src/configs/call_budget.rs
+++ b/crates/coordination/src/configs/call_budget.rs
@@ -2,25 +2,24 @@
 
 use bridgevane_types::{CallsPerSecond, DurationMs};
 
-/// What one node may ask of the outside service.
+/// Limits on the calls of one node to the external service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallBudgetConfig {
-    /// Reads a second; a watch counts as one.
+    /// Reads per second; a watch counts as one read.
     pub reads: CallsPerSecond,
-    /// Writes a second.
+    /// Writes per second.
     pub writes: CallsPerSecond,
-    /// Calls that may be saved up.
+    /// Capacity of the token bucket of each kind of call.
     pub burst: f64,
-    /// First pause after a failure.
+    /// Upper bound of the random pause after the first failure.
     pub first_pause_ms: DurationMs,
-    /// Longest pause after failures.
+    /// Upper bound of the random pause after repeated failures.
     pub max_pause_ms: DurationMs,
 }
 
-/// Not measured; it doubles, so that an outage costs few calls (docs/design/11).
+/// Doubled with each failure in a row, so that an outage costs few calls. See docs/design/11.
 const FIRST_PAUSE: DurationMs = DurationMs(500);
-/// Not measured, chosen because a service that is back should be noticed within a quarter of a
-/// minute.
+/// Short enough to notice within 15 s that the service is available again.
 const MAX_PAUSE: DurationMs = DurationMs(15_000);
 
 impl Default for CallBudgetConfig {
--- a/crates/coordination/src/configs/key_registry.rs
+++ b/crates/coordination/src/configs/key_registry.rs
@@ -2,19 +2,18 @@
 
 use bridgevane_types::DurationMs;
 
-/// How long and how many keys are remembered.
+/// Limits on the keys that a registry remembers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyRegistryConfig {
-    /// A key is remembered for this long after its call ended.
+    /// How long a key is remembered after its call ended.
     pub remember_ms: DurationMs,
-    /// Keys that are remembered at most; beyond them new keyed calls are refused.
+    /// The maximum number of keys; at the limit, calls with a new key are refused.
     pub max_keys: usize,
-    /// Largest answer that is kept to be given again.
+    /// The size of the largest answer body that is kept for repeated calls.
     pub max_answer_bytes: usize,
 }
 
-/// Not measured, chosen because callers repeat a call within minutes; each key costs up to 1.3 KB
-/// (docs/CAPACITY.md).
+/// Callers repeat a call within minutes. Each key costs up to 1.3 KB. See docs/CAPACITY.md.
 const REMEMBER: DurationMs = DurationMs(600_000);
 
 impl Default for KeyRegistryConfig {
--- a/crates/coordination/src/configs/mod.rs
+++ b/crates/coordination/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of the coordination parts, one file a part.
+//! Settings of the coordination primitives.
 
 mod call_budget;
 mod key_registry;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,18 +1,19 @@
-//! Coordination parts for fleets without a consensus group of their own.
+//! Coordination primitives for fleets without a consensus group of their own.
 //!
-//! What must be agreed or kept lives in an outside key-value service; these parts hold what
-//! many nodes need to act together on it, and to go on without it. All are pure: time,
-//! messages and observations are passed in, effects come out, so that they can be embedded
-//! under any transport and tested in virtual time.
+//! State that needs agreement or durability is kept in an external key-value service. These
+//! modules let many nodes act together on that state, and continue while the service is
+//! unavailable. All of them are pure: time, messages and observations are passed in, effects are
+//! returned, so that they can be embedded under any transport and tested in virtual time.
 //!
-//! - [`Membership`]: who lives in this data centre, by heartbeats among a few neighbours;
-//!   suspicion counts only when confirmed.
-//! - [`ConfigReplica`]: the newest configuration, as deltas, never an older one.
+//! - [`Membership`]: the live nodes of this data centre, by heartbeats among a few neighbours;
+//!   a suspicion counts only when it is confirmed.
+//! - [`ConfigReplica`]: the newest known configuration, updated by deltas, never replaced by an
+//!   older version.
 //! - [`home_of`]: the one node that decides on a key, by rendezvous hashing.
 //! - [`KeyRegistry`]: at most one run for each idempotency key.
-//! - [`HeldLease`]: whether a lease's holder may still act, and with which fencing token.
-//! - [`CallBudget`]: how often the outside service may be called.
-//! - [`Rollout`]: a staged change of a model version that another node can carry on.
+//! - [`HeldLease`]: whether the holder of a lease may still act, and its fencing token.
+//! - [`CallBudget`]: how often a node may call the external service.
+//! - [`Rollout`]: a staged change of a model version that another node can continue.
 //!
 //! ```
 //! use bridgevane_coordination::home_of;
@@ -21,7 +22,7 @@
 //! let vms = [VmId::from("vm-1"), VmId::from("vm-2"), VmId::from("vm-3")];
 //! let home = home_of("pool/tutor", vms.iter()).unwrap();
 //! let rest: Vec<&VmId> = vms.iter().filter(|vm| *vm != home).collect();
-//! // Without its home a key moves; keys of other homes stay where they are.
+//! // A key moves when its home is removed; the keys of other homes stay where they are.
 //! assert_ne!(home_of("pool/tutor", rest.into_iter()), Some(home));
 //! ```
 
--- a/crates/coordination/src/modules/call_budget.rs
+++ b/crates/coordination/src/modules/call_budget.rs
@@ -1,14 +1,14 @@
-//! How often one node may call the outside service.
+//! Limits how often one node calls the external service.
 //!
-//! A token bucket for each kind of call, and jittered pauses after failures: nodes that lost
-//! the service together must not come back together.
+//! Each kind of call has a token bucket. Pauses after failures are jittered: nodes that lost the
+//! service at the same time must not all call it again at the same time.
 
 use crate::configs::CallBudgetConfig;
 use bridgevane_types::{DurationMs, TimeMs};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// The kinds of call that the service counts apart.
+/// The kinds of call with separate rate limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// A read, or a watch.
@@ -19,35 +19,35 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    calls: f64,
+    available_calls: f64,
     rate_per_s: f64,
-    filled_at: TimeMs,
+    last_refill_at: TimeMs,
 }
 
 impl Bucket {
     fn new(rate_per_s: f64, burst: f64) -> Self {
         Self {
-            calls: burst,
+            available_calls: burst,
             rate_per_s,
-            filled_at: TimeMs(0),
+            last_refill_at: TimeMs(0),
         }
     }
 
-    /// Takes a call, or tells how long to wait for it.
-    fn take(&mut self, now: TimeMs, burst: f64) -> Result<(), DurationMs> {
-        let elapsed_s = now.since(self.filled_at).0 as f64 / 1000.0;
-        self.filled_at = self.filled_at.max(now);
-        self.calls = (self.calls + elapsed_s * self.rate_per_s).min(burst);
-        if self.calls >= 1.0 {
-            self.calls -= 1.0;
+    /// Takes one token, or returns how long to wait for it.
+    fn try_acquire(&mut self, now: TimeMs, burst: f64) -> Result<(), DurationMs> {
+        let elapsed_s = now.since(self.last_refill_at).0 as f64 / 1000.0;
+        self.last_refill_at = self.last_refill_at.max(now);
+        self.available_calls = (self.available_calls + elapsed_s * self.rate_per_s).min(burst);
+        if self.available_calls >= 1.0 {
+            self.available_calls -= 1.0;
             return Ok(());
         }
-        let wait_s = (1.0 - self.calls) / self.rate_per_s.max(1e-6);
+        let wait_s = (1.0 - self.available_calls) / self.rate_per_s.max(1e-6);
         Err(DurationMs((wait_s * 1000.0).ceil() as u64))
     }
 }
 
-/// The budget of one node.
+/// The call budget of one node.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
     config: CallBudgetConfig,
@@ -59,7 +59,7 @@
 }
 
 impl CallBudget {
-    /// A full budget; `seed` should differ from node to node.
+    /// Creates a budget with full buckets; `seed` should differ from node to node.
     pub fn new(config: CallBudgetConfig, seed: u64) -> Self {
         Self {
             reads: Bucket::new(config.reads.0, config.burst),
@@ -71,28 +71,28 @@
         }
     }
 
-    /// Takes a call.
+    /// Takes one call of `kind` from the budget.
     ///
     /// # Errors
-    /// How long to wait before asking again.
+    /// How long to wait before trying again.
     pub fn take(&mut self, now: TimeMs, kind: CallKind) -> Result<(), DurationMs> {
         if now < self.paused_until {
             return Err(self.paused_until.since(now));
         }
         let burst = self.config.burst;
         match kind {
-            CallKind::Read => self.reads.take(now, burst),
-            CallKind::Write => self.writes.take(now, burst),
+            CallKind::Read => self.reads.try_acquire(now, burst),
+            CallKind::Write => self.writes.try_acquire(now, burst),
         }
     }
 
-    /// Notes that a call was answered.
+    /// Records that a call was answered.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 
-    /// Notes that a call failed, or was refused with a time to come back. The pause is drawn
-    /// from the whole of a growing span, so that many nodes spread evenly over it.
+    /// Records that a call failed, or was refused with `retry_after_ms`. The pause that follows is
+    /// drawn uniformly from 0 to a doubling limit, so that the retries of many nodes spread evenly.
     pub fn failed(&mut self, now: TimeMs, retry_after_ms: DurationMs) {
         let doublings = self.failures.min(16);
         self.failures += 1;
@@ -102,7 +102,7 @@
         self.paused_until = now + DurationMs(pause_ms);
     }
 
-    /// Whether the latest call failed.
+    /// Returns whether the latest call failed.
     pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
--- a/crates/coordination/src/modules/config_replica.rs
+++ b/crates/coordination/src/modules/config_replica.rs
@@ -1,43 +1,43 @@
-//! A node's copy of the configuration: versions only rise.
+//! A node's copy of the configuration, whose version only increases.
 //!
-//! Deltas lead from version to version; a node that is too far behind gets a snapshot. Every
-//! heartbeat carries versions, so a node knows that it is behind before it has the change.
+//! A delta leads from one version to a later one; a node that is too far behind gets a snapshot.
+//! Every heartbeat carries versions, so a node knows that it is behind before it gets the change.
 
 use bridgevane_config::{Delta, DeltaError, SectionChange, Sections};
 use bridgevane_types::ConfigVersion;
 use derive_more::{Display, Error};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Deltas that are kept for nodes that are behind. Not measured, chosen because it is about an hour
-/// of the changes to design for; whoever is further behind gets everything.
+/// The number of deltas kept for nodes that are behind: about one hour of changes at the rate
+/// that the system is designed for. A node that is further behind gets a snapshot.
 const MAX_DELTAS: usize = 128;
 
 /// Why a change was not accepted.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum NotAccepted {
-    /// The copy is as new already.
-    #[display("version {have} is at hand already")]
+    /// The replica is at the same version or a newer one.
+    #[display("the configuration is not newer than version {have}, which this daemon has")]
     NotNewer {
-        /// What is at hand.
+        /// The replica's version.
         have: ConfigVersion,
     },
-    /// The change doesn't fit the copy, which asks for another one.
+    /// The delta can't be applied to the replica, which needs a snapshot.
     #[display("{_0}")]
     Unfit(#[error(not(source))] DeltaError),
 }
 
-/// What a node that is behind gets.
+/// The answer to a node that asks for a newer version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigAnswer {
-    /// It isn't behind.
+    /// The node is not behind this replica.
     Current,
-    /// What changed.
+    /// The changes since the node's version.
     Delta(Delta),
-    /// Everything.
+    /// The whole configuration and its version.
     Snapshot(ConfigVersion, Sections),
 }
 
-/// The copy of one node.
+/// One node's replica of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigReplica {
     version: ConfigVersion,
@@ -47,36 +47,37 @@
 }
 
 impl ConfigReplica {
-    /// The version at hand; 0: none.
+    /// Returns the replica's version; 0 when it has no configuration yet.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// The sections at hand.
+    /// Returns the replica's sections.
     pub fn sections(&self) -> &Sections {
         &self.sections
     }
 
-    /// The highest version that any node was heard to have.
+    /// Returns the highest version that any node is known to have.
     pub fn highest_heard(&self) -> ConfigVersion {
         self.highest_heard.max(self.version)
     }
 
-    /// Notes that some node has `version`; true when this copy is behind it.
+    /// Records that some node has `version`; returns whether this replica is behind a known
+    /// version.
     pub fn hear(&mut self, version: ConfigVersion) -> bool {
         self.highest_heard = self.highest_heard.max(version);
         self.is_behind()
     }
 
-    /// Whether a newer version is known to exist.
+    /// Returns whether a newer version is known to exist.
     pub fn is_behind(&self) -> bool {
         self.highest_heard > self.version
     }
 
-    /// Takes a whole version.
+    /// Replaces the configuration by a newer snapshot.
     ///
     /// # Errors
-    /// [`NotAccepted::NotNewer`]; the copy stays as it is.
+    /// [`NotAccepted::NotNewer`]; the replica is unchanged.
     pub fn accept_snapshot(
         &mut self,
         version: ConfigVersion,
@@ -84,16 +85,16 @@
     ) -> Result<(), NotAccepted> {
         self.check_newer(version)?;
         if self.version.0 > 0 {
-            self.keep(self.sections.delta_to(&sections, self.version, version));
+            self.retain_delta(self.sections.delta_to(&sections, self.version, version));
         }
         self.advance(version, sections);
         Ok(())
     }
 
-    /// Takes a change.
+    /// Applies a delta.
     ///
     /// # Errors
-    /// [`NotAccepted`]; the copy stays as it is.
+    /// [`NotAccepted`]; the replica is unchanged.
     pub fn accept_delta(&mut self, delta: Delta) -> Result<(), NotAccepted> {
         self.check_newer(delta.to)?;
         if delta.from != self.version {
@@ -104,12 +105,12 @@
         }
         let sections = self.sections.apply(&delta).map_err(NotAccepted::Unfit)?;
         let version = delta.to;
-        self.keep(delta);
+        self.retain_delta(delta);
         self.advance(version, sections);
         Ok(())
     }
 
-    /// What a node at version `have` needs.
+    /// Returns what a node at version `have` needs to catch up.
     pub fn answer(&self, have: ConfigVersion) -> ConfigAnswer {
         if have >= self.version {
             return ConfigAnswer::Current;
@@ -127,7 +128,7 @@
         Err(NotAccepted::NotNewer { have: self.version })
     }
 
-    fn keep(&mut self, delta: Delta) {
+    fn retain_delta(&mut self, delta: Delta) {
         self.deltas.push_back(delta);
         if self.deltas.len() > MAX_DELTAS {
             self.deltas.pop_front();
@@ -140,7 +141,7 @@
         self.highest_heard = self.highest_heard.max(version);
     }
 
-    /// One delta made of all since `have`, the last change of each section alone.
+    /// Combines all deltas since `have` into one with the last change of each section.
     fn delta_from(&self, have: ConfigVersion) -> Option<Delta> {
         let start = self.deltas.iter().position(|delta| delta.from == have)?;
         let mut changes = BTreeMap::new();
--- a/crates/coordination/src/modules/gossip.rs
+++ b/crates/coordination/src/modules/gossip.rs
@@ -1,12 +1,12 @@
-//! What other nodes say of each other: heard, merged into the view, and passed on.
+//! Membership updates from other nodes: receives them, merges them into the view and forwards them.
 
-use crate::modules::member::{MemberState, MemberUpdate, apply, new_member, refute};
+use crate::modules::member::{MemberState, MemberUpdate, apply_update, new_member, refute};
 use crate::modules::membership::{Membership, MembershipEffect};
 use bridgevane_types::{Incarnation, TimeMs, VmId};
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Hears a node itself: a heartbeat, its answer, or any other frame.
+    /// Records direct contact with a node: a heartbeat, the answer to one, or any other frame.
     pub fn hear(
         &mut self,
         now: TimeMs,
@@ -33,25 +33,25 @@
         if member.incarnation != incarnation {
             return;
         }
-        member.heard_at = now;
+        member.last_contact_at = now;
         if member.state == MemberState::Dead {
-            // It is heard, so it lives; the others learn it as if it had refuted.
+            // Contact shows that the node is alive; for the others it counts as a refutation.
             member.refutation += 1;
             member.accusers.clear();
             member.is_retried = false;
             member.state = MemberState::Alive;
-            self.pass_on(vm);
-            self.changed(vm, effects);
+            self.queue_update(vm);
+            self.push_changed(vm, effects);
             return;
         }
         member.accusers.remove(&self.own.vm);
         if member.state == MemberState::Suspect && member.accusers.is_empty() {
             member.state = MemberState::Alive;
-            self.changed(vm, effects);
+            self.push_changed(vm, effects);
         }
     }
 
-    /// Takes updates that came with a heartbeat.
+    /// Applies the updates that came with a heartbeat.
     pub fn receive(
         &mut self,
         now: TimeMs,
@@ -60,15 +60,16 @@
     ) {
         for update in updates {
             if update.vm == self.own.vm {
-                self.hear_of_self(&update, effects);
+                self.apply_update_about_self(&update, effects);
             } else {
                 self.merge(now, update, effects);
             }
         }
     }
 
-    /// Something is said about this node itself.
-    pub(super) fn hear_of_self(
+    /// Applies an update about this node itself: refutes a suspicion, and reports a newer
+    /// incarnation or a request to leave.
+    pub(super) fn apply_update_about_self(
         &mut self,
         update: &MemberUpdate,
         effects: &mut Vec<MembershipEffect>,
@@ -86,14 +87,14 @@
             return;
         }
         let is_accused = matches!(update.state, MemberState::Suspect | MemberState::Dead);
-        let is_this_life = update.incarnation == self.own.incarnation;
-        if !is_accused && is_this_life {
-            // Others may have counted a refutation that they saw in its being heard.
+        let is_same_incarnation = update.incarnation == self.own.incarnation;
+        if !is_accused && is_same_incarnation {
+            // Another node may have counted its contact with this node as a refutation.
             self.own.refutation = self.own.refutation.max(update.refutation);
         }
-        if is_accused && is_this_life && update.refutation >= self.own.refutation {
+        if is_accused && is_same_incarnation && update.refutation >= self.own.refutation {
             self.own.refutation = update.refutation + 1;
-            self.pass_on_own();
+            self.queue_own_update();
         }
     }
 
@@ -113,13 +114,13 @@
                 new_member(update.address, update.incarnation, now),
             );
             self.merge(now, update, effects);
-            self.pass_on(&vm);
-            self.changed(&vm, effects);
+            self.queue_update(&vm);
+            self.push_changed(&vm, effects);
             return;
         };
         let before = (member.state, member.is_leaving, member.incarnation);
         if update.incarnation > member.incarnation {
-            // A new life under the same name: nothing of the old one holds.
+            // A newer incarnation replaces all that is known of the older one.
             *member = new_member(update.address, update.incarnation, now);
             member.refutation = update.refutation;
         } else if update.incarnation < member.incarnation {
@@ -129,13 +130,13 @@
         } else if update.refutation < member.refutation {
             return;
         }
-        let is_news = apply(member, &update, now);
+        let is_new = apply_update(member, &update, now);
         let after = (member.state, member.is_leaving, member.incarnation);
-        if is_news || before != after {
-            self.pass_on(&vm);
+        if is_new || before != after {
+            self.queue_update(&vm);
         }
         if before != after {
-            self.changed(&vm, effects);
+            self.push_changed(&vm, effects);
         }
     }
 
@@ -169,7 +170,7 @@
         member.accusers.iter().map(accused).collect()
     }
 
-    /// Updates to send with the next heartbeat, the least repeated first.
+    /// Returns the updates to send with the next heartbeat, those sent least often first.
     pub fn updates(&mut self) -> Vec<MemberUpdate> {
         let mut order: Vec<(u32, VmId)> = self
             .pending
@@ -190,7 +191,7 @@
         updates
     }
 
-    /// Everything that is known, for a node that has just started or whose view differs.
+    /// Returns updates about all known nodes, for a node that has just started or whose view differs.
     pub fn all_updates(&self) -> Vec<MemberUpdate> {
         let mut updates = vec![self.own.clone()];
         for vm in self.members.keys() {
@@ -199,14 +200,14 @@
         updates
     }
 
-    pub(super) fn pass_on(&mut self, vm: &VmId) {
+    pub(super) fn queue_update(&mut self, vm: &VmId) {
         let size = self.members.len() as u32 + 2;
         let times = self.config.update_repeats * (u32::BITS - size.leading_zeros());
         self.pending.insert(vm.clone(), times);
     }
 
-    pub(super) fn pass_on_own(&mut self) {
+    pub(super) fn queue_own_update(&mut self) {
         let own = self.own.vm.clone();
-        self.pass_on(&own);
+        self.queue_update(&own);
     }
 }
--- a/crates/coordination/src/modules/held_lease.rs
+++ b/crates/coordination/src/modules/held_lease.rs
@@ -1,74 +1,75 @@
-//! What a lease's holder may do, by its own clock.
+//! What the holder of a lease may do, by its own clock.
 //!
-//! A holder that was paused doesn't know that its lease lapsed, so it looks right before
-//! every order. The clock that is passed in must count through a pause of the process and
-//! of the machine (`CLOCK_BOOTTIME`).
+//! A holder that was paused doesn't know that its lease expired, so it checks the lease right
+//! before every order. The clock that is passed in must keep counting while the process is paused
+//! or the VM is suspended (`CLOCK_BOOTTIME`).
 
 use bridgevane_types::{DurationMs, FenceToken, TimeMs};
 
-/// Part of the lease's time that is kept as a margin for clocks that run unevenly. Not measured,
-/// chosen because clocks of VMs differ far less in rate.
+/// The margin is the lease's duration divided by this. It covers clocks that run at different
+/// rates; the clocks of VMs differ by far less than a tenth.
 const CLOCK_MARGIN_PARTS: u64 = 10;
 
-/// A lease that this node holds, as far as it knows.
+/// A lease that this node holds, as far as the node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldLease {
     fence: FenceToken,
-    /// When the latest call that granted or renewed it was *sent*.
-    asked_at: TimeMs,
+    /// When the latest call that granted or renewed the lease was *sent*.
+    requested_at: TimeMs,
     ttl_ms: DurationMs,
-    /// When it was first granted.
+    /// When the call that granted the lease was sent.
     held_since: TimeMs,
 }
 
 impl HeldLease {
-    /// A lease that was granted to a call sent at `asked_at`. The answer came later, so the
-    /// lease lasts at least until `asked_at + ttl_ms` by the service's clock.
-    pub fn granted(fence: FenceToken, asked_at: TimeMs, ttl_ms: DurationMs) -> Self {
+    /// Creates a lease that was granted to a call sent at `requested_at`. The service granted it
+    /// after that, so the lease lasts at least until `requested_at + ttl_ms`.
+    pub fn granted(fence: FenceToken, requested_at: TimeMs, ttl_ms: DurationMs) -> Self {
         Self {
             fence,
-            asked_at,
+            requested_at,
             ttl_ms,
-            held_since: asked_at,
+            held_since: requested_at,
         }
     }
 
-    /// No lease: nothing may be done under it.
+    /// Creates a lease that has ended: its holder may send no order.
     pub fn ended() -> Self {
         Self::granted(FenceToken(0), TimeMs(0), DurationMs(0))
     }
 
-    /// Notes a renewal whose call was sent at `asked_at`.
-    pub fn renewed(&mut self, asked_at: TimeMs) {
-        self.asked_at = self.asked_at.max(asked_at);
+    /// Records a renewal whose call was sent at `requested_at`.
+    pub fn renewed(&mut self, requested_at: TimeMs) {
+        self.requested_at = self.requested_at.max(requested_at);
     }
 
-    /// The fencing token of orders given under it.
+    /// Returns the fencing token of orders sent under the lease.
     pub fn fence(&self) -> FenceToken {
         self.fence
     }
 
-    /// When the holder must stop acting.
+    /// Returns when the holder must stop acting: a margin before the lease expires.
     pub fn ends_at(&self) -> TimeMs {
         let margin_ms = self.ttl_ms.0 / CLOCK_MARGIN_PARTS;
-        self.asked_at + DurationMs(self.ttl_ms.0 - margin_ms)
+        self.requested_at + DurationMs(self.ttl_ms.0 - margin_ms)
     }
 
-    /// Whether an order that takes at most `order_ms` may be sent now.
+    /// Returns whether an order that takes at most `order_ms` may be sent at `now`.
     pub fn may_act(&self, now: TimeMs, order_ms: DurationMs) -> bool {
         now + order_ms <= self.ends_at()
     }
 
-    /// Whether orders of an earlier holder, at endpoints that check no fence, are surely over.
-    /// An order that was sent just before the earlier lease ended takes at most `order_ms`.
+    /// Returns whether all orders of an earlier holder have certainly ended, which matters at
+    /// endpoints that don't check fencing tokens. An order that was sent just before the earlier
+    /// lease ended takes at most `order_ms`.
     pub fn is_past_earlier_orders(&self, now: TimeMs, order_ms: DurationMs) -> bool {
         now >= self.held_since + order_ms
     }
 
-    /// Whether it is time to renew: a third of the time has passed.
+    /// Returns whether a third of the lease's duration has passed, so that it should be renewed.
     pub fn is_renewal_due(&self, now: TimeMs) -> bool {
-        /// Chosen because two renewals may be lost before the lease ends.
+        /// A third of the duration: two renewals may be lost before the lease ends.
         const RENEW_PARTS: u64 = 3;
-        now.since(self.asked_at).0 >= self.ttl_ms.0 / RENEW_PARTS
+        now.since(self.requested_at).0 >= self.ttl_ms.0 / RENEW_PARTS
     }
 }
--- a/crates/coordination/src/modules/key_registry.rs
+++ b/crates/coordination/src/modules/key_registry.rs
@@ -1,12 +1,14 @@
 //! At most one run for each idempotency key.
 //!
-//! The home of a key remembers who runs its call and how it ended. Nothing of it is stored
-//! elsewhere: when a home dies, the next one answers "unknown" for keys that the dead one
-//! may have known, and never lets them run again, until the platform no longer lists the
-//! dead VM and the memory of its keys would have ended. A daemon that has just started asks
-//! the home among the older daemons about keys that it doesn't know; that one may have
-//! started lately too and asks in turn. Whoever finds no older daemon says that no memory is
-//! left, and what is stored outside decides whether there ever was any.
+//! The home of a key remembers which daemon runs the key's call and how the call ended. This
+//! memory isn't stored anywhere else. When a home dies, the next home answers "unknown" for keys
+//! that the dead one may have known, and doesn't let them run. This ends when the platform no
+//! longer lists the dead VM and the retention time of its keys has passed since.
+//!
+//! A daemon that started recently asks the home among the older daemons about keys that it doesn't
+//! know. That daemon may have started recently, too, and then asks the next older home. If there
+//! is no older daemon, the answer is that no memory is left, and the state in the external store
+//! decides whether there ever was any.
 
 use crate::configs::KeyRegistryConfig;
 use crate::modules::rendezvous::home_of;
@@ -16,67 +18,67 @@
 /// A live daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyMember {
-    /// The VM.
+    /// The daemon's VM.
     pub vm: VmId,
-    /// Its life: an older daemon has a lower one.
+    /// The daemon's incarnation; an older daemon has a lower one.
     pub incarnation: Incarnation,
 }
 
-/// A call that asks to run.
+/// The request to run the call of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// Service, customer and key.
     pub key: String,
-    /// Digest of the call: the same key with another call is refused.
+    /// Digest of the call; the same key with a different call is refused.
     pub call_digest: u64,
-    /// The request.
+    /// The request that carries the call.
     pub request: RequestId,
-    /// The daemon that would run it.
+    /// The daemon that would run the call.
     pub runner: VmId,
-    /// Whether the endpoint recognises a repeated key by itself.
+    /// Whether the endpoint itself recognises repeated keys.
     pub endpoint_deduplicates: bool,
 }
 
-/// An answer that can be given again.
+/// The answer of a call, kept for repetitions of the call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Content type, empty if none.
+    /// Content type; empty if the answer has none.
     pub content_type: String,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// What the home says.
+/// The home's decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Run it.
+    /// The call may run.
     Run,
-    /// It runs for another request.
+    /// The call is running for another request.
     Running,
-    /// It ran, with this answer.
+    /// The call ran, with this answer.
     Done(StoredAnswer),
-    /// It may have run.
+    /// The call may have run.
     Unknown,
-    /// The key was used for another call.
+    /// The key was used for a different call.
     Mismatch,
-    /// Ask this daemon: it was the home before.
+    /// This daemon was the home before and has to be asked.
     AskBefore(VmId),
-    /// No older daemon is left: nobody here can know the key.
+    /// There is no older daemon that could know the key.
     NoMemory,
-    /// No more keys can be remembered: the call did not run.
+    /// The registry is full: the call did not run.
     Full,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyEnd {
-    /// It did not run: the key is free again.
+    /// The call did not run: its key is free again.
     NotRun,
-    /// It ran, with this answer.
+    /// The call ran, with this answer.
     Done(StoredAnswer),
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
@@ -94,33 +96,34 @@
     state: ClaimState,
 }
 
-/// A daemon that was lost.
+/// A daemon that counts as dead.
 #[derive(Clone, Copy, Debug)]
-struct Lost {
-    /// When the platform's list stopped showing it; none: it shows it still, or is away.
+struct LostMember {
+    /// When the platform's list stopped showing the daemon; `None` while the list shows it or
+    /// can't be read.
     delisted_at: Option<TimeMs>,
 }
 
-/// The keys whose home this daemon is.
+/// The idempotency keys whose home is this daemon.
 #[derive(Clone, Debug)]
 pub struct KeyRegistry {
     config: KeyRegistryConfig,
     own: KeyMember,
     started_at: TimeMs,
     entries: HashMap<String, KeyEntry>,
-    ended: VecDeque<(TimeMs, String)>,
-    lost: BTreeMap<VmId, Lost>,
+    expiry_queue: VecDeque<(TimeMs, String)>,
+    lost: BTreeMap<VmId, LostMember>,
 }
 
 impl KeyRegistry {
-    /// An empty registry of a daemon that starts now.
+    /// Creates the empty registry of a daemon that starts at `now`.
     pub fn new(config: KeyRegistryConfig, own: KeyMember, now: TimeMs) -> Self {
         Self {
             config,
             own,
             started_at: now,
             entries: HashMap::new(),
-            ended: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
             lost: BTreeMap::new(),
         }
     }
@@ -129,34 +132,34 @@
     pub fn claim(&mut self, now: TimeMs, claim: Claim, members: &[KeyMember]) -> Verdict {
         self.expire(now);
         if let Some(entry) = self.entries.get(&claim.key) {
-            return known(entry, &claim);
+            return verdict_for_entry(entry, &claim);
         }
         if claim.endpoint_deduplicates {
-            return self.let_run(claim);
+            return self.start_run(claim);
         }
-        if self.is_doubtful(&claim.key, members) {
+        if self.may_be_known_to_lost_home(&claim.key, members) {
             return Verdict::Unknown;
         }
         if now.since(self.started_at) >= self.config.remember_ms {
-            return self.let_run(claim);
+            return self.start_run(claim);
         }
-        match self.home_before(&claim.key, members) {
+        match self.older_home(&claim.key, members) {
             Some(before) => Verdict::AskBefore(before),
             None => Verdict::NoMemory,
         }
     }
 
-    /// Takes the verdict of the home before this one on a claim that it was asked about, or,
-    /// where none is left, what is stored outside about it.
+    /// Applies the verdict of the earlier home on a claim or, where there is no earlier home, the
+    /// verdict derived from the external store; returns the final verdict.
     pub fn apply_earlier_verdict(&mut self, claim: Claim, verdict: Verdict) -> Verdict {
         match verdict {
-            Verdict::Run => self.let_run(claim),
+            Verdict::Run => self.start_run(claim),
             Verdict::AskBefore(_) | Verdict::NoMemory => Verdict::Unknown,
             other => other,
         }
     }
 
-    fn let_run(&mut self, claim: Claim) -> Verdict {
+    fn start_run(&mut self, claim: Claim) -> Verdict {
         if self.entries.len() >= self.config.max_keys {
             return Verdict::Full;
         }
@@ -172,14 +175,14 @@
         Verdict::Run
     }
 
-    /// Notes how the call of a key ended. Only the request that ran it can tell.
+    /// Records how the call of a key ended. Only the request that ran the call can end it.
     pub fn ended(&mut self, now: TimeMs, key: &str, request: RequestId, end: KeyEnd) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        // An end is told again when its answer was lost.
-        let is_told_again = matches!(entry.state, ClaimState::Done(_));
-        if entry.request != request || is_told_again {
+        // The runner reports an end again when the acknowledgement was lost.
+        let is_repeated = matches!(entry.state, ClaimState::Done(_));
+        if entry.request != request || is_repeated {
             return;
         }
         match end {
@@ -191,27 +194,30 @@
                 entry.state = ClaimState::Done(answer);
             }
             KeyEnd::Done(answer) => {
-                // Too large to give again: that it ran is what matters.
+                // The body is too large to keep; it still has to be known that the call ran.
                 let body = Vec::new();
                 entry.state = ClaimState::Done(StoredAnswer { body, ..answer });
             }
             KeyEnd::Unknown => entry.state = ClaimState::Unknown,
         }
-        self.ended.push_back((now, key.to_owned()));
+        self.expiry_queue.push_back((now, key.to_owned()));
     }
 
-    /// A daemon was lost: what it ran may have run, and what it was home of isn't known here.
+    /// Records the death of a daemon: the calls that it ran may have run, and keys of which it was
+    /// the home may be unknown here.
     pub fn member_lost(&mut self, now: TimeMs, vm: &VmId) {
-        self.lost.insert(vm.clone(), Lost { delisted_at: None });
+        self.lost
+            .insert(vm.clone(), LostMember { delisted_at: None });
         for (key, entry) in &mut self.entries {
             if matches!(&entry.state, ClaimState::Running { runner } if runner == vm) {
                 entry.state = ClaimState::Unknown;
-                self.ended.push_back((now, key.clone()));
+                self.expiry_queue.push_back((now, key.clone()));
             }
         }
     }
 
-    /// Follows the platform's list: daemons that it shows no longer are really gone.
+    /// Applies the platform's list of VMs: a dead daemon that the list no longer shows is certainly
+    /// gone, and is forgotten after the retention time of its keys.
     pub fn listed(&mut self, now: TimeMs, listed: &[VmId]) {
         for (vm, lost) in &mut self.lost {
             if listed.contains(vm) {
@@ -227,16 +233,16 @@
         });
     }
 
-    /// Whether a lost daemon was the key's home, so that the key may be known to it alone.
-    fn is_doubtful(&self, key: &str, members: &[KeyMember]) -> bool {
+    /// Returns whether a lost daemon was the key's home, so that only that daemon may know the key.
+    fn may_be_known_to_lost_home(&self, key: &str, members: &[KeyMember]) -> bool {
         let is_live = |vm: &VmId| members.iter().any(|member| member.vm == *vm);
         let lost = self.lost.keys().filter(|vm| !is_live(vm));
         let live = members.iter().map(|member| &member.vm);
         home_of(key, live.chain(lost)).is_some_and(|home| !is_live(home))
     }
 
-    /// The key's home among the daemons that are older than this one.
-    fn home_before(&self, key: &str, members: &[KeyMember]) -> Option<VmId> {
+    /// Returns the key's home among the daemons that are older than this one.
+    fn older_home(&self, key: &str, members: &[KeyMember]) -> Option<VmId> {
         let own = (self.own.incarnation, &self.own.vm);
         let is_older = |member: &&KeyMember| (member.incarnation, &member.vm) < own;
         let older = members.iter().filter(is_older).map(|member| &member.vm);
@@ -244,27 +250,27 @@
     }
 
     fn expire(&mut self, now: TimeMs) {
-        while let Some((at, key)) = self.ended.front() {
+        while let Some((at, key)) = self.expiry_queue.front() {
             if now.since(*at) < self.config.remember_ms {
                 return;
             }
             self.entries.remove(key);
-            self.ended.pop_front();
+            self.expiry_queue.pop_front();
         }
     }
 
-    /// Keys that are remembered.
+    /// Returns the number of remembered keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether no key is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-fn known(entry: &KeyEntry, claim: &Claim) -> Verdict {
+fn verdict_for_entry(entry: &KeyEntry, claim: &Claim) -> Verdict {
     if entry.call_digest != claim.call_digest {
         return Verdict::Mismatch;
     }
--- a/crates/coordination/src/modules/member.rs
+++ b/crates/coordination/src/modules/member.rs
@@ -1,70 +1,71 @@
-//! What is known of one node, and what updates change about it.
+//! The state of one member, and how updates change it.
 
 use bridgevane_types::{Incarnation, TimeMs, VmId};
 use derive_more::Display;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What is said of a node.
+/// The state of a node.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It lives.
+    /// The node is running.
     #[display("alive")]
     Alive,
-    /// It lives and takes no new work.
+    /// The node is running and takes no new work.
     #[display("leaving")]
     Leaving,
-    /// Some node doesn't hear it.
+    /// Some node gets no messages from it; this is not confirmed yet.
     #[display("suspect")]
     Suspect,
-    /// It is confirmed to be gone.
+    /// The node's death is confirmed.
     #[display("dead")]
     Dead,
 }
 
-/// An update that travels between nodes.
+/// An update about a node that nodes send each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberUpdate {
     /// The node.
     pub vm: VmId,
-    /// Where it listens for other nodes.
+    /// The address at which the node listens for other nodes.
     pub address: SocketAddr,
-    /// Its life: a VM that was replaced under its name has a higher one.
+    /// The node's incarnation; a replacement of a VM under the same name has a higher one.
     pub incarnation: Incarnation,
-    /// How often it has refuted suspicions in this life.
+    /// The number of suspicions that this incarnation has refuted.
     pub refutation: u32,
-    /// What is said.
+    /// The node's state.
     pub state: MemberState,
-    /// Who suspects it.
+    /// The node that suspects it, if the state is [`MemberState::Suspect`].
     pub accuser: Option<VmId>,
 }
 
-/// What is known of a node.
+/// A known node other than this one.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Where it listens.
+    /// The address at which the node listens for other nodes.
     pub address: SocketAddr,
-    /// Its life.
+    /// The node's incarnation.
     pub incarnation: Incarnation,
     pub(super) refutation: u32,
-    /// What it is.
+    /// The node's state, apart from leaving.
     pub state: MemberState,
     pub(super) is_leaving: bool,
     pub(super) accusers: BTreeSet<VmId>,
     pub(super) suspected_at: TimeMs,
-    pub(super) heard_at: TimeMs,
+    pub(super) last_contact_at: TimeMs,
     pub(super) died_at: TimeMs,
-    /// Dead, and asked again because the platform's list shows it.
+    /// Whether a dead node gets heartbeats again because the platform's list shows it.
     pub(super) is_retried: bool,
-    /// Doubled whenever it refutes this node's own suspicion.
-    pub(super) patience: u32,
+    /// Multiplies the time until this node suspects the member; doubled whenever the member refutes
+    /// this node's own suspicion.
+    pub(super) suspicion_multiplier: u32,
 }
 
-/// The longest patience with a node whose refutations keep coming by way of others. Not measured,
-/// chosen because a daemon that hears late itself must still notice a death within seconds.
-const MAX_PATIENCE: u32 = 8;
+/// The limit of the multiplier for a member whose refutations keep arriving through other nodes. A
+/// daemon that receives messages late must still notice a death within seconds.
+const MAX_SUSPICION_MULTIPLIER: u32 = 8;
 
-/// A node that is heard of for the first time in this life.
+/// Creates the state of a node whose current incarnation wasn't known before.
 pub(super) fn new_member(address: SocketAddr, incarnation: Incarnation, now: TimeMs) -> Member {
     Member {
         address,
@@ -74,34 +75,37 @@
         is_leaving: false,
         accusers: BTreeSet::new(),
         suspected_at: now,
-        heard_at: now,
+        last_contact_at: now,
         died_at: now,
         is_retried: false,
-        patience: 1,
+        suspicion_multiplier: 1,
     }
 }
 
-/// The node has refuted: accusations of before no longer hold.
+/// Applies a refutation: removes all suspicions of the member.
 pub(super) fn refute(member: &mut Member, own: &VmId, refutation: u32, now: TimeMs) {
     member.refutation = refutation;
     member.state = MemberState::Alive;
     member.is_leaving = false;
     if member.accusers.contains(own) {
-        // It lives, though it isn't heard here: the fault may be this node's own.
-        member.patience = (member.patience * 2).min(MAX_PATIENCE);
-        member.heard_at = now;
+        // The member is alive although this node gets nothing from it: the fault may be on this
+        // node's side.
+        member.suspicion_multiplier =
+            (member.suspicion_multiplier * 2).min(MAX_SUSPICION_MULTIPLIER);
+        member.last_contact_at = now;
     }
     member.accusers.clear();
 }
 
-/// Applies an update of the same life and refutation; true when it tells something new.
-pub(super) fn apply(member: &mut Member, update: &MemberUpdate, now: TimeMs) -> bool {
+/// Applies an update with the member's incarnation and refutation number; returns whether the
+/// update changed the member.
+pub(super) fn apply_update(member: &mut Member, update: &MemberUpdate, now: TimeMs) -> bool {
     match update.state {
         MemberState::Alive => false,
         MemberState::Leaving => {
-            let is_news = !member.is_leaving;
+            let is_new = !member.is_leaving;
             member.is_leaving = true;
-            is_news
+            is_new
         }
         MemberState::Suspect => {
             if member.state == MemberState::Dead {
@@ -115,12 +119,12 @@
             accuser.is_some_and(|accuser| member.accusers.insert(accuser))
         }
         MemberState::Dead => {
-            let is_news = member.state != MemberState::Dead;
-            if is_news {
+            let is_new = member.state != MemberState::Dead;
+            if is_new {
                 member.state = MemberState::Dead;
                 member.died_at = now;
             }
-            is_news
+            is_new
         }
     }
 }
--- a/crates/coordination/src/modules/membership.rs
+++ b/crates/coordination/src/modules/membership.rs
@@ -1,13 +1,13 @@
-//! Who lives in a data centre.
+//! The members of a data centre, as one node sees them.
 //!
-//! Every node sends heartbeats to its successors in the ring of names and hears theirs;
-//! updates travel with heartbeats. A neighbour that is silent is suspected by its watchers;
-//! it counts as dead when enough of them say so and it hasn't refuted in time. The split
-//! into a private suspicion and a confirmed one is that of the Sentinel paper (subjective
-//! and objective down); its election is not taken over.
+//! Every node sends heartbeats to its successors in the ring of names and receives those of its
+//! predecessors; membership updates are sent with heartbeats. A node that gets no message from a
+//! neighbour for some time suspects it. The neighbour counts as dead when enough nodes suspect it
+//! and it hasn't refuted the suspicion in time. The split into a local suspicion and a confirmed
+//! one is that of the Sentinel paper (subjective and objective down); its election is not used.
 //!
-//! Here is the view and what others ask of it; time acts on it in [`super::suspicion`], what other
-//! nodes say in [`super::gossip`].
+//! This module holds the view and its queries. [`super::suspicion`] holds the timers,
+//! [`super::gossip`] the updates from other nodes.
 
 use crate::configs::MembershipConfig;
 use crate::modules::member::{Member, MemberState, MemberUpdate, new_member};
@@ -15,43 +15,44 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What the membership asks for or tells.
+/// An action that the caller carries out, or a change that it is informed of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEffect {
     /// Send a heartbeat.
     Heartbeat {
-        /// To this node.
+        /// The receiving node.
         vm: VmId,
-        /// At this address.
+        /// The receiver's address.
         address: SocketAddr,
     },
     /// The view of a node changed.
     Changed {
         /// The node.
         vm: VmId,
-        /// What it is now.
+        /// The node's new state.
         state: MemberState,
     },
-    /// A later life of this VM is about.
+    /// A newer incarnation of this VM is running.
     Superseded,
-    /// Others know that this VM leaves, as by the platform's list.
+    /// Other nodes report that this VM is leaving, for example because the platform's list
+    /// shows it as leaving.
     LeavingRequested,
 }
 
-/// The view of one node.
+/// One node's view of the members of its data centre.
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(super) config: MembershipConfig,
     pub(super) own: MemberUpdate,
     pub(super) members: BTreeMap<VmId, Member>,
-    /// Updates to pass on, with the times that each is still to be sent.
+    /// Nodes whose updates are to be sent, with the number of times that each is still to be sent.
     pub(super) pending: BTreeMap<VmId, u32>,
-    pub(super) ticked_at: TimeMs,
-    pub(super) beat_at: TimeMs,
+    pub(super) last_tick_at: TimeMs,
+    pub(super) last_heartbeat_at: TimeMs,
 }
 
 impl Membership {
-    /// The view of a node that has just started and knows nobody.
+    /// Creates the view of a node that has just started and knows no other node.
     pub fn new(
         config: MembershipConfig,
         vm: VmId,
@@ -71,20 +72,21 @@
             config,
             pending: BTreeMap::new(),
             members: BTreeMap::new(),
-            ticked_at: now,
-            beat_at: TimeMs(0),
+            last_tick_at: now,
+            last_heartbeat_at: TimeMs(0),
             own,
         };
-        membership.pass_on_own();
+        membership.queue_own_update();
         membership
     }
 
-    /// This node's name.
-    pub fn own(&self) -> &VmId {
+    /// Returns this node's VM.
+    pub fn own_vm(&self) -> &VmId {
         &self.own.vm
     }
 
-    /// Live nodes that take work, this one included unless it leaves.
+    /// Returns the nodes that take work, sorted: members that are neither dead nor leaving, and this
+    /// node unless it is leaving.
     pub fn live(&self) -> Vec<VmId> {
         let takes_work = |member: &Member| !member.is_leaving && member.state != MemberState::Dead;
         let mut live: Vec<VmId> = self
@@ -100,7 +102,7 @@
         live
     }
 
-    /// The lives of the live nodes, in the order of [`Membership::live`].
+    /// Returns the incarnations of the live nodes, in the order of [`Membership::live`].
     pub fn live_incarnations(&self) -> Vec<Incarnation> {
         let of = |vm: &VmId| match self.members.get(vm) {
             Some(member) => member.incarnation,
@@ -109,18 +111,18 @@
         self.live().iter().map(of).collect()
     }
 
-    /// All known nodes but this one.
+    /// Returns all known nodes except this one.
     pub fn members(&self) -> impl Iterator<Item = (&VmId, &Member)> {
         self.members.iter()
     }
 
-    /// The address of a node that isn't dead.
+    /// Returns the address of a node that isn't dead.
     pub fn address_of(&self, vm: &VmId) -> Option<SocketAddr> {
         let member = self.members.get(vm)?;
         (member.state != MemberState::Dead).then_some(member.address)
     }
 
-    /// A digest of who lives, to notice that two views differ.
+    /// Returns a digest of the live members, by which two nodes notice that their views differ.
     pub fn digest(&self) -> u64 {
         let mut digest = 0;
         let mut add = |vm: &VmId, incarnation: Incarnation, is_leaving: bool| {
@@ -137,20 +139,21 @@
         digest
     }
 
-    /// This node leaves: it takes no new work.
+    /// Marks this node as leaving: it takes no new work.
     pub fn leave(&mut self) {
         self.own.state = MemberState::Leaving;
-        self.pass_on_own();
+        self.queue_own_update();
     }
 
-    /// This node stays after all.
+    /// Cancels this node's leaving. The raised refutation number overrides the earlier state.
     pub fn stay(&mut self) {
         self.own.state = MemberState::Alive;
         self.own.refutation += 1;
-        self.pass_on_own();
+        self.queue_own_update();
     }
 
-    /// Notes that a node leaves, as the platform's list shows; true when that is news.
+    /// Marks a node as leaving, as the platform's list shows; returns whether the node was not
+    /// leaving before.
     pub fn mark_leaving(
         &mut self,
         now: TimeMs,
@@ -175,9 +178,9 @@
         true
     }
 
-    /// Learns of a node by the platform's list or the settings. The list lags, so it adds
-    /// nodes and never buries one.
-    pub fn learn(&mut self, now: TimeMs, vm: &VmId, address: SocketAddr) {
+    /// Adds a node that the platform's list or the settings name. The list lags behind, so it only
+    /// adds nodes and never marks one as dead.
+    pub fn add_listed(&mut self, now: TimeMs, vm: &VmId, address: SocketAddr) {
         if *vm == self.own.vm || self.members.contains_key(vm) {
             return;
         }
@@ -185,17 +188,19 @@
         self.members.insert(vm.clone(), member);
     }
 
-    /// Learns of a node that counts as dead here, while the list shows it: it may live behind
-    /// a cut that has healed, so it gets heartbeats again; its answer brings it back.
+    /// Adds a node that the platform's list shows. If the node counts as dead here, it gets
+    /// heartbeats again, since it may have been behind a network partition that has healed; its
+    /// answer marks it as alive.
     pub fn relearn(&mut self, now: TimeMs, vm: &VmId, address: SocketAddr) {
-        self.learn(now, vm, address);
+        self.add_listed(now, vm, address);
         let Some(member) = self.members.get_mut(vm) else {
             return;
         };
         member.is_retried = member.state == MemberState::Dead;
     }
 
-    /// The successors in the ring of names. Suspects stay among them: an answer clears them.
+    /// Returns the successors in the ring of names. They include suspected nodes, whose answer
+    /// clears the suspicion.
     pub fn neighbours(&self) -> Vec<VmId> {
         let is_up = |entry: &(&VmId, &Member)| entry.1.state != MemberState::Dead;
         let after = self.members.range(self.own.vm.clone()..).filter(is_up);
@@ -207,7 +212,7 @@
             .collect()
     }
 
-    pub(super) fn changed(&self, vm: &VmId, effects: &mut Vec<MembershipEffect>) {
+    pub(super) fn push_changed(&self, vm: &VmId, effects: &mut Vec<MembershipEffect>) {
         if let Some(member) = self.members.get(vm) {
             let is_leaving = member.is_leaving && member.state == MemberState::Alive;
             effects.push(MembershipEffect::Changed {
--- a/crates/coordination/src/modules/mod.rs
+++ b/crates/coordination/src/modules/mod.rs
@@ -1,4 +1,4 @@
-//! The coordination parts, one module each.
+//! The coordination primitives.
 
 pub(crate) mod call_budget;
 pub(crate) mod config_replica;
--- a/crates/coordination/src/modules/rendezvous.rs
+++ b/crates/coordination/src/modules/rendezvous.rs
@@ -1,6 +1,7 @@
-//! Rendezvous hashing: each node gives each key a score, the highest is the key's home.
+//! Rendezvous hashing: each node has a score for each key, and the node with the highest score is
+//! the key's home.
 //!
-//! A node that goes moves only its own keys; nothing has to be agreed but who is there.
+//! When a node is removed, only its own keys move. Nodes need to agree only on the membership.
 
 use bridgevane_types::VmId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -10,7 +11,7 @@
     xxh3_64_with_seed(key.as_bytes(), seed)
 }
 
-/// The home of `key` among `vms`; none when there are none.
+/// Returns the home of `key` among `vms`, or `None` if `vms` is empty.
 pub fn home_of<'a>(key: &str, vms: impl Iterator<Item = &'a VmId>) -> Option<&'a VmId> {
     vms.max_by_key(|vm| (score(key, vm), *vm))
 }
--- a/crates/coordination/src/modules/rollout.rs
+++ b/crates/coordination/src/modules/rollout.rs
@@ -1,9 +1,9 @@
 //! A staged change of a model version.
 //!
-//! The state is a value in the key-value service, so that another node carries it on after
-//! its holder died. Engines are changed in batches; between batches the burn rate is watched;
-//! too much burn holds the rollout back or rolls it back. Orders carry a desired state with a
-//! generation, so that giving one twice does no harm.
+//! The state is a value in the key-value service, so that another node can continue the rollout
+//! after the death of its holder. Engines are changed in batches, and each batch is watched before
+//! the next one; a high burn rate pauses the rollout, a higher one rolls it back. Orders carry a
+//! desired state with a generation, so that they can be repeated.
 
 use bridgevane_types::{DurationMs, EndpointId, ModelName, TimeMs};
 use derive_more::Display;
@@ -11,28 +11,28 @@
 use statig::prelude::*;
 use std::collections::BTreeSet;
 
-/// What a rollout is to do.
+/// The model, versions, engines and limits of a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutPlan {
     /// The model.
     pub model: ModelName,
-    /// The version that engines run now.
+    /// The version before the rollout.
     pub from_version: u64,
-    /// The version that they are to run.
+    /// The version after the rollout.
     pub to_version: u64,
-    /// Engines, in the order of their change.
+    /// The engines, in the order in which they change.
     pub engines: Vec<EndpointId>,
-    /// Engines that change at the same time at most.
+    /// The maximum number of engines that change at the same time.
     pub batch: usize,
     /// How long each batch is watched before the next one.
     pub watch_ms: DurationMs,
-    /// Burn rate from which on no further batch starts.
+    /// The burn rate at and above which no further batch starts.
     pub hold_burn: f64,
-    /// Burn rate from which on everything is taken back.
+    /// The burn rate at and above which all engines are rolled back.
     pub rollback_burn: f64,
 }
 
-/// Where a rollout stands.
+/// The stage of a rollout.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RolloutStage {
@@ -45,22 +45,22 @@
     /// All engines run the new version.
     #[display("done")]
     Done,
-    /// Engines go back to the version before.
+    /// The changed engines load the previous version.
     #[display("rolling back")]
     RollingBack,
-    /// All engines run the version before.
+    /// All engines run the previous version.
     #[display("rolled back")]
     RolledBack,
 }
 
-/// What is seen at one moment.
+/// The engines' versions and the burn rate at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutObservation {
-    /// Now.
+    /// The time of the observation.
     pub now: TimeMs,
-    /// Engines that confirmed the new version.
+    /// The engines that confirmed the new version.
     pub on_new: BTreeSet<EndpointId>,
-    /// Engines that confirmed the version before.
+    /// The engines that confirmed the previous version.
     pub on_old: BTreeSet<EndpointId>,
     /// The highest burn rate of the classes that the model serves.
     pub burn: f64,
@@ -71,22 +71,22 @@
 pub struct RolloutEffect {
     /// The engine.
     pub engine: EndpointId,
-    /// The version that it is to run.
+    /// The version that the engine has to run.
     pub version: u64,
-    /// Generation of the desired state; an engine keeps the highest.
+    /// Generation of the desired state; an engine keeps the state with the highest generation.
     pub generation: u64,
 }
 
-/// What the states share.
+/// The data shared by all states of the state machine.
 #[derive(Debug)]
 struct Progress {
     plan: RolloutPlan,
-    /// Engines that were ordered to change so far.
+    /// The number of engines that were ordered to change so far.
     started: usize,
 }
 
 impl Progress {
-    fn batch(&self) -> &[EndpointId] {
+    fn started_engines(&self) -> &[EndpointId] {
         &self.plan.engines[..self.started]
     }
 
@@ -101,7 +101,7 @@
     state(derive(Debug, Clone, Copy, PartialEq))
 )]
 impl Progress {
-    #[state(superstate = "going_on")]
+    #[state(superstate = "in_progress")]
     fn loading(&mut self, event: &RolloutObservation) -> Outcome<State> {
         if event.burn >= self.plan.rollback_burn {
             return Super;
@@ -111,7 +111,7 @@
             return Handled;
         }
         let is_loaded = self
-            .batch()
+            .started_engines()
             .iter()
             .all(|engine| event.on_new.contains(engine));
         if is_loaded {
@@ -120,13 +120,13 @@
         Handled
     }
 
-    #[state(superstate = "going_on")]
+    #[state(superstate = "in_progress")]
     fn watching(&mut self, event: &RolloutObservation, since: &mut TimeMs) -> Outcome<State> {
         if event.burn >= self.plan.rollback_burn {
             return Super;
         }
         if event.burn >= self.plan.hold_burn {
-            // The watch begins anew once the burn has gone.
+            // The watch time restarts when the burn rate is below the limit again.
             *since = event.now;
             return Handled;
         }
@@ -141,14 +141,14 @@
     }
 
     #[superstate]
-    fn going_on() -> Outcome<State> {
+    fn in_progress() -> Outcome<State> {
         Transition(State::rolling_back())
     }
 
     #[state]
     fn rolling_back(&mut self, event: &RolloutObservation) -> Outcome<State> {
         let is_back = self
-            .batch()
+            .started_engines()
             .iter()
             .all(|engine| event.on_old.contains(engine));
         if is_back {
@@ -168,21 +168,22 @@
     }
 }
 
-/// A rollout as it is stored.
+/// The stored state of a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// What it is to do.
+    /// The rollout's plan.
     pub plan: RolloutPlan,
-    /// Where it stands.
+    /// The rollout's stage.
     pub stage: RolloutStage,
-    /// Engines that were ordered to change so far.
+    /// The number of engines that were ordered to change so far.
     pub started: usize,
     /// Generation of the desired state.
     pub generation: u64,
 }
 
 impl Rollout {
-    /// A rollout that has changed nothing yet; `generation` is higher than any before.
+    /// Creates a rollout that has changed no engine yet; `generation` must be higher than that of
+    /// every earlier rollout.
     pub fn new(plan: RolloutPlan, generation: u64) -> Self {
         Self {
             plan,
@@ -192,34 +193,35 @@
         }
     }
 
-    /// Whether nothing is left to do.
+    /// Returns whether the rollout has ended.
     pub fn is_over(&self) -> bool {
         matches!(self.stage, RolloutStage::Done | RolloutStage::RolledBack)
     }
 
-    /// The rollout after an observation; store it before giving its orders. `watched_since`
-    /// is when this node began to watch: a node that takes over watches anew.
+    /// Returns the rollout after an observation; it has to be stored before its orders are sent.
+    /// `watched_since` is when this node began to watch the current batch: a node that takes over
+    /// restarts the watch time.
     pub fn step(&self, observation: &RolloutObservation, watched_since: TimeMs) -> Rollout {
-        let mut entered = Progress {
+        let mut uninitialized = Progress {
             plan: self.plan.clone(),
             started: self.started,
         }
         .uninitialized_state_machine();
-        *entered.state_mut() = state_of(self.stage, watched_since);
-        let mut machine = entered.init();
+        *uninitialized.state_mut() = state_of(self.stage, watched_since);
+        let mut machine = uninitialized.init();
         machine.handle(observation);
         let stage = stage_of(machine.state());
-        let is_turned = stage == RolloutStage::RollingBack && self.stage != stage;
+        let starts_rollback = stage == RolloutStage::RollingBack && self.stage != stage;
         Rollout {
             plan: self.plan.clone(),
             started: machine.inner().started,
-            generation: self.generation + u64::from(is_turned),
+            generation: self.generation + u64::from(starts_rollback),
             stage,
         }
     }
 
-    /// The orders that bring engines to the desired state. They can be given any number of
-    /// times, by any holder.
+    /// Returns the orders that bring the engines to the desired state. Any holder may send them,
+    /// any number of times.
     pub fn orders(&self) -> Vec<RolloutEffect> {
         let version = match self.stage {
             RolloutStage::RollingBack | RolloutStage::RolledBack => self.plan.from_version,
--- a/crates/coordination/src/modules/suspicion.rs
+++ b/crates/coordination/src/modules/suspicion.rs
@@ -1,21 +1,23 @@
-//! What the passing of time does to the membership: heartbeats, suspicion of silent neighbours,
-//! confirmed deaths.
+//! The timers of the membership: sends heartbeats, suspects silent neighbours, confirms deaths and
+//! removes dead nodes.
 
 use crate::modules::member::{Member, MemberState};
 use crate::modules::membership::{Membership, MembershipEffect};
 use bridgevane_types::{TimeMs, VmId};
 
 impl Membership {
-    /// Acts on the passing of time.
+    /// Runs all timers that are due at `now`.
     pub fn tick(&mut self, now: TimeMs, effects: &mut Vec<MembershipEffect>) {
-        self.forgive_own_pause(now);
+        self.reset_timers_after_pause(now);
         self.suspect_silent(now);
         self.confirm_deaths(now, effects);
         self.forget_dead(now);
-        if now.since(self.beat_at) < self.config.heartbeat_every_ms && self.beat_at != TimeMs(0) {
+        if now.since(self.last_heartbeat_at) < self.config.heartbeat_every_ms
+            && self.last_heartbeat_at != TimeMs(0)
+        {
             return;
         }
-        self.beat_at = now;
+        self.last_heartbeat_at = now;
         let retried = self.members.iter().filter(|(_, member)| member.is_retried);
         let retried: Vec<VmId> = retried.map(|(vm, _)| vm.clone()).collect();
         for vm in self.neighbours().into_iter().chain(retried) {
@@ -24,15 +26,16 @@
         }
     }
 
-    /// A node that was paused itself has heard nobody: that is no ground for suspicion.
-    pub(super) fn forgive_own_pause(&mut self, now: TimeMs) {
-        let paused_ms = now.since(self.ticked_at);
-        self.ticked_at = now;
+    /// Restarts the timers of all members after a pause of this node, in which it received nothing:
+    /// the silence during the pause is no reason for a suspicion.
+    pub(super) fn reset_timers_after_pause(&mut self, now: TimeMs) {
+        let paused_ms = now.since(self.last_tick_at);
+        self.last_tick_at = now;
         if paused_ms < self.config.suspect_after_ms {
             return;
         }
         for member in self.members.values_mut() {
-            member.heard_at = now;
+            member.last_contact_at = now;
             member.suspected_at = now;
         }
     }
@@ -43,9 +46,9 @@
             let Some(member) = self.members.get_mut(&vm) else {
                 continue;
             };
-            let silent_ms = now.since(member.heard_at).0;
+            let silent_ms = now.since(member.last_contact_at).0;
             let is_accused = member.accusers.contains(&self.own.vm);
-            if is_accused || silent_ms < suspect_after_ms * u64::from(member.patience) {
+            if is_accused || silent_ms < suspect_after_ms * u64::from(member.suspicion_multiplier) {
                 continue;
             }
             if member.state != MemberState::Suspect {
@@ -53,17 +56,17 @@
             }
             member.state = MemberState::Suspect;
             member.accusers.insert(self.own.vm.clone());
-            self.pass_on(&vm);
+            self.queue_update(&vm);
         }
     }
 
     pub(super) fn confirm_deaths(&mut self, now: TimeMs, effects: &mut Vec<MembershipEffect>) {
         let is_up = |member: &&Member| member.state != MemberState::Dead;
         let others = self.members.values().filter(is_up).count();
-        // The suspect itself can't confirm, this node can.
-        let needed = self.config.accusers.min(others.max(1));
-        let is_lone = others < self.config.accusers;
-        let wait_ms = if is_lone {
+        // The suspected node can't confirm its own death, this node can.
+        let needed = self.config.required_accusers.min(others.max(1));
+        let is_single_accuser = others < self.config.required_accusers;
+        let wait_ms = if is_single_accuser {
             self.config.lone_confirm_ms
         } else {
             self.config.refute_ms
@@ -79,17 +82,22 @@
             .filter(|(_, member)| is_confirmed(member));
         let dead: Vec<VmId> = confirmed.map(|(vm, _)| vm.clone()).collect();
         for vm in dead {
-            self.bury(now, &vm, effects);
+            self.mark_dead(now, &vm, effects);
         }
     }
 
-    pub(super) fn bury(&mut self, now: TimeMs, vm: &VmId, effects: &mut Vec<MembershipEffect>) {
+    pub(super) fn mark_dead(
+        &mut self,
+        now: TimeMs,
+        vm: &VmId,
+        effects: &mut Vec<MembershipEffect>,
+    ) {
         if let Some(member) = self.members.get_mut(vm) {
             member.state = MemberState::Dead;
             member.died_at = now;
         }
-        self.pass_on(vm);
-        self.changed(vm, effects);
+        self.queue_update(vm);
+        self.push_changed(vm, effects);
     }
 
     pub(super) fn forget_dead(&mut self, now: TimeMs) {
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The membership under failures, in virtual time, over a network that drops by rule.
+//! Tests of the membership under failures, in virtual time, over a simulated network.
 
 use bridgevane_coordination::configs::MembershipConfig;
 use bridgevane_coordination::{MemberState, Membership, MembershipEffect};
@@ -18,29 +18,29 @@
     SocketAddr::from(([10, 0, 0, at as u8], 7_000))
 }
 
-/// Nodes that exchange heartbeats; calls and answers pass unless a rule cuts them.
-struct Net {
+/// Nodes that exchange heartbeats over a network with configurable loss, cuts and stopped nodes.
+struct SimulatedNetwork {
     nodes: Vec<Membership>,
     now: TimeMs,
     down: BTreeSet<usize>,
     frozen: BTreeSet<usize>,
-    /// Directions that are cut.
+    /// Directions, from and to, in which no message is delivered.
     cut: BTreeSet<(usize, usize)>,
     loss: f64,
     rng: Pcg64Mcg,
-    /// Live nodes that some node counted as dead.
+    /// How often a node marked a running node as dead.
     false_deaths: usize,
     superseded: BTreeSet<usize>,
     config: MembershipConfig,
 }
 
-impl Net {
+impl SimulatedNetwork {
     fn new(count: usize, config: MembershipConfig) -> Self {
         let start = TimeMs(1_000);
         let node = |at: usize| {
             let mut node =
                 Membership::new(config.clone(), vm(at), address(at), Incarnation(1), start);
-            (0..count).for_each(|other| node.learn(start, &vm(other), address(other)));
+            (0..count).for_each(|other| node.add_listed(start, &vm(other), address(other)));
             node
         };
         Self {
@@ -57,10 +57,10 @@
         }
     }
 
-    fn passes(&mut self, from: usize, to: usize) -> bool {
-        let is_away = self.down.contains(&to) || self.frozen.contains(&to);
+    fn is_delivered(&mut self, from: usize, to: usize) -> bool {
+        let is_unreachable = self.down.contains(&to) || self.frozen.contains(&to);
         let is_lost = self.loss > 0.0 && self.rng.random_bool(self.loss);
-        !is_away && !is_lost && !self.cut.contains(&(from, to))
+        !is_unreachable && !is_lost && !self.cut.contains(&(from, to))
     }
 
     fn run(&mut self, duration_ms: u64) {
@@ -72,16 +72,16 @@
                 }
                 let mut effects = Vec::new();
                 self.nodes[at].tick(self.now, &mut effects);
-                self.carry_out(at, effects);
+                self.apply_effects(at, effects);
             }
         }
     }
 
-    fn carry_out(&mut self, at: usize, effects: Vec<MembershipEffect>) {
+    fn apply_effects(&mut self, at: usize, effects: Vec<MembershipEffect>) {
         for effect in effects {
             match effect {
-                MembershipEffect::Heartbeat { vm: to, .. } => self.beat(at, &to),
-                MembershipEffect::Changed { vm, state } => self.note(&vm, state),
+                MembershipEffect::Heartbeat { vm: to, .. } => self.exchange_heartbeat(at, &to),
+                MembershipEffect::Changed { vm, state } => self.record_change(&vm, state),
                 MembershipEffect::Superseded => {
                     self.superseded.insert(at);
                 }
@@ -90,7 +90,7 @@
         }
     }
 
-    fn note(&mut self, of: &VmId, state: MemberState) {
+    fn record_change(&mut self, of: &VmId, state: MemberState) {
         let at = (0..self.nodes.len()).find(|at| vm(*at) == *of);
         let is_up = at.is_some_and(|at| !self.down.contains(&at) && !self.frozen.contains(&at));
         if state == MemberState::Dead && is_up {
@@ -98,15 +98,15 @@
         }
     }
 
-    fn beat(&mut self, from: usize, to: &VmId) {
+    fn exchange_heartbeat(&mut self, from: usize, to: &VmId) {
         let Some(to) = (0..self.nodes.len()).find(|at| vm(*at) == *to) else {
             return;
         };
-        if !self.passes(from, to) {
+        if !self.is_delivered(from, to) {
             return;
         }
         self.deliver(from, to);
-        if self.passes(to, from) {
+        if self.is_delivered(to, from) {
             self.deliver(to, from);
         }
     }
@@ -118,7 +118,7 @@
         let sender = vm(from);
         self.nodes[to].hear(self.now, &sender, address(from), incarnation, &mut effects);
         self.nodes[to].receive(self.now, updates, &mut effects);
-        self.carry_out(to, effects);
+        self.apply_effects(to, effects);
     }
 
     fn incarnation(&self, at: usize) -> Incarnation {
@@ -126,8 +126,8 @@
         own[0].incarnation
     }
 
-    /// Whether every node that runs holds exactly these to be live.
-    fn all_see(&self, expected: &[usize]) -> bool {
+    /// Returns whether exactly the nodes `expected` are live in the view of every running node.
+    fn all_views_are(&self, expected: &[usize]) -> bool {
         let expected: Vec<VmId> = expected.iter().map(|at| vm(*at)).collect();
         let running =
             (0..self.nodes.len()).filter(|at| !self.down.contains(at) && !self.frozen.contains(at));
@@ -145,123 +145,141 @@
             incarnation,
             self.now,
         );
-        (0..self.nodes.len()).for_each(|other| node.learn(self.now, &vm(other), address(other)));
+        (0..self.nodes.len())
+            .for_each(|other| node.add_listed(self.now, &vm(other), address(other)));
         self.nodes[at] = node;
         self.down.remove(&at);
     }
 }
 
+/// Guards against a death that some nodes miss, and against live nodes that count as dead, in data
+/// centres of different sizes.
 #[test]
-fn a_killed_node_is_dead_everywhere_and_no_other_is() {
+fn a_killed_node_is_dead_in_every_view_and_no_other_node_is() {
     for count in [2, 3, 7, 56] {
-        let mut net = Net::new(count, MembershipConfig::default());
-        net.run(5_000);
-        net.down.insert(1);
-        net.run(15_000);
+        let mut network = SimulatedNetwork::new(count, MembershipConfig::default());
+        network.run(5_000);
+        network.down.insert(1);
+        network.run(15_000);
         let left: Vec<usize> = (0..count).filter(|at| *at != 1).collect();
-        assert!(net.all_see(&left), "{count} nodes");
-        assert_eq!(net.false_deaths, 0, "{count} nodes");
+        assert!(network.all_views_are(&left), "{count} nodes");
+        assert_eq!(network.false_deaths, 0, "{count} nodes");
     }
 }
 
+/// Guards against nodes that keep sending work to a leaving node because its update reached only
+/// the neighbours.
 #[test]
-fn a_leaving_node_is_known_everywhere_within_two_seconds() {
-    let mut net = Net::new(56, MembershipConfig::default());
-    net.run(5_000);
-    net.nodes[9].leave();
+fn a_leaving_node_is_removed_from_every_view_by_heartbeats_alone() {
+    let mut network = SimulatedNetwork::new(56, MembershipConfig::default());
+    network.run(5_000);
+    network.nodes[9].leave();
     let left: Vec<usize> = (0..56).filter(|at| *at != 9).collect();
-    // The daemon also tells its peers directly; this is the slow way, by heartbeats alone.
-    net.run(8_000);
-    assert!(net.all_see(&left));
+    // The daemon also notifies its peers directly; this test covers the slower heartbeats alone.
+    network.run(8_000);
+    assert!(network.all_views_are(&left));
 }
 
+/// Lost heartbeats make single nodes suspect a live neighbour. With one accuser and no time to refute,
+/// live nodes count as dead; with two accusers and 3 s to refute, none does.
 #[test]
-fn lost_messages_bury_nobody_where_suspicion_needs_confirmation() {
-    let run = |loss: f64, accusers: usize, refute_ms: u64| {
+fn lost_messages_cause_no_false_death_when_a_suspicion_needs_confirmation() {
+    let run = |loss: f64, required_accusers: usize, refute_ms: u64| {
         let config = MembershipConfig {
-            accusers,
+            required_accusers,
             refute_ms: DurationMs(refute_ms),
             ..MembershipConfig::default()
         };
-        let mut net = Net::new(20, config);
-        net.loss = loss;
-        net.run(120_000);
-        net.false_deaths
+        let mut network = SimulatedNetwork::new(20, config);
+        network.loss = loss;
+        network.run(120_000);
+        network.false_deaths
     };
-    // Taken out: the first suspicion counts at once.
-    assert!(run(0.05, 1, 0) > 0, "the loss must bring the failure about");
+    // Without confirmation, the first suspicion counts at once.
+    assert!(
+        run(0.05, 1, 0) > 0,
+        "the message loss must cause false deaths"
+    );
     assert_eq!(run(0.05, 2, 3_000), 0);
 }
 
+/// Guards against a false death when a node gets no messages from a neighbour that all others reach.
 #[test]
-fn one_direction_cut_buries_nobody() {
-    let mut net = Net::new(7, MembershipConfig::default());
-    net.run(5_000);
-    net.cut.insert((3, 2));
-    net.run(120_000);
-    assert_eq!(net.false_deaths, 0);
+fn a_cut_in_one_direction_causes_no_false_death() {
+    let mut network = SimulatedNetwork::new(7, MembershipConfig::default());
+    network.run(5_000);
+    network.cut.insert((3, 2));
+    network.run(120_000);
+    assert_eq!(network.false_deaths, 0);
 }
 
+/// A paused node has received nothing for a long time. It must not take that for the death of its
+/// neighbours, and must count as alive again.
 #[test]
-fn a_node_that_was_frozen_accuses_nobody_and_comes_back() {
-    let mut net = Net::new(7, MembershipConfig::default());
-    net.run(5_000);
-    net.frozen.insert(4);
-    net.run(60_000);
-    assert!(net.all_see(&[0, 1, 2, 3, 5, 6]));
-    net.frozen.remove(&4);
-    net.run(10_000);
-    assert!(net.all_see(&[0, 1, 2, 3, 4, 5, 6]));
-    assert_eq!(net.false_deaths, 0);
+fn a_node_suspects_no_other_after_its_own_pause_and_rejoins() {
+    let mut network = SimulatedNetwork::new(7, MembershipConfig::default());
+    network.run(5_000);
+    network.frozen.insert(4);
+    network.run(60_000);
+    assert!(network.all_views_are(&[0, 1, 2, 3, 5, 6]));
+    network.frozen.remove(&4);
+    network.run(10_000);
+    assert!(network.all_views_are(&[0, 1, 2, 3, 4, 5, 6]));
+    assert_eq!(network.false_deaths, 0);
 }
 
+/// Guards against two incarnations of one VM that both take work: the older one must learn that it was
+/// replaced.
 #[test]
-fn a_vm_replaced_under_its_name_is_a_new_one() {
-    let mut net = Net::new(5, MembershipConfig::default());
-    net.run(5_000);
-    let old = net.nodes[2].clone();
-    net.restart(2, 2);
-    net.run(5_000);
-    assert!(net.all_see(&[0, 1, 2, 3, 4]));
-    assert_eq!(net.incarnation(2), Incarnation(2));
-    // The old life wakes up and hears of the new one.
-    net.nodes[2] = old;
-    net.run(10_000);
-    assert!(net.superseded.contains(&2));
+fn a_replaced_vm_supersedes_the_older_incarnation_of_its_name() {
+    let mut network = SimulatedNetwork::new(5, MembershipConfig::default());
+    network.run(5_000);
+    let old = network.nodes[2].clone();
+    network.restart(2, 2);
+    network.run(5_000);
+    assert!(network.all_views_are(&[0, 1, 2, 3, 4]));
+    assert_eq!(network.incarnation(2), Incarnation(2));
+    // The older incarnation resumes and receives updates about the newer one.
+    network.nodes[2] = old;
+    network.run(10_000);
+    assert!(network.superseded.contains(&2));
 }
 
+/// Guards against replaced nodes that stay dead in some views, as in a rolling update.
 #[test]
-fn all_nodes_replaced_one_after_another_still_find_each_other() {
-    let mut net = Net::new(7, MembershipConfig::default());
-    net.run(5_000);
+fn all_nodes_replaced_one_by_one_are_live_in_every_view() {
+    let mut network = SimulatedNetwork::new(7, MembershipConfig::default());
+    network.run(5_000);
     for at in 0..7 {
-        net.down.insert(at);
-        net.run(12_000);
-        net.restart(at, 2);
-        net.run(6_000);
+        network.down.insert(at);
+        network.run(12_000);
+        network.restart(at, 2);
+        network.run(6_000);
     }
-    assert!(net.all_see(&[0, 1, 2, 3, 4, 5, 6]));
+    assert!(network.all_views_are(&[0, 1, 2, 3, 4, 5, 6]));
 }
 
+/// During a partition each side marks the other as dead and sends it no heartbeats. After it, the
+/// platform's list must make both sides contact each other again.
 #[test]
-fn a_cut_within_a_data_centre_heals() {
-    let mut net = Net::new(8, MembershipConfig::default());
-    net.run(5_000);
+fn both_sides_of_a_healed_network_partition_rejoin() {
+    let mut network = SimulatedNetwork::new(8, MembershipConfig::default());
+    network.run(5_000);
     let pairs: Vec<(usize, usize)> = (0..4).flat_map(|a| (4..8).map(move |b| (a, b))).collect();
     for (a, b) in &pairs {
-        net.cut.insert((*a, *b));
-        net.cut.insert((*b, *a));
+        network.cut.insert((*a, *b));
+        network.cut.insert((*b, *a));
     }
-    net.run(30_000);
-    net.cut.clear();
-    // Each side has buried the other; the platform's list names them again.
+    network.run(30_000);
+    network.cut.clear();
+    // Each side has marked the other as dead; the platform's list shows all nodes.
     for at in 0..8 {
         let all: BTreeMap<usize, ()> = (0..8).map(|other| (other, ())).collect();
         for other in all.keys() {
-            let now = net.now;
-            net.nodes[at].relearn(now, &vm(*other), address(*other));
+            let now = network.now;
+            network.nodes[at].relearn(now, &vm(*other), address(*other));
         }
     }
-    net.run(15_000);
-    assert!(net.all_see(&[0, 1, 2, 3, 4, 5, 6, 7]));
+    network.run(15_000);
+    assert!(network.all_views_are(&[0, 1, 2, 3, 4, 5, 6, 7]));
 }
--- a/crates/coordination/tests/parts.rs
+++ b/crates/coordination/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Configuration replicas, leases, key registry, call budgets and rollouts under failures.
+//! Tests of configuration replicas, leases, key registry, call budgets and rollouts under failures.
 
 use bridgevane_config::{Delta, SectionChange, Sections};
 use bridgevane_coordination::configs::{CallBudgetConfig, KeyRegistryConfig};
@@ -27,8 +27,9 @@
     sections(from).delta_to(&sections(to), ConfigVersion(from), ConfigVersion(to))
 }
 
+/// Guards against replicas that differ after catching up by a combined delta.
 #[test]
-fn a_replica_follows_deltas_and_tells_others_what_they_miss() {
+fn a_replica_applies_deltas_and_sends_others_the_missing_changes() {
     let mut replica = ConfigReplica::default();
     replica
         .accept_snapshot(ConfigVersion(1), sections(1))
@@ -36,16 +37,16 @@
     for to in 2..6 {
         replica
             .accept_delta(delta(to - 1, to))
-            .expect("the next one");
+            .expect("the delta applies");
     }
     let mut behind = ConfigReplica::default();
     behind
         .accept_snapshot(ConfigVersion(2), sections(2))
         .expect("newer");
     let ConfigAnswer::Delta(missing) = replica.answer(ConfigVersion(2)) else {
-        panic!("a delta is enough");
+        panic!("a delta is expected");
     };
-    behind.accept_delta(missing).expect("it fits");
+    behind.accept_delta(missing).expect("the delta applies");
     assert_eq!(behind.sections(), replica.sections());
     assert_eq!(replica.answer(ConfigVersion(5)), ConfigAnswer::Current);
     assert!(matches!(
@@ -54,8 +55,10 @@
     ));
 }
 
+/// Guards against a replica that goes back to an older version, or that holds other sections than the
+/// sender after a delta with a wrong base or digest.
 #[test]
-fn a_replica_refuses_what_is_old_or_doesnt_fit() {
+fn a_replica_refuses_old_versions_and_deltas_that_do_not_apply() {
     let mut replica = ConfigReplica::default();
     replica
         .accept_snapshot(ConfigVersion(5), sections(5))
@@ -82,19 +85,21 @@
     assert_eq!(replica.sections(), &sections(5));
 }
 
+/// Guards against orders of two holders at the same time: a holder resumes after its lease has expired,
+/// or its last order is still in progress when the successor begins.
 #[test]
-fn a_paused_holder_may_not_act_after_its_lease_and_its_successor_waits() {
+fn a_paused_holder_sends_no_order_after_its_lease_and_its_successor_waits() {
     let ttl = DurationMs(10_000);
     let order = DurationMs(2_000);
     let mut lease = HeldLease::granted(FenceToken(7), TimeMs(1_000), ttl);
     assert!(lease.may_act(TimeMs(1_000), order));
-    // Paused from here; the clock goes on.
+    // The holder is paused from here; the clock continues.
     assert!(
         !lease.may_act(TimeMs(9_000), order),
-        "the order would outlast the lease"
+        "the order would end after the lease"
     );
     assert!(!lease.may_act(TimeMs(60_000), DurationMs(0)));
-    // A renewal that was sent before the pause but answered after it counts from its sending.
+    // A renewal that was sent before the pause and answered after it counts from when it was sent.
     lease.renewed(TimeMs(5_000));
     assert!(!lease.may_act(TimeMs(60_000), DurationMs(0)));
     let successor = HeldLease::granted(FenceToken(8), TimeMs(11_000), ttl);
@@ -103,7 +108,7 @@
     assert!(successor.is_past_earlier_orders(TimeMs(13_000), order));
 }
 
-/// Daemons, each younger than the one before.
+/// Daemons in the order of their start, the oldest first.
 fn vms(count: usize) -> Vec<KeyMember> {
     let member = |at: usize| KeyMember {
         vm: VmId::from(format!("vm-{at}").as_str()),
@@ -119,10 +124,10 @@
 fn home<'a>(key: &str, members: &'a [KeyMember]) -> &'a KeyMember {
     let home = home_of(key, members.iter().map(|member| &member.vm));
     let is_home = |member: &&KeyMember| Some(&member.vm) == home;
-    members.iter().find(is_home).expect("there are members")
+    members.iter().find(is_home).expect("members is not empty")
 }
 
-/// A key whose home is the last of the members.
+/// Finds a key whose home is the last of the members.
 fn key_of_last(members: &[KeyMember]) -> String {
     let keys = (0..).map(|at| format!("key-{at}"));
     let is_last = |key: &String| Some(home(key, members)) == members.last();
@@ -141,15 +146,16 @@
     }
 }
 
-/// A registry that started long ago.
+/// A registry that started before the retention time of keys.
 fn old_registry(own: &KeyMember) -> KeyRegistry {
     KeyRegistry::new(KeyRegistryConfig::default(), own.clone(), TimeMs(0))
 }
 
 const LATER: TimeMs = TimeMs(10_000_000);
 
+/// Guards against a second run of a repeated call, and against a key that is used for another call.
 #[test]
-fn a_key_runs_once_and_its_answer_is_given_again() {
+fn a_key_runs_once_and_a_repeated_call_gets_the_stored_answer() {
     let members = vms(3);
     let mut registry = old_registry(&members[0]);
     let first = claim("k", 1, &members[1]);
@@ -164,7 +170,7 @@
         content_type: "a/b".into(),
         body: b"booked".to_vec(),
     };
-    // Only the request that runs it can end it.
+    // Only the request that runs the call can end it.
     registry.ended(LATER, "k", RequestId(2), KeyEnd::NotRun);
     registry.ended(LATER, "k", RequestId(1), KeyEnd::Done(answer.clone()));
     assert_eq!(
@@ -181,8 +187,9 @@
     );
 }
 
+/// Guards against a key that stays blocked although its call certainly did not run.
 #[test]
-fn a_call_that_surely_did_not_run_frees_its_key() {
+fn a_call_that_did_not_run_frees_its_key() {
     let members = vms(3);
     let mut registry = old_registry(&members[0]);
     assert_eq!(
@@ -196,8 +203,9 @@
     );
 }
 
+/// The runner may have sent the call before it died, so the call must not run again.
 #[test]
-fn the_death_of_the_runner_makes_its_key_unknown_for_good() {
+fn a_key_stays_unknown_after_the_death_of_its_runner() {
     let members = vms(3);
     let mut registry = old_registry(&members[0]);
     assert_eq!(
@@ -209,48 +217,52 @@
     assert_eq!(registry.claim(LATER, again, &members), Verdict::Unknown);
 }
 
+/// The next home can't know which calls the dead home let run. It must refuse until the platform no
+/// longer lists the dead VM and the retention time has passed.
 #[test]
-fn keys_of_a_dead_home_never_run_again_while_it_may_have_known_them() {
+fn a_key_of_a_dead_home_does_not_run_while_the_home_may_have_known_it() {
     let members = vms(3);
     let key = key_of_last(&members);
     let left = &members[..2];
-    let heir = home(&key, left).clone();
-    let mut registry = old_registry(&heir);
+    let next_home = home(&key, left).clone();
+    let mut registry = old_registry(&next_home);
     registry.member_lost(LATER, &members[2].vm);
     assert_eq!(
-        registry.claim(LATER, claim(&key, 2, &heir), left),
+        registry.claim(LATER, claim(&key, 2, &next_home), left),
         Verdict::Unknown
     );
-    // The platform still lists it: it may live behind a cut, however long that lasts.
+    // The platform still lists the VM: it may be running behind a network partition of any length.
     registry.listed(LATER, &names(&members));
     let much_later = LATER + DurationMs(86_400_000);
     registry.listed(much_later, &names(&members));
     assert_eq!(
-        registry.claim(much_later, claim(&key, 3, &heir), left),
+        registry.claim(much_later, claim(&key, 3, &next_home), left),
         Verdict::Unknown
     );
-    // An endpoint that deduplicates by itself may get it all the same.
+    // An endpoint that deduplicates by itself may get the call.
     let deduplicated = Claim {
         endpoint_deduplicates: true,
-        ..claim(&key, 4, &heir)
+        ..claim(&key, 4, &next_home)
     };
     assert_eq!(
         registry.clone().claim(much_later, deduplicated, left),
         Verdict::Run
     );
-    // Delisted, and the memory of its keys has ended.
+    // The VM is no longer listed, and the retention time of its keys has passed.
     registry.listed(much_later, &names(left));
     let remember_ms = KeyRegistryConfig::default().remember_ms;
     let free = much_later + remember_ms;
     registry.listed(free, &names(left));
     assert_eq!(
-        registry.claim(free, claim(&key, 5, &heir), left),
+        registry.claim(free, claim(&key, 5, &next_home), left),
         Verdict::Run
     );
 }
 
+/// A new daemon becomes the home of keys that it knows nothing about; without asking the earlier
+/// home it would let a call run twice.
 #[test]
-fn a_home_that_has_just_started_asks_the_one_before_it() {
+fn a_recently_started_home_asks_the_earlier_home() {
     let members = vms(4);
     let key = key_of_last(&members);
     let before = home(&key, &members[..3]).clone();
@@ -269,18 +281,20 @@
     let again = claim(&key, 2, &members[0]);
     let verdict = started.claim(LATER, again.clone(), &members);
     assert_eq!(verdict, Verdict::AskBefore(before.vm));
-    let told = old.claim(LATER, again.clone(), &members);
+    let earlier_verdict = old.claim(LATER, again.clone(), &members);
     assert_eq!(
-        started.apply_earlier_verdict(again, told),
+        started.apply_earlier_verdict(again, earlier_verdict),
         Verdict::Done(StoredAnswer::default())
     );
 }
 
+/// When all daemons have just started, each asks an older one. The chain must end at the oldest
+/// daemon, without a cycle, and the result must not be "run".
 #[test]
-fn a_fleet_that_has_just_started_has_no_memory_and_says_so() {
+fn a_recently_started_fleet_answers_that_it_has_no_memory() {
     let members = vms(4);
     let key = key_of_last(&members);
-    // Each asks the home among the older ones, until one finds none: no one asks in a circle.
+    // Each daemon asks the home among the older ones, until there is no older one.
     let mut asked = home(&key, &members).clone();
     for _ in 0..members.len() {
         let config = KeyRegistryConfig::default();
@@ -294,9 +308,9 @@
             }
             Verdict::NoMemory => {
                 assert_eq!(asked, members[0]);
-                let told =
+                let final_verdict =
                     registry.apply_earlier_verdict(claim(&key, 1, &members[0]), Verdict::NoMemory);
-                assert_eq!(told, Verdict::Unknown);
+                assert_eq!(final_verdict, Verdict::Unknown);
                 return;
             }
             other => panic!("{other:?}"),
@@ -305,8 +319,10 @@
     panic!("the chain must end");
 }
 
+/// Guards against a registry that removes keys before their retention time to make space, so that
+/// their calls could run twice.
 #[test]
-fn a_full_registry_refuses_before_it_forgets() {
+fn a_full_registry_refuses_new_keys_and_keeps_the_known_ones() {
     let members = vms(1);
     let config = KeyRegistryConfig {
         max_keys: 2,
@@ -333,9 +349,11 @@
     );
 }
 
+/// All daemons lose the service at the same time. Without jitter, all of them would call it again in
+/// the same second.
 #[test]
-fn a_fleet_comes_back_from_an_outage_without_a_stampede() {
-    // All daemons lose the service together for an hour, and all want it back at once.
+fn a_fleet_does_not_overload_the_service_after_an_outage() {
+    // All daemons lose the service for one hour and retry until it answers.
     const DAEMONS: u64 = 390;
     const OUTAGE_END_MS: u64 = 3_600_000;
     let config = CallBudgetConfig::default();
@@ -360,7 +378,7 @@
         let calls = calls_in_second.range(from..to).map(|(_, calls)| *calls);
         calls.max().unwrap_or(0)
     };
-    // The very first second has no failure behind it.
+    // Calls in the first second follow no failure, so they are not delayed.
     assert!(busiest(0, 1) <= DAEMONS * 2);
     let outage_end_s = OUTAGE_END_MS / 1_000;
     assert!(busiest(outage_end_s, outage_end_s + 60) <= 100);
@@ -379,7 +397,7 @@
     }
 }
 
-fn seen(now: u64, on_new: &[&str], on_old: &[&str], burn: f64) -> RolloutObservation {
+fn observation(now: u64, on_new: &[&str], on_old: &[&str], burn: f64) -> RolloutObservation {
     let set = |names: &[&str]| names.iter().map(|name| (*name).into()).collect();
     RolloutObservation {
         now: TimeMs(now),
@@ -389,30 +407,40 @@
     }
 }
 
+/// Guards against a successor that skips the watch time, and against a next batch while the burn rate
+/// is too high.
 #[test]
-fn a_rollout_goes_batch_by_batch_and_a_successor_carries_it_on() {
-    let first = Rollout::new(plan(), 4).step(&seen(0, &[], &[], 0.0), TimeMs(0));
+fn a_rollout_proceeds_in_batches_and_a_successor_continues_it() {
+    let first = Rollout::new(plan(), 4).step(&observation(0, &[], &[], 0.0), TimeMs(0));
     assert_eq!(first.orders().len(), 2);
-    let loaded = first.step(&seen(10, &["a", "b"], &[], 0.0), TimeMs(0));
+    let loaded = first.step(&observation(10, &["a", "b"], &[], 0.0), TimeMs(0));
     assert_eq!(loaded.stage, RolloutStage::Watching);
-    // The holder dies; another reads what is stored and watches anew.
-    let early = loaded.step(&seen(500, &["a", "b"], &[], 0.0), TimeMs(400));
+    // The holder dies; another node reads the stored rollout and restarts the watch time.
+    let early = loaded.step(&observation(500, &["a", "b"], &[], 0.0), TimeMs(400));
     assert_eq!(early.stage, RolloutStage::Watching);
-    // Burn holds it back however long it lasts.
-    let held = early.step(&seen(9_000, &["a", "b"], &[], 2.0), TimeMs(400));
+    // A burn rate above the first limit pauses the rollout for any length of time.
+    let held = early.step(&observation(9_000, &["a", "b"], &[], 2.0), TimeMs(400));
     assert_eq!((held.stage, held.started), (RolloutStage::Watching, 2));
-    let next = held.step(&seen(20_000, &["a", "b"], &[], 0.0), TimeMs(400));
+    let next = held.step(&observation(20_000, &["a", "b"], &[], 0.0), TimeMs(400));
     assert_eq!((next.stage, next.started), (RolloutStage::Loading, 3));
-    let last = next.step(&seen(20_100, &["a", "b", "c"], &[], 0.0), TimeMs(400));
-    let done = last.step(&seen(30_000, &["a", "b", "c"], &[], 0.0), TimeMs(20_100));
+    let last = next.step(
+        &observation(20_100, &["a", "b", "c"], &[], 0.0),
+        TimeMs(400),
+    );
+    let done = last.step(
+        &observation(30_000, &["a", "b", "c"], &[], 0.0),
+        TimeMs(20_100),
+    );
     assert!(done.is_over());
     assert_eq!(done.generation, 4);
 }
 
+/// Guards against engines that keep the new version because a late order of the rollout has the same
+/// generation as the rollback.
 #[test]
-fn too_much_burn_takes_a_rollout_back_under_a_new_generation() {
-    let first = Rollout::new(plan(), 4).step(&seen(0, &[], &[], 0.0), TimeMs(0));
-    let back = first.step(&seen(10, &["a"], &[], 6.0), TimeMs(0));
+fn a_high_burn_rate_rolls_back_under_a_new_generation() {
+    let first = Rollout::new(plan(), 4).step(&observation(0, &[], &[], 0.0), TimeMs(0));
+    let back = first.step(&observation(10, &["a"], &[], 6.0), TimeMs(0));
     assert_eq!(back.stage, RolloutStage::RollingBack);
     let orders = back.orders();
     assert!(
@@ -421,9 +449,9 @@
             .all(|order| order.version == 1 && order.generation == 5)
     );
     assert_eq!(orders.len(), 2);
-    let over = back.step(&seen(20, &[], &["a", "b"], 6.0), TimeMs(0));
+    let over = back.step(&observation(20, &[], &["a", "b"], 6.0), TimeMs(0));
     assert_eq!(over.stage, RolloutStage::RolledBack);
-    // Orders of the way there are older now: an endpoint keeps the highest generation.
+    // Orders from before the rollback have a lower generation, and an endpoint keeps the highest.
     assert!(first.orders()[0].generation < over.orders()[0].generation);
 }
 
@@ -435,10 +463,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes in whatever order, a replica's version only rises and its sections are
-    /// those of its version.
+    /// Applies random snapshots and deltas: the replica's version never decreases, and its sections
+    /// are always those of its version.
     #[test]
-    fn a_replica_never_reverts(steps in prop::collection::vec((0..12u64, 0..12u64, any::<bool>()), 1..60)) {
+    fn a_replica_never_goes_back_to_an_older_version(steps in prop::collection::vec((0..12u64, 0..12u64, any::<bool>()), 1..60)) {
         let mut replica = ConfigReplica::default();
         for (from, to, is_snapshot) in steps {
             let before = replica.version();
