--- a/crates/types/src/boot_clock.rs
+++ b/crates/types/src/boot_clock.rs
@@ -1,12 +1,12 @@
-//! The clock that every daemon's beliefs age by.
+//! The clock by which every daemon measures the age of what it knows.
 
 use crate::TimeMs;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The time since the machine's start, its suspensions and those of its VM included
-/// (`CLOCK_BOOTTIME`). The steady clock, by which timers go, leaves them out.
+/// Returns the time since the machine's start, including the time in which the machine or its VM was
+/// suspended (`CLOCK_BOOTTIME`). The monotonic clock, which timers use, does not count suspensions.
 pub fn boot_time() -> TimeMs {
     let now = clock_gettime(ClockId::Boottime);
-    // The time since the start is never negative.
+    // The time since the machine's start is never negative.
     TimeMs(now.tv_sec as u64 * 1_000 + now.tv_nsec as u64 / 1_000_000)
 }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -18,7 +18,7 @@
                 Self(Arc::from(text.as_ref()))
             }
 
-            /// The identifier as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -58,7 +58,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number that follows this one.
+            /// Returns the next number.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -71,7 +71,7 @@
     ClassName
 );
 text_id!(
-    /// A customer of the operators.
+    /// A customer, identified by its keys.
     CustomerId
 );
 text_id!(
@@ -79,11 +79,11 @@
     DataCentreId
 );
 text_id!(
-    /// An endpoint: one start of a worker of a service, a model engine or a plain worker.
+    /// An endpoint: one incarnation of a service's worker, which is a model engine or a plain worker.
     EndpointId
 );
 text_id!(
-    /// A caller's own key for a call that may not run twice.
+    /// A key that a client chooses for a call that must not run twice.
     IdempotencyKey
 );
 text_id!(
@@ -91,11 +91,12 @@
     KindName
 );
 text_id!(
-    /// A model that callers ask for by name.
+    /// A model that clients request by name.
     ModelName
 );
 text_id!(
-    /// An operator's operation, chosen by the operator's client, safe to send twice.
+    /// An operator's operation. The operator's client chooses the identifier, so that the operation can
+    /// be sent again without running twice.
     OperationId
 );
 text_id!(
@@ -103,7 +104,7 @@
     OperatorName
 );
 text_id!(
-    /// A region: data centres that lie together, such as `mu-central`.
+    /// A region: a group of data centres, such as `mu-central`.
     RegionId
 );
 text_id!(
@@ -116,23 +117,23 @@
 );
 
 number_id!(
-    /// The number of one try to run a request; the first is 0.
+    /// The number of an attempt to run a request; the first is 0.
     AttemptNumber
 );
 number_id!(
-    /// The version of the configuration; it only rises.
+    /// The version of the configuration; it only increases.
     ConfigVersion
 );
 number_id!(
-    /// A fencing token: the revision of the lease under which an order is given.
+    /// A fencing token: the revision of the lease under which an order is sent.
     FenceToken
 );
 number_id!(
-    /// Distinguishes successive lives of a VM under one name or address.
+    /// Distinguishes successive incarnations of a VM under one name or address.
     Incarnation
 );
 
-/// A request's identifier: unique over all daemons, shown to the caller.
+/// A request's identifier: unique across all daemons, shown to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u128);
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, sizes, rates and outcomes that every bridgevane package shares.
+//! Identifiers, sizes, rates and outcomes that all bridgevane packages share.
 //!
-//! Every identifier, size and rate is a newtype with `Display` and `FromStr`,
-//! so that a value of one meaning can't be passed where another is expected.
+//! Every identifier, size and rate is a newtype with `Display` and `FromStr`, so that the compiler
+//! rejects a value of one kind where another kind is expected.
 
 mod boot_clock;
 mod ids;
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request, in the words that callers read.
+//! The outcome of a request, in the words that clients get.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -7,13 +7,13 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It is proved that no engine ran any part of it.
+    /// No engine ran any part of the request; this is certain.
     #[display("not-run")]
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     #[display("unknown")]
     Unknown,
-    /// It ran, at least in part.
+    /// The request ran, at least in part.
     #[display("ran")]
     Ran,
 }
@@ -36,16 +36,16 @@
     /// No engine can serve the request's model now.
     #[display("no_engine")]
     NoEngine,
-    /// The engines find fault with the request.
+    /// An engine rejected the request as invalid.
     #[display("rejected")]
     Rejected,
-    /// Engines have ended under the request, or under an equal one before.
+    /// Engines crashed while they ran the request or an earlier request with the same fingerprint.
     #[display("ends_engines")]
     EndsEngines,
     /// Attempts failed and no retry is left.
     #[display("retries_exhausted")]
     RetriesExhausted,
-    /// The call may not be repeated and its outcome isn't known.
+    /// The outcome of the call is unknown, and the call must not be repeated.
     #[display("outcome_unknown")]
     OutcomeUnknown,
     /// The VM is leaving and takes no new work.
--- a/crates/types/src/request_fingerprint.rs
+++ b/crates/types/src/request_fingerprint.rs
@@ -1,36 +1,36 @@
-//! What makes two requests equal, whoever sends them and however often: customer, method, path and
-//! body. Two tries of a client have identifiers of their own, and the same fingerprint.
+//! The fingerprint of a request: a hash of its customer, method, path and body. Repetitions of a
+//! request by a client have different identifiers and the same fingerprint.
 
 use crate::CustomerId;
 use derive_more::{Display, Error};
 use std::str::FromStr;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// Hexadecimal digits of [`RequestFingerprint::customer`].
+/// The number of hexadecimal digits of [`RequestFingerprint::customer`].
 const CUSTOMER_DIGITS: usize = 8;
-/// Hexadecimal digits of [`RequestFingerprint::content`].
+/// The number of hexadecimal digits of [`RequestFingerprint::content`].
 const CONTENT_DIGITS: usize = 16;
 
-/// A request's identity across tries, the same on every daemon.
+/// The identity of a request across repetitions, the same on every daemon.
 ///
-/// The customer has bits of its own: whoever makes up content whose hash is another's can meet only
-/// equal content of its own customer. The hash isn't cryptographic.
+/// The customer has separate bits, because the hash isn't cryptographic: a client that constructs
+/// content with the hash of other content can collide only with requests of the same customer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[display("{customer:08x}{content:016x}")]
 pub struct RequestFingerprint {
-    /// Upper half of a hash of the customer; 0 where the route needs no key.
+    /// Upper half of a hash of the customer; 0 if the route needs no key.
     pub customer: u32,
     /// Hash of method, path and body.
     pub content: u64,
 }
 
 impl RequestFingerprint {
-    /// The fingerprint of a request that was read as a whole.
+    /// Computes the fingerprint of a request whose body was read completely.
     pub fn new(customer: Option<&CustomerId>, method: &str, path: &str, body: &[u8]) -> Self {
         let customer = customer.map_or(0, |id| (xxh3_64(id.as_str().as_bytes()) >> 32) as u32);
         let mut content = Xxh3::new();
         content.update(method.as_bytes());
-        // No method and no path holds a blank.
+        // Neither a method nor a path contains a space, so the space separates them.
         content.update(b" ");
         content.update(path.as_bytes());
         content.update(b" ");
@@ -42,7 +42,7 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The error for a text that isn't a fingerprint.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("a fingerprint has 24 hexadecimal digits")]
 pub struct NoFingerprint;
--- a/crates/types/src/sizes.rs
+++ b/crates/types/src/sizes.rs
@@ -3,7 +3,7 @@
 use derive_more::{Add, AddAssign, Display, From, FromStr, Into, Sub, Sum};
 use serde::{Deserialize, Serialize};
 
-/// Declares a count of something.
+/// Declares an integer count.
 macro_rules! count {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
         $(#[$doc])*
@@ -34,27 +34,27 @@
     Bytes, u64
 );
 count!(
-    /// A number of model tokens; a plain call counts as one.
+    /// A number of model tokens; a plain call counts as one token.
     Tokens, u64
 );
 count!(
-    /// Requests that an engine runs at the same time.
+    /// The number of requests that an engine runs at the same time.
     Slots, u32
 );
 count!(
-    /// A class's tier: 0 is the most important.
+    /// A class's tier; 0 is the highest priority.
     Tier, u8
 );
 ratio!(
-    /// Bytes a second.
+    /// Bytes per second.
     BytesPerSecond
 );
 ratio!(
-    /// Calls a second.
+    /// Calls per second.
     CallsPerSecond
 );
 ratio!(
-    /// Requests a second.
+    /// Requests per second.
     RequestsPerSecond
 );
 ratio!(
@@ -62,6 +62,6 @@
     Share
 );
 ratio!(
-    /// Tokens a second.
+    /// Tokens per second.
     TokensPerSecond
 );
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Moments and durations in milliseconds, passed into the pure decisions.
+//! Points in time and durations in milliseconds, which are passed to the pure decision code.
 
 use derive_more::{Add, AddAssign, Display, From, FromStr, Into, Sub, Sum};
 use serde::{Deserialize, Serialize};
@@ -29,18 +29,18 @@
 pub struct DurationMs(pub u64);
 
 impl DurationMs {
-    /// The duration as a standard one.
+    /// Converts to a standard duration.
     pub fn as_std(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
 
-    /// Whole seconds, rounded up and at least one: the unit of `Retry-After`.
+    /// Converts to whole seconds for `Retry-After`, rounded up and at least 1.
     pub fn as_retry_after_s(self) -> u64 {
         self.0.div_ceil(1000).max(1)
     }
 }
 
-/// A moment: milliseconds since the process's own origin. It never runs backwards.
+/// A point in time in milliseconds since an origin chosen by the process. It never decreases.
 #[derive(
     Clone,
     Copy,
@@ -62,7 +62,7 @@
 pub struct TimeMs(pub u64);
 
 impl TimeMs {
-    /// The time that passed since `earlier`; zero when `earlier` is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: TimeMs) -> DurationMs {
         DurationMs(self.0.saturating_sub(earlier.0))
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// A moment of the wall clock: milliseconds since the beginning of 1970.
+/// A wall-clock time in milliseconds since the Unix epoch.
 #[derive(
     Clone,
     Copy,
@@ -98,7 +98,7 @@
 pub struct WallTimeMs(pub u64);
 
 impl WallTimeMs {
-    /// The time that passed since `earlier`; zero when `earlier` is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: WallTimeMs) -> DurationMs {
         DurationMs(self.0.saturating_sub(earlier.0))
     }
