--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,20 +1,20 @@
-//! Reading and checking the document: what the format alone can't express.
+//! Reads a document and checks rules that its format can't express.
 
 use crate::document::{Document, ServiceKind};
 use crate::problem::{ConfigProblem, ConfigProblems};
 use std::collections::BTreeMap;
 
-/// The most that all minimum shares may add up to: the rest of a pool goes by tier. Not measured,
-/// chosen because more would turn the order by tier round.
+/// The maximum sum of all minimum shares. The rest of a pool is allocated by tier; with a larger sum,
+/// the minimum shares would override the order by tier.
 const MAX_SHARE_SUM: f64 = 0.5;
-/// Hex digits of a key digest, from the 128 bits of its hash.
+/// The number of hex digits of a key digest, which is a 128-bit hash.
 const DIGEST_LEN: usize = 32;
 
 impl Document {
     /// Reads and checks `text`.
     ///
     /// # Errors
-    /// Every problem found: where it is, what it is, and what would be right.
+    /// [`ConfigProblems`] with the place, description and remedy of every problem.
     pub fn parse(text: &str) -> Result<Self, ConfigProblems> {
         let document: Document = toml::from_str(text).map_err(|error| ConfigProblems {
             problems: vec![ConfigProblem::from_toml(text, &error)],
@@ -23,12 +23,12 @@
         Ok(document)
     }
 
-    /// Checks what the format alone can't express.
+    /// Checks rules that the format can't express.
     ///
     /// # Errors
-    /// Every problem found.
+    /// [`ConfigProblems`] with every problem.
     pub fn check(&self) -> Result<(), ConfigProblems> {
-        let problems = problems(self);
+        let problems = find_problems(self);
         if problems.is_empty() {
             return Ok(());
         }
@@ -36,8 +36,8 @@
     }
 }
 
-/// Every problem of `document`.
-fn problems(document: &Document) -> Vec<ConfigProblem> {
+/// Returns every problem of `document`.
+fn find_problems(document: &Document) -> Vec<ConfigProblem> {
     let mut found = Vec::new();
     check_classes(document, &mut found);
     check_customers(document, &mut found);
@@ -52,15 +52,15 @@
         found.push(ConfigProblem::new(
             "class".into(),
             "no class is declared".into(),
-            "declare at least one, for instance [class.booking]",
+            "declare at least one class, for example [class.booking]",
         ));
     }
     for (name, class) in &document.class {
         if class.first_token_target_ms.0 == 0 {
             found.push(ConfigProblem::new(
                 format!("class.{name}.first_token_target_ms"),
-                "the target is 0".into(),
-                "give milliseconds of at least 1",
+                "the first-token target is 0 ms".into(),
+                "set it to at least 1 ms",
             ));
         }
         check_fraction(format!("class.{name}.min_share"), class.min_share.0, found);
@@ -70,8 +70,8 @@
     if sum > MAX_SHARE_SUM {
         found.push(ConfigProblem::new(
             "class.*.min_share".into(),
-            format!("the minimum shares add up to {sum:.2}"),
-            format!("keep their sum at {MAX_SHARE_SUM} or less"),
+            format!("the minimum shares of all classes add up to {sum:.2}"),
+            format!("lower their sum to {MAX_SHARE_SUM} or less"),
         ));
     }
 }
@@ -82,8 +82,8 @@
     }
     found.push(ConfigProblem::new(
         place,
-        format!("{value} is not a share"),
-        "give a number from 0 to 1",
+        format!("{value} is not between 0 and 1"),
+        "set a number from 0 to 1",
     ));
 }
 
@@ -93,8 +93,8 @@
         if !document.kind.contains_key(&customer.default_kind) {
             found.push(ConfigProblem::new(
                 format!("customer.{name}.default_kind"),
-                format!("there is no kind '{}'", customer.default_kind),
-                known("kinds", document.kind.keys()),
+                format!("kind '{}' is not declared", customer.default_kind),
+                list_declared("kinds", document.kind.keys()),
             ));
         }
         for digest in &customer.key_digest {
@@ -102,15 +102,15 @@
             if digest.len() != DIGEST_LEN || !is_hex {
                 found.push(ConfigProblem::new(
                     format!("customer.{name}.key_digest"),
-                    "not a key digest".into(),
-                    format!("give {DIGEST_LEN} hex digits, as `bridgevane check --digest` prints"),
+                    "a value in the list is not a key digest".into(),
+                    format!("use {DIGEST_LEN} hex digits, as `bridgevane check --digest` prints"),
                 ));
             }
             if let Some(other) = owner_of_digest.insert(digest, name) {
                 found.push(ConfigProblem::new(
                     format!("customer.{name}.key_digest"),
-                    format!("customer '{other}' has the same key"),
-                    "give each customer keys of its own",
+                    format!("customer '{other}' has the same key digest"),
+                    "use different keys for each customer",
                 ));
             }
         }
@@ -122,16 +122,16 @@
         if !document.class.contains_key(&kind.class) {
             found.push(ConfigProblem::new(
                 format!("kind.{name}.class"),
-                format!("there is no class '{}'", kind.class),
-                known("classes", document.class.keys()),
+                format!("class '{}' is not declared", kind.class),
+                list_declared("classes", document.class.keys()),
             ));
         }
         for customer in &kind.customers {
             if !document.customer.contains_key(customer) {
                 found.push(ConfigProblem::new(
                     format!("kind.{name}.customers"),
-                    format!("there is no customer '{customer}'"),
-                    known("customers", document.customer.keys()),
+                    format!("customer '{customer}' is not declared"),
+                    list_declared("customers", document.customer.keys()),
                 ));
             }
         }
@@ -144,16 +144,16 @@
         if service.kind == ServiceKind::Model && service.models.is_empty() {
             found.push(ConfigProblem::new(
                 format!("service.{name}.models"),
-                "a pool of model engines names no model".into(),
-                "list the models that callers may name",
+                "the service is a pool of model engines but lists no model".into(),
+                "list the models that clients may request",
             ));
         }
         for model in &service.models {
             if let Some(other) = service_of_model.insert(model, name) {
                 found.push(ConfigProblem::new(
                     format!("service.{name}.models"),
-                    format!("model '{model}' is served by '{other}' too"),
-                    "name each model in one service",
+                    format!("model '{model}' is also listed by service '{other}'"),
+                    "list each model in one service only",
                 ));
             }
         }
@@ -161,8 +161,8 @@
             if config.slots.0 == 0 {
                 found.push(ConfigProblem::new(
                     format!("service.{name}.engine.{engine}.slots"),
-                    "the engine has no slot".into(),
-                    "give at least 1, or set drained = true",
+                    "the engine has 0 slots".into(),
+                    "set at least 1; to send the engine no new work, set drained = true",
                 ));
             }
         }
@@ -170,8 +170,8 @@
             if !document.class.contains_key(&route.class) {
                 found.push(ConfigProblem::new(
                     format!("service.{name}.route.{index}.class"),
-                    format!("there is no class '{}'", route.class),
-                    known("classes", document.class.keys()),
+                    format!("class '{}' is not declared", route.class),
+                    list_declared("classes", document.class.keys()),
                 ));
             }
         }
@@ -188,30 +188,30 @@
             found.push(ConfigProblem::new(
                 format!("rollout.{model}"),
                 format!("no service serves model '{model}'"),
-                known("models", models),
+                list_declared("models", models),
             ));
         }
         if rollout.batch == 0 {
             found.push(ConfigProblem::new(
                 format!("rollout.{model}.batch"),
-                "no engine would ever change".into(),
-                "give at least 1",
+                "the batch size is 0, so no engine would change".into(),
+                "set it to at least 1",
             ));
         }
         if rollout.hold_burn > rollout.rollback_burn {
             found.push(ConfigProblem::new(
                 format!("rollout.{model}.hold_burn"),
-                "it is above rollback_burn".into(),
-                "hold at a lower burn rate than the one that takes back",
+                "hold_burn is greater than rollback_burn".into(),
+                "set it to at most rollback_burn",
             ));
         }
     }
 }
 
-fn known<T: std::fmt::Display>(what: &str, names: impl Iterator<Item = T>) -> String {
+fn list_declared<T: std::fmt::Display>(what: &str, names: impl Iterator<Item = T>) -> String {
     let names: Vec<String> = names.take(10).map(|name| name.to_string()).collect();
     if names.is_empty() {
         return format!("no {what} are declared");
     }
-    format!("the {what} are {}", names.join(", "))
+    format!("declared {what}: {}", names.join(", "))
 }
--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -1,8 +1,8 @@
-//! Sections and deltas: what changes travels, not the whole document.
+//! Sections and deltas, so that only the changed part of a document is sent to other daemons.
 //!
-//! A document of the design size is some 150 KB; at 2,900 changes a day, sending it
-//! whole would take 5 KB/s of each daemon's 2 KB/s. A section is one class, customer,
-//! kind or service; a delta holds the sections that changed.
+//! A document of the design size has about 150 KB. At 2,900 changes a day, sending the whole
+//! document would take 5 KB/s of the 2 KB/s that each daemon has. A section is one class, customer,
+//! kind, service or rollout; a delta holds the sections that changed.
 
 use crate::document::Document;
 use bridgevane_types::ConfigVersion;
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 
-/// The document cut into sections: path (`customer.ravaton`) to TOML text.
+/// A document split into sections: maps each path (`customer.ravaton`) to TOML text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sections(pub BTreeMap<String, String>);
 
@@ -19,16 +19,16 @@
 pub struct SectionChange {
     /// The section's path.
     pub path: String,
-    /// Its new text; none: it was removed.
+    /// The section's new text; `None` if the section was removed.
     pub text: Option<String>,
 }
 
-/// What leads from one version to a later one.
+/// The changes from one version to a later one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delta {
-    /// The version that it applies to.
+    /// The version that the delta applies to.
     pub from: ConfigVersion,
-    /// The version that it gives.
+    /// The version that results.
     pub to: ConfigVersion,
     /// The changed sections.
     pub changes: Vec<SectionChange>,
@@ -39,23 +39,23 @@
 /// Why a delta or sections can't be used.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum DeltaError {
-    /// The delta starts at another version than the one at hand.
-    #[display("the delta starts at version {from}, version {have} is at hand")]
+    /// The delta applies to another version than the one that is present.
+    #[display("the delta applies to version {from}, but this daemon has version {have}")]
     WrongBase {
-        /// Where the delta starts.
+        /// The version that the delta applies to.
         from: ConfigVersion,
-        /// What is at hand.
+        /// The version that is present.
         have: ConfigVersion,
     },
-    /// The result isn't what the sender had.
-    #[display("the digest of the result differs from the sender's")]
+    /// The result differs from the sender's sections.
+    #[display("the sections after the delta have another digest than the sender's sections")]
     DigestMismatch,
-    /// A section isn't valid TOML of the document.
+    /// The sections don't form a valid document.
     #[display("the sections don't form a valid document")]
     Malformed,
 }
 
-/// Puts or removes one entry of a family of sections.
+/// Inserts, replaces or removes one entry of a family of sections.
 fn put_section<K: Ord + for<'a> From<&'a str>, T: DeserializeOwned>(
     entries: &mut BTreeMap<K, T>,
     name: &str,
@@ -75,11 +75,11 @@
 }
 
 impl Document {
-    /// The document after changes of its sections. Only what changed is read: reading all of a
-    /// document of the design size takes most of what a change costs a daemon.
+    /// Returns the document after changes of its sections. Only the changed sections are parsed:
+    /// parsing a whole document of the design size would be most of the cost of a change.
     ///
     /// # Errors
-    /// [`DeltaError::Malformed`] when the result isn't a checked document.
+    /// [`DeltaError::Malformed`] if the result is not a valid document.
     pub fn changed_by(&self, changes: &[SectionChange]) -> Result<Document, DeltaError> {
         let mut next = self.clone();
         for change in changes {
@@ -100,10 +100,10 @@
 }
 
 impl Sections {
-    /// Cuts `document`.
+    /// Splits `document` into sections.
     ///
     /// # Errors
-    /// [`DeltaError::Malformed`] when the document can't be written as TOML.
+    /// [`DeltaError::Malformed`] if the document can't be written as TOML.
     pub fn of(document: &Document) -> Result<Self, DeltaError> {
         let table = toml::Table::try_from(document).map_err(|_| DeltaError::Malformed)?;
         let mut sections = BTreeMap::new();
@@ -119,10 +119,10 @@
         Ok(Self(sections))
     }
 
-    /// Puts the document together again.
+    /// Joins the sections to a document.
     ///
     /// # Errors
-    /// [`DeltaError::Malformed`] when the sections don't form a checked document.
+    /// [`DeltaError::Malformed`] if the sections don't form a valid document.
     pub fn document(&self) -> Result<Document, DeltaError> {
         let mut table = toml::Table::new();
         for (path, text) in &self.0 {
@@ -139,7 +139,7 @@
         Ok(document)
     }
 
-    /// A digest of all sections.
+    /// Returns a digest of all sections.
     pub fn digest(&self) -> u64 {
         let mut hasher = xxhash_rust::xxh3::Xxh3::new();
         for (path, text) in &self.0 {
@@ -151,7 +151,7 @@
         hasher.digest()
     }
 
-    /// The delta that leads from these sections, of version `from`, to `later` of version `to`.
+    /// Returns the delta from these sections, of version `from`, to `later`, of version `to`.
     pub fn delta_to(&self, later: &Sections, from: ConfigVersion, to: ConfigVersion) -> Delta {
         let removed = self
             .0
@@ -177,10 +177,10 @@
         }
     }
 
-    /// The sections after `delta`.
+    /// Returns the sections after `delta`.
     ///
     /// # Errors
-    /// [`DeltaError::DigestMismatch`] when the result isn't what the sender had.
+    /// [`DeltaError::DigestMismatch`] if the result differs from the sender's sections.
     pub fn apply(&self, delta: &Delta) -> Result<Sections, DeltaError> {
         let mut sections = self.clone();
         for change in &delta.changes {
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! The typed document.
+//! The types of the document.
 
 use bridgevane_types::{
     ClassName, CustomerId, DataCentreId, DurationMs, EndpointId, KindName, ModelName, ServiceName,
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The whole configuration of one user.
+/// The whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Document {
@@ -19,7 +19,7 @@
     pub kind: BTreeMap<KindName, KindConfig>,
     /// Services by name: pools of model engines and plain services.
     pub service: BTreeMap<ServiceName, ServiceConfig>,
-    /// Rollouts of model versions, by model: each data centre carries them out for its engines.
+    /// Rollouts of model versions, by model; each data centre runs them for its own engines.
     pub rollout: BTreeMap<ModelName, RolloutConfig>,
 }
 
@@ -27,20 +27,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutConfig {
-    /// The version before, to which a rollout is taken back.
+    /// The version before the rollout, which a rollback restores.
     pub from_version: u64,
-    /// The version that all engines are to run.
+    /// The version of all engines after the rollout.
     pub to_version: u64,
-    /// Engines of a data centre that change at the same time.
+    /// The number of engines of a data centre that change at the same time.
     #[serde(default = "default_batch")]
     pub batch: usize,
     /// How long each batch is watched before the next one.
     #[serde(default = "default_watch_ms")]
     pub watch_ms: DurationMs,
-    /// Burn rate over five minutes from which on no further batch starts.
+    /// The burn rate over five minutes at and above which no further batch starts.
     #[serde(default = "default_hold_burn")]
     pub hold_burn: f64,
-    /// Burn rate over five minutes from which on everything is taken back.
+    /// The burn rate over five minutes at and above which all engines are rolled back.
     #[serde(default = "default_rollback_burn")]
     pub rollback_burn: f64,
 }
@@ -49,8 +49,8 @@
     1
 }
 
-/// How long a batch of a rollout is watched unless the document says it. Not measured, chosen
-/// because the shortest window of burn must see some of it.
+/// How long a batch of a rollout is watched if the document doesn't set it: long enough for the
+/// shortest burn-rate window to include some of that time.
 const DEFAULT_WATCH: DurationMs = DurationMs(60_000);
 
 fn default_watch_ms() -> DurationMs {
@@ -65,25 +65,25 @@
     10.0
 }
 
-/// A service class: what its requests are promised.
+/// A service class: the targets and priority of its requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassConfig {
-    /// 0 is the most important; work of a higher number makes room for it.
+    /// The tier; 0 is the highest priority and preempts work of higher numbers.
     pub tier: Tier,
-    /// The latest first token, or the latest whole answer of a plain call.
+    /// The target for the time until the first token, or until the whole answer of a plain call.
     pub first_token_target_ms: DurationMs,
-    /// The longest mean gap between tokens of an answer; absent for plain calls.
+    /// The target for the mean time between tokens of an answer; absent for plain calls.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub between_tokens_target_ms: Option<DurationMs>,
-    /// The part of each pool that this class gets at least, however busy higher tiers are.
+    /// The minimum share of each pool for this class, regardless of the load of higher tiers.
     #[serde(default)]
     pub min_share: Share,
-    /// The longest wait before one request of the class at a time gets a slot that no other
-    /// tier can take; absent: four fifths of the first-token target.
+    /// How long a request may wait before one request of the class at a time gets a slot that no
+    /// other tier can use. Absent: four fifths of the first-token target.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_wait_ms: Option<DurationMs>,
-    /// The share of requests to be served within target; the rest is the error budget.
+    /// The share of requests that must meet the target; the rest is the error budget.
     #[serde(default = "default_objective")]
     pub objective: Share,
 }
@@ -98,12 +98,12 @@
 pub struct CustomerConfig {
     /// Hex XXH3-128 digests of the customer's bearer keys; the keys stay out of the document.
     pub key_digest: Vec<String>,
-    /// The kind of a request that names none.
+    /// The kind of a request that doesn't name one.
     pub default_kind: KindName,
-    /// Output tokens a second, averaged over ten seconds; absent: no limit.
+    /// Limit of output tokens per second, averaged over ten seconds. Absent: no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate_limit_tps: Option<TokensPerSecond>,
-    /// Requests in flight in a pool; absent: no limit.
+    /// Limit of concurrent requests in a pool. Absent: no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub concurrency_limit: Option<Slots>,
 }
@@ -114,10 +114,10 @@
 pub struct KindConfig {
     /// The class of requests of this kind.
     pub class: ClassName,
-    /// Customers that may use the kind; empty: all.
+    /// The customers that may use the kind. Empty: all customers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub customers: Vec<CustomerId>,
-    /// Output tokens to expect before any were observed.
+    /// The expected number of output tokens before any request of the kind was observed.
     #[serde(default = "default_expected_tokens")]
     pub expected_tokens: Tokens,
 }
@@ -126,7 +126,7 @@
     Tokens(200)
 }
 
-/// What a service is.
+/// The kind of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
@@ -140,21 +140,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// Model engines or plain workers.
+    /// Whether the service is a pool of model engines or a plain service.
     pub kind: ServiceKind,
-    /// Models that callers may name, served by this pool; empty for plain services.
+    /// The models that the pool serves and clients may request; empty for plain services.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub models: Vec<ModelName>,
     /// Whether the endpoints check fencing tokens of orders.
     #[serde(default)]
     pub checks_fence: bool,
-    /// Whether the endpoints recognise a repeated idempotency key by themselves.
+    /// Whether the endpoints themselves recognise repeated idempotency keys.
     #[serde(default)]
     pub deduplicates: bool,
-    /// The workers.
+    /// The workers of the service.
     #[serde(default)]
     pub engine: BTreeMap<EndpointId, EngineConfig>,
-    /// Routes of a plain service; the longest matching prefix holds.
+    /// Routes of a plain service; the route with the longest matching prefix applies.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub route: Vec<RouteConfig>,
 }
@@ -163,13 +163,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineConfig {
-    /// Its address.
+    /// The worker's address.
     pub address: std::net::SocketAddr,
-    /// Its data centre.
+    /// The worker's data centre.
     pub data_centre: DataCentreId,
-    /// Requests that it can run at the same time.
+    /// The number of requests that the worker can run at the same time.
     pub slots: Slots,
-    /// Drained engines get no new work.
+    /// Whether the worker is drained: it gets no new work.
     #[serde(default)]
     pub drained: bool,
 }
@@ -178,17 +178,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteConfig {
-    /// Path prefix below the service, such as `/bookings`.
+    /// The path prefix below the service, such as `/bookings`.
     pub prefix: String,
-    /// Class of calls on the route.
+    /// The class of calls on the route.
     pub class: ClassName,
-    /// Whether a call may be sent again when its outcome isn't known.
+    /// Whether a call may be retried when its outcome is unknown.
     #[serde(default)]
     pub repeatable: bool,
 }
 
 impl Document {
-    /// The service whose engines serve `model`.
+    /// Returns the service whose engines serve `model`.
     pub fn service_of_model(&self, model: &str) -> Option<(&ServiceName, &ServiceConfig)> {
         self.service
             .iter()
@@ -197,7 +197,7 @@
 }
 
 impl ServiceConfig {
-    /// The route of `path`: the longest prefix that matches.
+    /// Returns the route with the longest prefix of `path`.
     pub fn route_of(&self, path: &str) -> Option<&RouteConfig> {
         self.route
             .iter()
--- a/crates/config/src/envelope.rs
+++ b/crates/config/src/envelope.rs
@@ -1,17 +1,16 @@
-//! What the platform's key-value service holds under the configuration's key.
+//! The value of the configuration's key in the platform's key-value service.
 //!
-//! One value with the document, its version and the latest operations. Because the
-//! operations travel with the document in one compare-and-swap, reading the value
-//! tells whether an operation took effect, also after its answer was lost.
+//! The value holds the document, its version and the latest operations. One compare-and-swap writes
+//! the operation together with the document, so the value shows whether an operation took effect,
+//! even if the answer to its write was lost.
 
 use crate::document::Document;
 use bridgevane_types::{ConfigVersion, OperationId, OperatorName};
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Operations that the envelope remembers. At 2,900 changes a day this is some two hours. Not
-/// measured, chosen because it is about two hours of the changes to design for, and 28 KB
-/// (docs/CAPACITY.md).
+/// The number of operations that the envelope remembers: about two hours at the 2,900 changes a day
+/// that the system is designed for, in 28 KB. See docs/CAPACITY.md.
 const MAX_OPERATIONS: usize = 256;
 
 /// An operation that was accepted.
@@ -19,18 +18,18 @@
 pub struct AcceptedOperation {
     /// The operation's identifier, chosen by the operator's client.
     pub operation_id: OperationId,
-    /// Who asked for it.
+    /// The operator who requested the operation.
     pub operator: OperatorName,
-    /// The version that it made.
+    /// The version that the operation created.
     pub version: ConfigVersion,
-    /// What it changed, as section paths.
+    /// The paths of the changed sections.
     pub changed: Vec<String>,
 }
 
-/// The configuration as the key-value service holds it.
+/// The configuration as stored in the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The version; each accepted change adds one.
+    /// The version; each accepted change increments it.
     pub version: ConfigVersion,
     /// The latest accepted operations, oldest first.
     pub operation: Vec<AcceptedOperation>,
@@ -42,26 +41,26 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("the stored configuration can't be read: {reason}")]
 pub struct EnvelopeError {
-    /// What the parser said.
+    /// The message of the parser or of the check.
     pub reason: String,
 }
 
-/// What is known of an operation.
+/// Whether an operation took effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperationStatus {
-    /// It took effect and made this version.
+    /// The operation took effect and created this version.
     TookEffect(ConfigVersion),
-    /// It did not take effect.
+    /// The operation did not take effect.
     DidNot,
-    /// It is older than what the envelope remembers.
+    /// The operation may be older than the operations that the envelope remembers.
     TooOldToTell,
 }
 
 impl Envelope {
-    /// Reads the stored text.
+    /// Parses the stored text.
     ///
     /// # Errors
-    /// [`EnvelopeError`] when it isn't an envelope with a valid document.
+    /// [`EnvelopeError`] if the text isn't an envelope with a valid document.
     pub fn parse(text: &str) -> Result<Self, EnvelopeError> {
         let envelope: Envelope = toml::from_str(text).map_err(|error| EnvelopeError {
             reason: error.message().to_owned(),
@@ -72,17 +71,17 @@
         Ok(envelope)
     }
 
-    /// The text to store.
+    /// Returns the text to store.
     ///
     /// # Errors
-    /// [`EnvelopeError`] when the document can't be written as TOML.
+    /// [`EnvelopeError`] if the document can't be written as TOML.
     pub fn to_text(&self) -> Result<String, EnvelopeError> {
         toml::to_string(self).map_err(|error| EnvelopeError {
             reason: error.to_string(),
         })
     }
 
-    /// The envelope after `operation_id` replaced the document.
+    /// Returns the next envelope, in which the operation replaced the document.
     pub fn succeed(
         &self,
         document: Document,
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Whether `operation_id`, first proposed on top of `base`, took effect.
+    /// Returns whether `operation_id`, first proposed as a change of version `base`, took effect.
     pub fn status_of(&self, operation_id: &OperationId, base: ConfigVersion) -> OperationStatus {
         let found = self
             .operation
@@ -127,7 +126,8 @@
         OperationStatus::TooOldToTell
     }
 
-    /// The operations accepted after `base`: what the answer to a losing operator lists.
+    /// Returns the operations accepted after `base`. The answer to an operator whose change conflicts
+    /// with them lists them.
     pub fn since(&self, base: ConfigVersion) -> &[AcceptedOperation] {
         let start = self.operation.partition_point(|o| o.version <= base);
         &self.operation[start..]
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' configuration document: its format, checks, sections and deltas.
 //!
-//! The document is TOML. [`Document::parse`] reads and checks it and reports every
-//! problem at once. [`Envelope`] is what the platform's key-value service holds: the
-//! document with its version and the operations that made it.
+//! The document is TOML. [`Document::parse`] reads and checks it and reports all problems at once.
+//! [`Envelope`] is the value in the platform's key-value service: the document with its version and
+//! the latest operations that changed it.
 
 mod check;
 mod delta;
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a document: every problem with its place and what would be right.
+//! The problems of a document, each with its place, a description and a remedy.
 
 use derive_more::{Display, Error};
 
@@ -6,11 +6,11 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{place}: {what}; {remedy}")]
 pub struct ConfigProblem {
-    /// Where: a line and column, or the path of the field.
+    /// The place: a line and column, or the path of the field.
     pub place: String,
-    /// What is wrong.
+    /// A description of the problem.
     pub what: String,
-    /// What would be right.
+    /// How to correct the problem.
     pub remedy: String,
 }
 
--- a/crates/config/tests/document.rs
+++ b/crates/config/tests/document.rs
@@ -1,4 +1,4 @@
-//! The document's checks, deltas and envelope, and the users' examples.
+//! Tests of the document's checks, deltas and envelope, and of the example documents.
 
 use bridgevane_config::{Delta, DeltaError, Document, Envelope, OperationStatus, Sections};
 use bridgevane_types::{ConfigVersion, DurationMs, OperationId, Tier};
@@ -11,8 +11,9 @@
     Document::parse(SOLCATA).expect("the example is valid")
 }
 
+/// Guards against a change of the format that makes the example documents invalid or drops entries.
 #[test]
-fn the_users_examples_are_valid_and_of_the_sizes_of_today() {
+fn the_example_documents_are_valid_and_have_the_expected_sizes() {
     let ravaton = Document::parse(RAVATON).expect("the example is valid");
     assert_eq!(ravaton.customer.len(), 10);
     assert_eq!(ravaton.service["tutor-model"].engine.len(), 10);
@@ -26,14 +27,16 @@
             .service
             .values()
             .flat_map(|service| service.engine.values());
-        let places: std::collections::BTreeSet<_> =
+        let data_centres: std::collections::BTreeSet<_> =
             engines.map(|engine| engine.data_centre.clone()).collect();
-        assert_eq!(places.len(), 3);
+        assert_eq!(data_centres.len(), 3);
     }
 }
 
+/// Guards against a check that stops at the first problem, and against messages without place,
+/// value or remedy.
 #[test]
-fn every_problem_is_told_at_once_with_what_would_be_right() {
+fn all_problems_are_reported_at_once_with_their_remedies() {
     let text = r#"
 [class.booking]
 tier = 0
@@ -58,21 +61,22 @@
 "#;
     let problems = Document::parse(text).expect_err("there are problems");
     expect![[r#"
-        class.booking.first_token_target_ms: the target is 0; give milliseconds of at least 1
-        class.note.min_share: 1.4 is not a share; give a number from 0 to 1
-        class.*.min_share: the minimum shares add up to 1.80; keep their sum at 0.5 or less
-        customer.x.default_kind: there is no kind 'b'; the kinds are a
-        customer.x.key_digest: not a key digest; give 32 hex digits, as `bridgevane check --digest` prints
-        kind.a.class: there is no class 'bookings'; the classes are booking, note
-        kind.a.customers: there is no customer 'nobody'; the customers are x
-        service.s.models: a pool of model engines names no model; list the models that callers may name
-        service.s.engine.e.slots: the engine has no slot; give at least 1, or set drained = true
+        class.booking.first_token_target_ms: the first-token target is 0 ms; set it to at least 1 ms
+        class.note.min_share: 1.4 is not between 0 and 1; set a number from 0 to 1
+        class.*.min_share: the minimum shares of all classes add up to 1.80; lower their sum to 0.5 or less
+        customer.x.default_kind: kind 'b' is not declared; declared kinds: a
+        customer.x.key_digest: a value in the list is not a key digest; use 32 hex digits, as `bridgevane check --digest` prints
+        kind.a.class: class 'bookings' is not declared; declared classes: booking, note
+        kind.a.customers: customer 'nobody' is not declared; declared customers: x
+        service.s.models: the service is a pool of model engines but lists no model; list the models that clients may request
+        service.s.engine.e.slots: the engine has 0 slots; set at least 1; to send the engine no new work, set drained = true
     "#]]
     .assert_eq(&format!("{problems}\n"));
 }
 
+/// Guards against an error without the line and column, or without the name of an unknown field.
 #[test]
-fn a_format_error_names_its_place() {
+fn a_format_error_names_its_line_and_column() {
     let text = "[class.a]\ntier = 0\nfirst_token_target_ms = \"soon\"\n";
     let problems = Document::parse(text).expect_err("not a number");
     expect![[r#"line 3, column 25: invalid type: string "soon", expected u64; see docs/CONFIGURATION.md for the fields of each table"#]]
@@ -85,16 +89,22 @@
     );
 }
 
+/// Guards against content that is lost when a document is split into sections and sent.
 #[test]
-fn sections_put_together_give_the_document_again() {
+fn sections_join_to_the_same_document() {
     for document in [solcata(), Document::parse(RAVATON).expect("valid")] {
-        let sections = Sections::of(&document).expect("it can be cut");
-        assert_eq!(sections.document().expect("it can be joined"), document);
+        let sections = Sections::of(&document).expect("the document can be split");
+        assert_eq!(
+            sections.document().expect("the sections can be joined"),
+            document
+        );
     }
 }
 
+/// Guards against deltas that send unchanged sections, and against daemons that end with different
+/// configurations of the same version.
 #[test]
-fn a_delta_holds_what_changed_and_refuses_another_base() {
+fn a_delta_holds_only_the_changes_and_does_not_apply_to_other_sections() {
     let before = Sections::of(&solcata()).expect("sections");
     let mut document = solcata();
     document.class.get_mut("field-note").expect("a class").tier = Tier(7);
@@ -107,8 +117,10 @@
         .map(|change| change.path.as_str())
         .collect();
     assert_eq!(paths, ["customer.head-office", "class.field-note"]);
-    assert_eq!(before.apply(&delta).expect("it fits"), after);
-    let changed = solcata().changed_by(&delta.changes).expect("it fits");
+    assert_eq!(before.apply(&delta).expect("the delta applies"), after);
+    let changed = solcata()
+        .changed_by(&delta.changes)
+        .expect("the changes apply");
     assert_eq!(changed, document);
     assert_eq!(Sections::of(&changed).expect("sections"), after);
     let bytes: usize = delta
@@ -132,8 +144,10 @@
     assert_eq!(before.apply(&empty), Err(DeltaError::DigestMismatch));
 }
 
+/// An operator whose answer was lost asks again. The answer must be exact, or say that it is too late
+/// to know; a wrong answer would repeat or lose a change.
 #[test]
-fn the_envelope_tells_what_became_of_an_operation() {
+fn the_envelope_shows_whether_an_operation_took_effect() {
     let mut envelope = Envelope {
         version: ConfigVersion(1),
         operation: Vec::new(),
@@ -157,7 +171,7 @@
         envelope.status_of(&id(9_999), ConfigVersion(399)),
         OperationStatus::DidNot
     );
-    // Too long ago to tell: never guessed.
+    // Operation 2 is no longer remembered, so its status is reported as unknown.
     assert_eq!(
         envelope.status_of(&id(2), ConfigVersion(1)),
         OperationStatus::TooOldToTell
@@ -168,7 +182,10 @@
         .map(|o| o.version.0)
         .collect();
     assert_eq!(since, [399, 400]);
-    let text = envelope.to_text().expect("it can be written");
-    assert_eq!(Envelope::parse(&text).expect("it can be read"), envelope);
+    let text = envelope.to_text().expect("the envelope can be written");
+    assert_eq!(
+        Envelope::parse(&text).expect("the envelope can be parsed"),
+        envelope
+    );
     assert!(Envelope::parse("version = \"x\"").is_err());
 }
