--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -1,4 +1,4 @@
-//! What a model engine gives: generation, load reports, cache events, fenced orders.
+//! The interface of a model engine: generation, load reports, cache events and fenced orders.
 
 use bridgevane_types::{
     AttemptNumber, DurationMs, FenceToken, ModelName, RequestId, Slots, Tier, Tokens,
@@ -8,29 +8,29 @@
 use serde::{Deserialize, Serialize};
 use std::future::Future;
 
-/// A call to generate.
+/// A call that generates an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GenerateCall {
     /// The request, as text on the wire.
     #[serde(with = "request_text")]
     pub request: RequestId,
-    /// Which try it is.
+    /// The attempt's number.
     pub attempt: AttemptNumber,
-    /// 0 is served first.
+    /// The priority; 0 is the highest.
     pub priority: Tier,
     /// The model.
     pub model: ModelName,
     /// The prompt.
     pub prompt: String,
-    /// The longest answer.
+    /// The maximum length of the answer.
     pub max_tokens: Tokens,
-    /// Tokens that were delivered already; generation goes on after them.
+    /// The number of tokens that were delivered already; generation continues after them.
     pub resume_from: Tokens,
-    /// The text of those tokens.
+    /// The text of the tokens that were delivered already.
     pub delivered_text: String,
 }
 
-/// A request's identifier as text.
+/// Serialises a request's identifier as text.
 mod request_text {
     use bridgevane_types::RequestId;
     use serde::{Deserialize, Deserializer, Serializer};
@@ -45,27 +45,27 @@
     }
 }
 
-/// A piece of an answer.
+/// A part of an answer: one token or the end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
-    /// The request that it belongs to.
+    /// The request that the piece belongs to.
     #[serde(with = "request_text")]
     pub request: RequestId,
-    /// The attempt that it belongs to.
+    /// The attempt that the piece belongs to.
     pub attempt: AttemptNumber,
-    /// Tokens before it.
+    /// The number of tokens before the piece.
     pub offset: Tokens,
-    /// Content.
+    /// The piece's content.
     pub event: PieceEvent,
 }
 
-/// What a piece says.
+/// The content of a piece.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PieceEvent {
-    /// One token's text.
+    /// The text of one token.
     Token(String),
-    /// The answer is whole.
+    /// The answer is complete.
     End(EndReason),
 }
 
@@ -73,10 +73,10 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
-    /// The model was done.
+    /// The model ended the answer.
     #[display("stop")]
     Stop,
-    /// The longest length was reached.
+    /// The maximum length was reached.
     #[display("length")]
     Length,
 }
@@ -87,71 +87,71 @@
     /// No connection was made: nothing ran.
     #[display("the engine was not reached")]
     NotReached,
-    /// The engine takes no work now: nothing ran.
+    /// The engine takes no work at present: nothing ran.
     #[display("the engine takes no work now")]
     Unavailable,
-    /// The engine finds fault with the request: nothing ran, and no engine would run it.
+    /// The request is invalid: nothing ran, and every engine would reject it.
     #[display("the engine rejected the request")]
     Rejected,
-    /// The stream or answer broke off.
-    #[display("the answer was cut")]
+    /// The connection ended before the answer was complete, or the engine failed.
+    #[display("the engine's answer ended early")]
     Cut,
-    /// The engine answered something that can't be read.
+    /// The engine's answer can't be decoded.
     #[display("the engine's answer can't be read")]
     Malformed,
-    /// The engine can't do what was asked.
+    /// The engine doesn't support the call.
     #[display("the engine doesn't support the call")]
     Unsupported,
 }
 
-/// An engine's load, as of an earlier moment.
+/// An engine's load at an earlier time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// How old the report is when it is given.
+    /// The report's age when it is sent.
     pub age_ms: DurationMs,
-    /// Rises with each report.
+    /// Sequence number, which increases with each report.
     pub sequence: u64,
-    /// Requests that run.
+    /// The number of requests that are running.
     pub running: Slots,
-    /// Requests that wait inside the engine.
+    /// The number of requests that wait inside the engine.
     pub waiting: Slots,
-    /// Requests that it can run.
+    /// The number of requests that the engine can run at the same time.
     pub slots: Slots,
 }
 
 /// A change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Rises by one with each event; a jump is a gap.
+    /// Sequence number, which increases by one with each event; a larger step means lost events.
     pub sequence: u64,
-    /// The block, as the hash of the chain that ends with it.
+    /// The hash of the chain of blocks that ends with the changed block.
     pub block: u64,
-    /// What became of it.
+    /// The change of the block.
     pub change: CacheChange,
 }
 
-/// What became of a cached block.
+/// The change of a block in the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// It is in the cache.
+    /// The block was added to the cache.
     Stored,
-    /// It was dropped.
+    /// The block was removed from the cache.
     Evicted,
 }
 
 /// An order with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// An endpoint that checks refuses a lower token than any it has seen.
+    /// The fencing token; an endpoint that checks tokens refuses one lower than the highest it got.
     pub fence: FenceToken,
-    /// The generation of the desired state: an endpoint keeps the highest.
+    /// The generation of the desired state; an endpoint keeps the state with the highest generation.
     pub generation: u64,
     /// The order.
     pub order: Order,
 }
 
-/// The state that an engine is ordered to take.
+/// The desired state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
@@ -159,26 +159,26 @@
     LoadModel {
         /// The model.
         model: ModelName,
-        /// Its version.
+        /// The model's version.
         model_version: u64,
-        /// Ticket of the weight store.
+        /// The ticket of the weight store.
         ticket: String,
     },
 }
 
-/// What an engine answers to an order.
+/// The answer of an engine to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderReply {
-    /// It is, or already was, as ordered.
+    /// The engine is in the ordered state.
     Done,
-    /// The fencing token or generation is older than one seen.
+    /// The fencing token or generation is lower than one that the engine got before.
     Fenced,
 }
 
 /// A model engine.
 pub trait ModelEngine: Send + Sync + 'static {
-    /// The stream of an answer's pieces.
+    /// The stream of the pieces of an answer.
     type Pieces: Stream<Item = Result<Piece, EngineCallError>> + Send + Unpin;
 
     /// Starts or resumes an answer.
@@ -194,16 +194,16 @@
         attempt: AttemptNumber,
     ) -> impl Future<Output = Result<(), EngineCallError>> + Send;
 
-    /// Reads the lagged load report.
+    /// Reads the load report, which lags behind the current load.
     fn load(&self) -> impl Future<Output = Result<LoadReport, EngineCallError>> + Send;
 
-    /// Reads cache events after `sequence`.
+    /// Reads the cache events after `sequence`.
     fn cache_events(
         &self,
         sequence: u64,
     ) -> impl Future<Output = Result<Vec<CacheEvent>, EngineCallError>> + Send;
 
-    /// Gives a fenced order.
+    /// Sends a fenced order.
     fn order(
         &self,
         order: FencedOrder,
--- a/crates/adapters/src/http_client.rs
+++ b/crates/adapters/src/http_client.rs
@@ -10,38 +10,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest answer that is read as a whole: values of the platform are up to a megabyte. Not
-/// measured, chosen because a value of the platform's service has up to 1 MB, and JSON may double
-/// it.
+/// The size limit of an answer that is read completely: a value of the platform's key-value service
+/// has up to 1 MB, and its JSON form may have twice that.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// How long a connection may take to open. Not measured, chosen because a lost opening packet is
-/// sent again after a second.
+/// The time limit for opening a connection: a lost SYN packet is sent again after one second.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections kept to one endpoint. Not measured, chosen because it covers the streams that
-/// an engine runs at once.
+/// The number of idle connections kept to one address: enough for the concurrent streams of an engine.
 const MAX_IDLE_PER_HOST: usize = 64;
 
 /// Why an HTTP call failed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum HttpError {
     /// No connection was made: nothing was sent.
-    #[display("no connection")]
+    #[display("could not connect")]
     NotConnected,
-    /// The connection broke after something may have been sent.
-    #[display("the connection broke")]
+    /// The connection failed after data may have been sent.
+    #[display("the connection failed before the answer was complete")]
     Broken,
-    /// No answer in time.
-    #[display("no answer in time")]
+    /// There was no complete answer within the timeout.
+    #[display("no complete answer within the timeout")]
     TimedOut,
-    /// The answer can't be read.
+    /// The answer can't be decoded.
     #[display("the answer can't be read")]
     Malformed,
-    /// The endpoint answered with this status.
-    #[display("status {status}")]
+    /// The answer has an error status.
+    #[display("the answer has HTTP status {status}")]
     Status {
         /// HTTP status code.
         status: u16,
-        /// `retry-after-ms` of the answer, or 0.
+        /// The answer's header `retry-after-ms`, or 0 without one.
         retry_after_ms: u64,
     },
 }
@@ -54,7 +51,7 @@
 }
 
 impl HttpClient {
-    /// A client to `address`.
+    /// Creates a client for `address`.
     pub fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -65,19 +62,19 @@
         Self { client, address }
     }
 
-    /// The address that it calls.
+    /// Returns the address that the client calls.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Starts a request below the address.
+    /// Builds a request to a path at the address.
     pub fn request(&self, method: http::Method, path: &str) -> http::request::Builder {
         http::Request::builder()
             .method(method)
             .uri(format!("http://{}{}", self.address, path))
     }
 
-    /// Sends a request and gives the answer's head and unread body, whatever the status.
+    /// Sends a request and returns the answer's head and unread body, with any status.
     ///
     /// # Errors
     /// [`HttpError::NotConnected`] when nothing was sent, else [`HttpError::Broken`].
@@ -93,7 +90,7 @@
         })
     }
 
-    /// Sends `body` as JSON and gives the answer's head and unread body; statuses of 400 and
+    /// Sends `body` as JSON and returns the answer's head and unread body; statuses of 400 and
     /// above are errors.
     ///
     /// # Errors
@@ -116,7 +113,7 @@
         let retry_after_ms = response
             .headers()
             .get("retry-after-ms")
-            // Without a readable time to come back the caller's own pause holds.
+            // Without a valid retry time, the caller uses its own pause.
             .and_then(|value| value.to_str().ok()?.parse().ok())
             .unwrap_or(0);
         Err(HttpError::Status {
@@ -146,7 +143,7 @@
     }
 }
 
-/// Reads a bounded body.
+/// Reads a body of at most [`MAX_ANSWER_BYTES`] completely.
 pub(crate) async fn read_whole(body: Incoming) -> Result<Bytes, HttpError> {
     let collected = Limited::new(body, MAX_ANSWER_BYTES)
         .collect()
--- a/crates/adapters/src/http_engine.rs
+++ b/crates/adapters/src/http_engine.rs
@@ -1,4 +1,4 @@
-//! A model engine over HTTP: JSON calls, answers as one JSON piece a line.
+//! A model engine over HTTP, with JSON calls. The answer to a generation has one JSON piece per line.
 
 use crate::engine::{
     CacheEvent, EngineCallError, FencedOrder, GenerateCall, LoadReport, ModelEngine, OrderReply,
@@ -16,13 +16,13 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// How long a call with a short answer may take. Not measured; half would fail calls of a busy
-/// engine, twice would hold a pool's reading of its engines up.
+/// The time limit of a call with a short answer. Half of it would fail calls of a busy engine; twice
+/// as much would delay a pool's reading of its engines' load.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest line of an answer. Not measured, chosen because a piece holds one token's text.
+/// The size limit of a line of an answer, which holds the text of one token.
 const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// The engine at an address.
+/// A model engine at an address.
 #[derive(Clone, Debug)]
 pub struct HttpEngine {
     http: HttpClient,
@@ -40,7 +40,7 @@
 }
 
 impl HttpEngine {
-    /// The engine at `address`.
+    /// Creates the adapter for the engine at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             http: HttpClient::new(address),
@@ -62,7 +62,7 @@
     }
 }
 
-/// The pieces of one answer.
+/// The stream of the pieces of one answer.
 #[derive(Debug)]
 pub struct HttpPieces {
     body: BodyStream<Incoming>,
@@ -71,8 +71,8 @@
 }
 
 impl HttpPieces {
-    /// Takes a whole line from the buffer.
-    fn take_line(&mut self) -> Option<Result<Piece, EngineCallError>> {
+    /// Removes the next complete line from the buffer and decodes it.
+    fn next_piece(&mut self) -> Option<Result<Piece, EngineCallError>> {
         let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
         let line = self.buffer.split_to(end);
         self.buffer.advance(1);
@@ -92,7 +92,7 @@
             if self.is_ended {
                 return Poll::Ready(None);
             }
-            if let Some(piece) = self.take_line() {
+            if let Some(piece) = self.next_piece() {
                 return Poll::Ready(Some(piece));
             }
             if self.buffer.len() > MAX_LINE_BYTES {
--- a/crates/adapters/src/http_plain.rs
+++ b/crates/adapters/src/http_plain.rs
@@ -8,18 +8,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a load report may take. Not measured; the same as for engines, since one reading asks
-/// both.
+/// The time limit of a load report; the same as for engines, since one poll reads both.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The worker at an address.
+/// A worker of a plain service at an address.
 #[derive(Clone, Debug)]
 pub struct HttpPlainService {
     http: HttpClient,
 }
 
 impl HttpPlainService {
-    /// The worker at `address`.
+    /// Creates the adapter for the worker at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             http: HttpClient::new(address),
--- a/crates/adapters/src/http_platform.rs
+++ b/crates/adapters/src/http_platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP and JSON: one path a call, documented in docs/PLATFORM.md.
+//! The platform over HTTP and JSON, with one path per call. See docs/PLATFORM.md.
 
 use crate::http_client::{HttpClient, HttpError};
 use crate::platform::{
@@ -9,14 +9,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an ordinary call may take. Not measured, chosen because the service answers in
-/// milliseconds when it is well.
+/// The time limit of a call other than a watch; a healthy service answers within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// What a watch may take beyond its own wait. Not measured, chosen because a slow service may take
-/// as long for any call.
+/// The time limit of a watch beyond its own wait; a slow service may take as long for any call.
 const WATCH_SLACK: Duration = Duration::from_secs(2);
 
-/// The platform at an address.
+/// The platform's services at an address.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     http: HttpClient,
@@ -51,7 +49,7 @@
 }
 
 impl HttpPlatform {
-    /// The platform at `address`.
+    /// Creates the adapter for the platform at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             http: HttpClient::new(address),
@@ -59,7 +57,7 @@
     }
 }
 
-/// Translates what HTTP said into what it means for the call's effect.
+/// Translates an HTTP error into one that states whether the call may have taken effect.
 fn kv_error(error: HttpError) -> KvError {
     match error {
         HttpError::NotConnected => KvError::NotReached,
--- a/crates/adapters/src/lib.rs
+++ b/crates/adapters/src/lib.rs
@@ -1,7 +1,7 @@
 //! Adapters to the platform, model engines and plain services.
 //!
-//! Each outside system stands behind one small trait; the HTTP adapters beside the
-//! traits hold no logic but the translation of calls, answers and errors.
+//! Each external system has one small trait. The HTTP adapters that implement these traits only
+//! translate calls, answers and errors.
 
 mod engine;
 mod http_client;
--- a/crates/adapters/src/plain.rs
+++ b/crates/adapters/src/plain.rs
@@ -1,4 +1,4 @@
-//! What a plain service gives: one answer a call.
+//! The interface of a plain service, which sends one answer per call.
 
 use crate::engine::LoadReport;
 use bridgevane_types::{IdempotencyKey, RequestId};
@@ -9,15 +9,15 @@
 /// A call of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlainCall {
-    /// The request.
+    /// The request's identifier.
     pub request: RequestId,
     /// HTTP method.
     pub method: http::Method,
     /// Path and query below the service.
     pub path: String,
-    /// The caller's key, passed on.
+    /// The client's idempotency key, which is forwarded.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The caller's content type, passed on.
+    /// The client's content type, which is forwarded.
     pub content_type: Option<String>,
     /// Body.
     pub body: Bytes,
@@ -37,10 +37,10 @@
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum PlainCallError {
-    /// No connection was made: it did not run.
+    /// No connection was made: the call did not run.
     #[display("the service was not reached")]
     NotReached,
-    /// The answer was lost: it may have run.
+    /// The answer was lost: the call may have run.
     #[display("the answer was lost, the call may have run")]
     Unknown,
 }
@@ -53,6 +53,6 @@
         call: PlainCall,
     ) -> impl Future<Output = Result<PlainAnswer, PlainCallError>> + Send;
 
-    /// Reads the lagged load report.
+    /// Reads the load report, which lags behind the current load.
     fn load(&self) -> impl Future<Output = Result<LoadReport, PlainCallError>> + Send;
 }
--- a/crates/adapters/src/platform.rs
+++ b/crates/adapters/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform gives: key-value service, VM list and weight store.
+//! The interfaces of the platform: key-value service, VM list and weight store.
 
 use bridgevane_types::{DataCentreId, DurationMs, ModelName, VmId};
 use derive_more::{Display, Error, From, Into};
@@ -6,7 +6,7 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-/// The revision of a key: it rises with every write, over all keys.
+/// The revision of a key. Every write to any key increments the counter of revisions.
 #[derive(
     Clone,
     Copy,
@@ -36,7 +36,7 @@
 pub struct KvValue {
     /// The value as text.
     pub text: String,
-    /// The revision that wrote it.
+    /// The revision of the write that stored the value.
     pub revision: KvRevision,
 }
 
@@ -45,11 +45,11 @@
 pub struct KvCas {
     /// The key.
     pub key: String,
-    /// The revision that the key must have; none: the key must be absent.
+    /// The revision that the key must have; `None` if the key must be absent.
     pub expected: Option<KvRevision>,
-    /// The new value; none: remove the key.
+    /// The new value; `None` removes the key.
     pub text: Option<String>,
-    /// The lease whose end removes the key.
+    /// The lease whose end removes the key, if any.
     pub lease: Option<LeaseId>,
 }
 
@@ -58,7 +58,7 @@
 pub struct KvLease {
     /// The lease.
     pub id: LeaseId,
-    /// How long it lasts from the moment the call was *sent*.
+    /// The lease's duration, counted from when the call was *sent*.
     pub ttl_ms: DurationMs,
 }
 
@@ -68,13 +68,13 @@
     /// The key isn't at the expected revision; the write did not take effect.
     #[display("the key isn't at the expected revision")]
     Conflict,
-    /// The lease is gone.
-    #[display("the lease is gone")]
+    /// The lease has ended.
+    #[display("the lease has ended")]
     LeaseGone,
-    /// Refused by rate; the call did not take effect.
-    #[display("refused by rate, retry after {retry_after_ms} ms")]
+    /// The call was refused by a rate limit and did not take effect.
+    #[display("refused by the platform's rate limit, retry after {retry_after_ms} ms")]
     RateLimited {
-        /// When to come back.
+        /// How long to wait before a retry.
         retry_after_ms: DurationMs,
     },
     /// The service was not reached; the call did not take effect.
@@ -83,13 +83,13 @@
     /// The answer was lost: a write may have taken effect.
     #[display("the answer was lost, the call may have taken effect")]
     Unknown,
-    /// The service answered something that can't be read.
+    /// The answer can't be decoded; a write may have taken effect.
     #[display("the platform's answer can't be read")]
     Malformed,
 }
 
 impl KvError {
-    /// Whether a write that met this error may have taken effect.
+    /// Returns whether a write that failed with this error may have taken effect.
     pub fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::Unknown | Self::Malformed)
     }
@@ -106,7 +106,7 @@
         cas: KvCas,
     ) -> impl Future<Output = Result<KvRevision, KvError>> + Send;
 
-    /// Waits at most `wait_ms` for a value newer than `after`; none: nothing newer.
+    /// Waits at most `wait_ms` for a value newer than `after`; returns `None` if there is none.
     fn watch(
         &self,
         key: &str,
@@ -120,24 +120,24 @@
         ttl_ms: DurationMs,
     ) -> impl Future<Output = Result<KvLease, KvError>> + Send;
 
-    /// Renews a lease for its whole time.
+    /// Renews a lease for its full duration.
     fn renew_lease(&self, id: LeaseId) -> impl Future<Output = Result<KvLease, KvError>> + Send;
 }
 
-/// A VM as the lagging list shows it.
+/// An entry of the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
     /// The VM.
     pub vm: VmId,
-    /// Its data centre.
+    /// The VM's data centre.
     pub data_centre: DataCentreId,
-    /// Where its daemon listens for other daemons.
+    /// The address at which the VM's daemon listens for other daemons.
     pub peer_address: SocketAddr,
-    /// Whether the platform is taking it away.
+    /// Whether the platform is going to remove the VM.
     pub leaving: bool,
 }
 
-/// The lagging list of live and leaving VMs.
+/// The list of live and leaving VMs, which lags behind the actual state.
 pub trait VmList: Send + Sync + 'static {
     /// Reads the list.
     fn list(&self) -> impl Future<Output = Result<Vec<VmEntry>, KvError>> + Send;
@@ -145,7 +145,7 @@
 
 /// The rate-limited weight store.
 pub trait WeightStore: Send + Sync + 'static {
-    /// Asks for a ticket under which an engine may load a model's weights.
+    /// Requests a ticket with which an engine may load a model's weights.
     fn ticket(
         &self,
         model: &ModelName,
