--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,4 +1,4 @@
-//! One [`Frame`] in each length-delimited block.
+//! The codec of frames: each length-delimited block holds one [`Frame`].
 
 use crate::generated::Frame;
 use bytes::{Bytes, BytesMut};
@@ -6,21 +6,21 @@
 use prost::Message;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec, LengthDelimitedCodecError};
 
-/// The largest frame: a whole configuration of up to a megabyte and its framing. Chosen because the
-/// configuration as a whole has at most 1 MB, twice that in a frame of sections.
+/// The size limit of a frame. The largest frame holds a whole configuration, which has at most 1 MB,
+/// and at most twice that as a frame of sections.
 pub const MAX_FRAME_BYTES: usize = 2 << 20;
 
 /// Why a frame can't be read or written.
 #[derive(Debug, Display, Error, From)]
 pub enum FrameError {
-    /// Longer than [`MAX_FRAME_BYTES`].
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
     #[display("the frame is longer than {MAX_FRAME_BYTES} bytes")]
     TooLong,
     /// The connection ended inside a frame.
     #[display("the connection ended inside a frame")]
     Truncated,
-    /// Not a message of this protocol.
-    #[display("the frame holds no known message")]
+    /// The frame can't be decoded as a message of this protocol.
+    #[display("the frame can't be decoded")]
     Malformed,
     /// The connection failed.
     #[display("the connection failed: {_0}")]
@@ -28,7 +28,7 @@
     Connection(std::io::Error),
 }
 
-/// Reads and writes frames.
+/// Decodes and encodes frames.
 #[derive(Debug)]
 pub struct FrameCodec {
     blocks: LengthDelimitedCodec,
@@ -60,7 +60,7 @@
             return Ok(None);
         };
         let frame = Frame::decode(block).map_err(|_| FrameError::Malformed)?;
-        // A body from a later version is no error: the frame is simply empty here.
+        // A body of a later protocol version isn't an error; the frame then has no body here.
         Ok(Some(frame))
     }
 
--- a/crates/protocol/src/fingerprint.rs
+++ b/crates/protocol/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! A request's fingerprint as a message, and back.
+//! Conversions between a request's fingerprint and its message.
 
 use crate::generated::RequestFingerprint as Message;
 use bridgevane_types::RequestFingerprint;
--- a/crates/protocol/src/greeting.rs
+++ b/crates/protocol/src/greeting.rs
@@ -1,4 +1,4 @@
-//! The greeting: version, identity and proof of the shared key.
+//! The handshake: greetings with version and identity, and proofs of the shared key.
 
 use crate::codec::{FrameCodec, FrameError};
 use crate::generated::{Frame, Hello, Proof, frame::Body};
@@ -11,13 +11,13 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::Framed;
 
-/// The version that this code speaks. It rises from the first on with each change that older
-/// daemons can't read.
+/// The protocol version of this code. It is incremented with each change that older daemons can't
+/// read.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The oldest version that it still understands. Chosen because there has been one version only.
+/// The oldest protocol version that this code understands; there has been only one version.
 pub const MIN_PROTOCOL_VERSION: u32 = 1;
 
-/// Which side of a connection proves: a proof can't be reflected.
+/// The side of a connection that sends a proof. The proof covers it, so that it can't be reflected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The side that connected.
@@ -45,11 +45,11 @@
     /// The connection ended during the greeting.
     #[display("the connection ended during the greeting")]
     Ended,
-    /// Another frame came where the greeting was due.
-    #[display("a frame other than the greeting came first")]
+    /// Another frame arrived in place of the greeting or the proof.
+    #[display("another frame arrived in place of the greeting or the proof")]
     Unexpected,
-    /// The other side's version isn't understood here.
-    #[display("protocol version {_0} is not understood here")]
+    /// The other side's protocol version is not supported.
+    #[display("protocol version {_0} is not supported by this daemon")]
     #[from(ignore)]
     Version(#[error(not(source))] u32),
     /// The other side doesn't know the shared key.
@@ -69,7 +69,7 @@
     mac
 }
 
-/// The proof that `role` gives over both greetings.
+/// Computes the proof of `role` over both greetings.
 pub fn prove(key: &[u8], role: Role, caller: &Hello, listener: &Hello) -> Bytes {
     let tag = mac(key, role, caller, listener).finalize().into_bytes();
     Bytes::copy_from_slice(&tag)
@@ -83,10 +83,10 @@
     Ok(frame?)
 }
 
-/// Greets as `role` and checks the other side; gives the other side's greeting.
+/// Performs the handshake as `role` and verifies the other side; returns the other side's greeting.
 ///
 /// # Errors
-/// [`GreetingError`]; the connection must then be closed.
+/// [`GreetingError`]; the caller must then close the connection.
 pub async fn greet<S>(
     frames: &mut Framed<S, FrameCodec>,
     role: Role,
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of each message, and frames that must be refused.
+//! Tests of the bytes of each message, of frames that must be refused, and of the handshake.
 
 use bridgevane_protocol::crash_news::Fact;
 use bridgevane_protocol::frame::Body;
@@ -356,20 +356,22 @@
     }
 }
 
+/// Guards against a change of the wire format, which would make daemons of different versions
+/// misread each other.
 #[test]
-fn messages_keep_their_bytes_and_come_back_whole() {
+fn messages_keep_their_bytes_and_decode_to_the_same_messages() {
     let mut golden = String::new();
     for (name, body) in messages() {
         let frame = Frame { body: Some(body) };
         let mut bytes = BytesMut::new();
         FrameCodec::default()
             .encode(frame.clone(), &mut bytes)
-            .expect("it fits");
+            .expect("the frame can be encoded");
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-        writeln!(golden, "{name} {hex}").expect("text");
+        writeln!(golden, "{name} {hex}").expect("a String accepts text");
         let decoded = FrameCodec::default()
             .decode(&mut bytes)
-            .expect("it decodes");
+            .expect("the frame decodes");
         assert_eq!(decoded, Some(frame), "{name}");
         assert!(bytes.is_empty());
     }
@@ -406,20 +408,26 @@
     "#]].assert_eq(&golden);
 }
 
+/// Guards against daemons that refuse frames of newer daemons during an update.
 #[test]
-fn fields_and_messages_of_later_versions_do_no_harm() {
+fn fields_and_messages_of_later_versions_are_ignored() {
     let frame = Frame {
         body: Some(Body::ConfigWanted(ConfigWanted { have_version: 3 })),
     };
     let mut block = frame.encode_to_vec();
     // Field 900 of the frame, a text.
     block.extend([0xa2, 0x38, 3, b'n', b'e', b'w']);
-    assert_eq!(Frame::decode(block.as_slice()).expect("it decodes"), frame);
+    assert_eq!(
+        Frame::decode(block.as_slice()).expect("the frame decodes"),
+        frame
+    );
     let unknown_body = [0xa2, 0x38, 1, b'x'];
-    let decoded = Frame::decode(unknown_body.as_slice()).expect("it decodes");
+    let decoded = Frame::decode(unknown_body.as_slice()).expect("the frame decodes");
     assert_eq!(decoded.body, None);
 }
 
+/// Guards against frames that exhaust memory, and against data that is decoded although a part of it
+/// is missing or invalid.
 #[test]
 fn oversized_truncated_and_malformed_frames_are_refused() {
     let mut long = BytesMut::new();
@@ -458,7 +466,7 @@
     ));
 }
 
-async fn greeting(
+async fn handshake(
     caller_key: &'static [u8],
     listener_key: &'static [u8],
     version: u32,
@@ -483,20 +491,22 @@
     tokio::join!(called, answered)
 }
 
+/// Guards against connections from peers without the shared key or with an unsupported version.
 #[tokio::test]
-async fn a_greeting_needs_the_key_and_a_known_version() {
-    let (caller, listener) = greeting(b"the key", b"the key", PROTOCOL_VERSION).await;
+async fn a_handshake_needs_the_shared_key_and_a_supported_version() {
+    let (caller, listener) = handshake(b"the key", b"the key", PROTOCOL_VERSION).await;
     assert_eq!(caller.expect("greeted").vm, "vm-2");
     assert_eq!(listener.expect("greeted").vm, "vm-1");
-    let (caller, listener) = greeting(b"another", b"the key", PROTOCOL_VERSION).await;
+    let (caller, listener) = handshake(b"another", b"the key", PROTOCOL_VERSION).await;
     assert!(matches!(caller, Err(GreetingError::WrongKey)));
     assert!(matches!(listener, Err(GreetingError::WrongKey)));
-    let (_, listener) = greeting(b"the key", b"the key", 0).await;
+    let (_, listener) = handshake(b"the key", b"the key", 0).await;
     assert!(matches!(listener, Err(GreetingError::Version(0))));
 }
 
+/// Guards against a proof that a peer without the key reflects or replays.
 #[test]
-fn a_proof_holds_for_one_side_and_these_greetings_alone() {
+fn a_proof_is_valid_for_one_side_and_one_pair_of_greetings() {
     let (one, two) = (hello("vm-1"), hello("vm-2"));
     let proof = prove(b"key", Role::Caller, &one, &two);
     assert_ne!(proof, prove(b"key", Role::Listener, &one, &two));
@@ -516,8 +526,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes, the decoder answers with frames or a typed error, and takes no more
-    /// than it was given.
+    /// The decoder returns frames or an error for any input, and its buffer doesn't grow.
     #[test]
     fn any_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut buffer = BytesMut::from(bytes.as_slice());
--- a/crates/protogen/src/main.rs
+++ b/crates/protogen/src/main.rs
@@ -1,4 +1,4 @@
-//! Writes the message code of bridgevane-protocol anew.
+//! Generates the message code of bridgevane-protocol.
 
 use bridgevane_protogen::{GenerateError, generate, protocol_package};
 
--- a/crates/protogen/tests/committed_code.rs
+++ b/crates/protogen/tests/committed_code.rs
@@ -1,9 +1,10 @@
-//! The committed code is what the generator writes.
+//! Tests that the committed message code is current.
 
 use bridgevane_protogen::{generate, protocol_package};
 
 const FILE: &str = "bridgevane.peer.v1.rs";
 
+/// Guards against a change of the `.proto` file without newly generated code.
 #[test]
 fn committed_code_is_current() {
     let directory = tempfile::tempdir().expect("a temporary directory");
