--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,77 +1,78 @@
-//! The gateway's clock: steady milliseconds, of this process alone.
+//! The gateway's clock: monotonic milliseconds, comparable only within this process.
 //!
-//! It doesn't begin at 0, so that moments before the daemon's start can be told: another daemon may
-//! have proved its configuration long before.
+//! It doesn't start at 0, so that moments before the daemon's start can be represented: another
+//! daemon may have proved its configuration long before.
 //!
-//! It counts the time in which the process is stopped or the VM suspended (`CLOCK_BOOTTIME`), so that a
-//! proof of freshness, a lease and a removed key age through it: whoever wakes knows at once. Rules take
-//! its moments as arguments; tests pass their own. Timers of the runtime stand on the steady clock, which
-//! leaves suspension out, and fire late by it: nothing that must not be done too late or too early hangs
-//! on a timer alone (docs/design/18).
+//! It counts the time in which the process is stopped or the VM suspended (`CLOCK_BOOTTIME`), so
+//! that a proof of freshness, a lease and a removed key age during it, and are known to be outdated
+//! right after it. Rules take its moments as arguments; tests pass their own. Timers of the runtime
+//! use the monotonic clock, which doesn't count suspension, and fire late by its length: nothing with
+//! a strict time limit depends on a timer alone. See docs/design/18.
 
 use bridgevane_types::{DurationMs, TimeMs, WallTimeMs, boot_time};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// What the clock shows when the daemon starts: proofs up to so old can be taken from another
-/// daemon. Chosen longer than a configuration may be served on (`--max-stale-s`).
+/// The reading of the clock at the daemon's start, which is the greatest age of a proof that can be
+/// taken over from another daemon. It is longer than a stale configuration may be served
+/// (`--max-stale-s`).
 const START: TimeMs = TimeMs(8 * 24 * 60 * 60 * 1_000);
 
-/// Where a clock has its time from.
+/// The source of a clock's time.
 #[derive(Clone, Copy, Debug)]
 enum TimeSource {
-    /// From the machine.
+    /// The machine's clocks.
     Machine {
-        /// On the steady clock.
+        /// The start on the monotonic clock.
         started: Instant,
-        /// Since the machine's start.
+        /// The start on the clock that counts suspension.
         started_boot: TimeMs,
     },
-    /// From the runtime, changed by a script.
+    /// The runtime's clock, changed by a script.
     Scripted {
         started: Instant,
         script: &'static ClockScript,
     },
 }
 
-/// Suspensions of the VM, as a test plays them.
+/// Suspensions of the VM that a test simulates.
 #[derive(Debug, Default)]
 pub struct ClockScript {
-    /// Time that only the clock that counts suspension has seen, in milliseconds.
+    /// The time that passed only for the clock that counts suspension, in milliseconds.
     ahead_ms: AtomicU64,
-    /// Time that the runtime has seen and the steady clock hasn't, in milliseconds.
+    /// The time that passed for the runtime and not for the monotonic clock, in milliseconds.
     behind_ms: AtomicU64,
 }
 
 impl ClockScript {
-    /// A script that lasts as long as the process: clocks are copied everywhere.
+    /// Creates a script that lives as long as the process, since clocks are copied.
     pub fn leaked() -> &'static Self {
         Box::leak(Box::default())
     }
 
-    /// The VM wakes from a suspension, while no time has passed for the runtime.
+    /// Simulates the end of a suspension during which no time passed for the runtime.
     pub fn wake_after(&self, suspended: DurationMs) {
         self.ahead_ms.fetch_add(suspended.0, Ordering::SeqCst);
     }
 
-    /// The VM is suspended while so much time passes for the runtime.
+    /// Simulates a suspension during which this much time passes for the runtime.
     pub fn stand_still(&self, suspended: DurationMs) {
         self.behind_ms.fetch_add(suspended.0, Ordering::SeqCst);
     }
 }
 
-/// Tells the time.
+/// The gateway's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     source: TimeSource,
-    /// The time of day at the start. It is read once: the time of day may be set while the daemon
-    /// runs, and what it counts by the hour must not go back.
+    /// The time of day at the start. It is read once: the system's time of day may be set while the
+    /// daemon runs, and hourly counts must not go back in time.
     started_wall: WallTimeMs,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub(crate) fn start() -> Self {
         Self::from_source(TimeSource::Machine {
             started: Instant::now(),
@@ -79,7 +80,7 @@
         })
     }
 
-    /// A clock that starts now and goes by a script.
+    /// Creates a clock that starts now and is changed by a script.
     pub fn scripted(script: &'static ClockScript) -> Self {
         Self::from_source(TimeSource::Scripted {
             started: Instant::now(),
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Now.
+    /// Returns the current moment.
     pub fn now(&self) -> TimeMs {
         START + self.elapsed()
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub(crate) fn elapsed(&self) -> DurationMs {
         match self.source {
             TimeSource::Machine { started_boot, .. } => boot_time().since(started_boot),
@@ -110,12 +111,13 @@
         }
     }
 
-    /// The time since the start in which the VM was suspended, as the two clocks differ.
-    pub(crate) fn suspended(&self) -> DurationMs {
+    /// Returns the total time in which the VM was suspended since the start: the difference between
+    /// the two clocks.
+    pub(crate) fn total_suspended(&self) -> DurationMs {
         match self.source {
             TimeSource::Machine { started, .. } => {
-                let steady = millis(started.elapsed());
-                DurationMs(self.elapsed().0.saturating_sub(steady.0))
+                let monotonic = millis(started.elapsed());
+                DurationMs(self.elapsed().0.saturating_sub(monotonic.0))
             }
             TimeSource::Scripted { script, .. } => {
                 let ahead_ms = script.ahead_ms.load(Ordering::SeqCst);
@@ -124,7 +126,7 @@
         }
     }
 
-    /// The time of day at a moment, by what it was when the daemon started.
+    /// Returns the time of day at a moment, based on the time of day at the daemon's start.
     pub(crate) fn wall(&self, at: TimeMs) -> WallTimeMs {
         self.started_wall + at.since(START)
     }
@@ -134,16 +136,16 @@
     DurationMs(time.as_millis() as u64)
 }
 
-/// The time of day; a clock from before 1970 counts as unset.
+/// Returns the system's time of day, or 0 if it is before 1970.
 fn time_of_day() -> WallTimeMs {
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
     WallTimeMs(since_1970.unwrap_or_default().as_millis() as u64)
 }
 
-/// A moment that may be unset, read and written without a lock.
+/// An optional moment that is read and written without a lock.
 #[derive(Debug, Default)]
 pub(crate) struct AtomicTime {
-    /// Milliseconds plus one; 0: unset.
+    /// The moment in milliseconds plus one; 0 if unset.
     millis_plus_one: AtomicU64,
 }
 
@@ -162,16 +164,16 @@
             .store(Self::encode(at), Ordering::Release);
     }
 
-    /// Sets the moment unless it is set to a later one.
+    /// Sets the moment unless a later one is set.
     pub(crate) fn set_if_later(&self, at: TimeMs) {
         self.millis_plus_one
             .fetch_max(Self::encode(at), Ordering::AcqRel);
     }
 
-    /// Sets the moment unless it is set.
+    /// Sets the moment unless one is set.
     pub(crate) fn set_if_unset(&self, at: TimeMs) {
         let unset = 0;
-        // An error means that it was set before, and stays.
+        // On an error a moment was set before, and stays.
         let _ = self.millis_plus_one.compare_exchange(
             unset,
             Self::encode(at),
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -1,6 +1,7 @@
-//! From the first readiness check to the end of a planned stop.
+//! The life cycle of the daemon, from the first readiness check to the end of a planned stop.
 //!
-//! [`shutdown`] owns the steps of a stop, [`stop`] takes them; [`readiness`] answers the balancer.
+//! [`shutdown`] owns the state of a stop, and [`stop`] executes it; [`readiness`] answers the load
+//! balancer; [`suspension`] detects that the VM was suspended.
 
 pub(crate) mod readiness;
 pub(crate) mod shutdown;
--- a/crates/gateway/src/lifecycle/readiness.rs
+++ b/crates/gateway/src/lifecycle/readiness.rs
@@ -1,6 +1,7 @@
-//! The ready address: whether the daemon wants new connections, and its metrics.
+//! The readiness endpoint for the load balancer, and the metrics page.
 //!
-//! The balancer asks any path but [`METRICS_PATH`]; 200 means ready, 503 not.
+//! The balancer may ask for any path except [`METRICS_PATH`]; 200 means that the daemon is ready for
+//! new connections, 503 that it isn't.
 
 use crate::gateway::Gateway;
 use crate::sockets::accept;
@@ -15,10 +16,10 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Where metrics are served.
+/// The path of the metrics page.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers until the daemon ends; `metrics_page` renders the metrics.
+/// Serves readiness checks and metrics until the daemon ends; `metrics_page` renders the metrics.
 pub async fn run<P>(gateway: Arc<Gateway>, listener: TcpListener, metrics_page: P)
 where
     P: Fn() -> String + Clone + Send + Sync + 'static,
@@ -37,7 +38,7 @@
                 };
                 async move { Ok::<_, Infallible>(response) }
             });
-            // A connection that broke needs nothing: the balancer asks again on another one.
+            // The error is ignored: after a broken connection the balancer asks again on a new one.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,26 +1,26 @@
-//! How far a planned stop has come, and who waits for its steps.
+//! The state of a planned stop, and the tasks that wait for its steps.
 //!
-//! Owns the steps as flags and notifications; [`super::stop`] takes them in order. The client
-//! listener and the clients' connections wait for them.
+//! Owns the steps as flags and notifications; [`super::stop`] executes them in order. The client
+//! listener and the client connections wait for them.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
 /// How long a connection that is accepted after idle ones were closed may take to send a request.
-/// Not measured by itself (commit bfa3ac1: late connections were cut); chosen because a client that
-/// has connected sends at once.
+/// Without it, late connections were closed before their request; clients send at once after they
+/// connect.
 const LATE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Whether new connections are accepted.
+/// The state of the client listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Accepting {
-    /// They are.
+enum ListenerState {
+    /// It accepts connections.
     Open,
-    /// A stop asks the listener to end.
-    MustEnd,
-    /// Nobody listens any more.
-    Ended,
+    /// A stop has asked it to close.
+    MustClose,
+    /// It is closed.
+    Closed,
 }
 
 /// The steps of a planned stop.
@@ -29,7 +29,7 @@
     is_stopping: AtomicBool,
     closes_idle: AtomicBool,
     idle_closing: Notify,
-    accepting: watch::Sender<Accepting>,
+    listener: watch::Sender<ListenerState>,
 }
 
 impl Shutdown {
@@ -38,48 +38,53 @@
             is_stopping: AtomicBool::new(false),
             closes_idle: AtomicBool::new(false),
             idle_closing: Notify::new(),
-            accepting: watch::Sender::new(Accepting::Open),
+            listener: watch::Sender::new(ListenerState::Open),
         }
     }
 
-    /// Whether a stop has begun.
+    /// Returns whether a stop has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// First step: the daemon is no longer ready, and connections close after their answers.
+    /// First step: marks the daemon as not ready, and makes connections close after their answers.
     pub fn begin(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Second step: asks the listener to end, and waits until it has.
-    pub(crate) async fn end_accepting(&self) {
-        self.accepting.send_replace(Accepting::MustEnd);
-        let mut accepting = self.accepting.subscribe();
-        // An error means that the sender is gone; it lives as long as `self`.
-        let _ = accepting.wait_for(|state| *state == Accepting::Ended).await;
+    /// Second step: asks the listener to close, and waits until it has.
+    pub(crate) async fn close_listener(&self) {
+        self.listener.send_replace(ListenerState::MustClose);
+        let mut listener = self.listener.subscribe();
+        // This can't fail: `self` owns the sender.
+        let _ = listener
+            .wait_for(|state| *state == ListenerState::Closed)
+            .await;
     }
 
-    /// Waits until the listener must end.
-    pub(crate) async fn accepting_must_end(&self) {
-        let mut accepting = self.accepting.subscribe();
-        // An error means that the sender is gone; it lives as long as `self`.
-        let _ = accepting.wait_for(|state| *state != Accepting::Open).await;
+    /// Waits until the listener must close.
+    pub(crate) async fn listener_close_requested(&self) {
+        let mut listener = self.listener.subscribe();
+        // This can't fail: `self` owns the sender.
+        let _ = listener
+            .wait_for(|state| *state != ListenerState::Open)
+            .await;
     }
 
-    /// The listener has ended.
-    pub(crate) fn on_accepting_ended(&self) {
-        self.accepting.send_replace(Accepting::Ended);
+    /// Records that the listener was closed.
+    pub(crate) fn on_listener_closed(&self) {
+        self.listener.send_replace(ListenerState::Closed);
     }
 
-    /// Third step: closes clients' idle connections.
+    /// Third step: closes the clients' idle connections.
     pub(crate) fn close_idle(&self) {
         self.closes_idle.store(true, Ordering::Relaxed);
         self.idle_closing.notify_waiters();
     }
 
-    /// Waits until an idle connection must close; one that is accepted later has a moment.
-    pub(crate) async fn idle_must_close(&self) {
+    /// Waits until an idle connection must close. A connection that is accepted after that step gets
+    /// [`LATE_CONNECTION_TIMEOUT`].
+    pub(crate) async fn idle_close_requested(&self) {
         if self.closes_idle.load(Ordering::Relaxed) {
             return tokio::time::sleep(LATE_CONNECTION_TIMEOUT).await;
         }
--- a/crates/gateway/src/lifecycle/suspension.rs
+++ b/crates/gateway/src/lifecycle/suspension.rs
@@ -1,9 +1,10 @@
-//! Noticing that the VM was suspended.
+//! Detects that the VM was suspended.
 //!
-//! What the daemon believes has aged by then: every rule goes by the clock that counts suspension
-//! ([`crate::clock`]), so that nothing is answered by what was true before. Calls that were under way are
-//! the exception: their time limits are timers, which left the suspension out. The question to the control
-//! source, or to the daemon that is followed, is given up and asked anew, on a new connection.
+//! The daemon's state ages during a suspension: every rule uses the clock that counts suspension
+//! ([`crate::clock`]), so that no request is decided by outdated state after it. Calls in progress
+//! are the exception: their timeouts are timers, which don't count the suspension. The pending poll
+//! of the control source, or of the upstream daemon, is therefore dropped and sent again on a new
+//! connection.
 
 use crate::gateway::Gateway;
 use bridgevane_events::{Event, event};
@@ -12,20 +13,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the two clocks are compared. Not measured by itself, chosen because each look is a
-/// wake-up, of some 26 a second that a quiet daemon has (docs/CAPACITY.md), and the question would be
-/// given up by itself after a second or two.
-const INTERVAL: Duration = Duration::from_millis(500);
-/// A shorter suspension isn't noticed: within it no answer is late. Not measured, chosen because it is
-/// some times what a clock's grain and a busy VM make up.
+/// How often the two clocks are compared. Each comparison is one of about 26 wake-ups a second of an
+/// idle daemon (docs/CAPACITY.md); without it the pending poll would time out after a second or two.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// The shortest suspension that is detected; a shorter one makes no answer late. It is several times
+/// the error that the clocks' granularity and a busy VM cause.
 const MIN_SUSPENSION: DurationMs = DurationMs(100);
 
-/// Compares the clocks until the daemon ends.
+/// Compares the two clocks until the daemon ends.
 pub async fn run(gateway: Arc<Gateway>) {
-    let mut before = gateway.clock.suspended();
+    let mut before = gateway.clock.total_suspended();
     loop {
-        sleep(INTERVAL).await;
-        let now = gateway.clock.suspended();
+        sleep(CHECK_INTERVAL).await;
+        let now = gateway.clock.total_suspended();
         let suspended = DurationMs(now.0.saturating_sub(before.0));
         before = now;
         if suspended >= MIN_SUSPENSION {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,6 +1,7 @@
-//! The gateway's metrics: answers, refusals, attempts, calls of the source and of other daemons.
+//! The gateway's metrics: answers, refusals, attempts, and calls of the control source and of other
+//! daemons.
 //!
-//! Names and labels are an interface to operators' dashboards (docs/OPERATIONS.md) and don't
+//! Names and labels are an interface to operators' dashboards (docs/OPERATIONS.md) and must not
 //! change.
 
 use crate::control::source::SourceError;
@@ -15,12 +16,11 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter};
 use std::time::Duration;
 
-/// Bounds of the buckets of the first byte, in seconds. Chosen because the users' targets are 0.1
-/// to 1.5 s.
+/// The bucket bounds of the time to the first byte, in seconds. Users' targets are 0.1 to 1.5 s.
 const FIRST_BYTE_BUCKETS_S: [f64; 11] =
     [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 1.5, 3.0, 10.0];
 
-/// The gateway's instruments.
+/// The gateway's metric instruments.
 #[derive(Debug)]
 pub(crate) struct GatewayMetrics {
     served: Counter<u64>,
@@ -29,8 +29,8 @@
     failed_attempts: Counter<u64>,
     requests: Counter<u64>,
     retries: Counter<u64>,
-    limits_heard: Counter<u64>,
-    rests_wanted: Counter<u64>,
+    limit_changes: Counter<u64>,
+    requested_backoffs: Counter<u64>,
     source_calls: Counter<u64>,
     peer_questions: Counter<u64>,
     first_byte_s: Histogram<f64>,
@@ -42,7 +42,7 @@
 }
 
 impl GatewayMetrics {
-    /// The instruments of a meter.
+    /// Creates the instruments of a meter.
     pub(crate) fn new(meter: &Meter) -> Self {
         let counter = |name: &'static str| meter.u64_counter(name).build();
         Self {
@@ -52,8 +52,8 @@
             failed_attempts: counter("bridgevane_gateway_failed_attempts"),
             requests: counter("bridgevane_gateway_requests"),
             retries: counter("bridgevane_gateway_retries"),
-            limits_heard: counter("bridgevane_gateway_endpoint_limits"),
-            rests_wanted: counter("bridgevane_gateway_endpoint_rests"),
+            limit_changes: counter("bridgevane_gateway_endpoint_limits"),
+            requested_backoffs: counter("bridgevane_gateway_endpoint_rests"),
             source_calls: counter("bridgevane_gateway_source_calls"),
             peer_questions: counter("bridgevane_gateway_peer_questions"),
             first_byte_s: meter
@@ -70,14 +70,15 @@
         }
     }
 
-    /// The age of the newest proof that the configuration is current; none: no proof yet.
+    /// Records the age of the newest proof that the configuration is current; `None` before the first
+    /// proof.
     pub(crate) fn proof_age(&self, age: Option<DurationMs>) {
         if let Some(age) = age {
             self.proof_age_s.record(age.as_std().as_secs_f64(), &[]);
         }
     }
 
-    /// An endpoint's answer reached its end.
+    /// Counts a completed answer of an endpoint.
     pub(crate) fn served(&self, service: &ServiceName, status: u16, first_byte: Duration) {
         let service = KeyValue::new("service", service.as_str().to_owned());
         let status = KeyValue::new("status", i64::from(status));
@@ -86,50 +87,50 @@
             .record(first_byte.as_secs_f64(), &[service]);
     }
 
-    /// The daemon refused a request.
+    /// Counts a request that the daemon refused.
     pub(crate) fn refused(&self, reason: RefusalReason) {
         let reason = KeyValue::new("reason", reason.to_string());
         self.refused.add(1, &[reason]);
     }
 
-    /// An answer was cut on its way to the client.
+    /// Counts a stream that broke off before its end.
     pub(crate) fn broken_off(&self) {
         self.broken_off.add(1, &[]);
     }
 
-    /// An attempt gave no answer that can be used.
+    /// Counts an attempt without a usable answer.
     pub(crate) fn attempt_failed(&self, cause: AttemptError) {
         let cause = KeyValue::new("cause", cause.to_string());
         self.failed_attempts.add(1, &[cause]);
     }
 
-    /// A request for a service was admitted: the retry budget grows with it.
+    /// Counts an admitted request of a service; the retry budget grows with it.
     pub(crate) fn request_admitted(&self, service: &ServiceName) {
         let service = KeyValue::new("service", service.as_str().to_owned());
         self.requests.add(1, &[service]);
     }
 
-    /// The retry budget was asked for a retry.
+    /// Counts a decision of the retry budget.
     pub(crate) fn retry_decided(&self, service: &ServiceName, is_granted: bool) {
         let service = KeyValue::new("service", service.as_str().to_owned());
         self.retries
             .add(1, &[service, KeyValue::new("granted", is_granted)]);
     }
 
-    /// An endpoint of a service named another limit of its requests, or withdrew it.
-    pub(crate) fn limit_heard(&self, service: &ServiceName, is_limited: bool) {
+    /// Counts a change of an endpoint's rate limit; `is_limited` is false if it was withdrawn.
+    pub(crate) fn limit_changed(&self, service: &ServiceName, is_limited: bool) {
         let service = KeyValue::new("service", service.as_str().to_owned());
-        self.limits_heard
+        self.limit_changes
             .add(1, &[service, KeyValue::new("limited", is_limited)]);
     }
 
-    /// An endpoint of a service wants nothing from this daemon for a time.
-    pub(crate) fn rest_wanted(&self, service: &ServiceName) {
+    /// Counts an endpoint that asked this daemon for a backoff.
+    pub(crate) fn backoff_requested(&self, service: &ServiceName) {
         let service = KeyValue::new("service", service.as_str().to_owned());
-        self.rests_wanted.add(1, &[service]);
+        self.requested_backoffs.add(1, &[service]);
     }
 
-    /// How many levels below the control source this daemon is; none: it follows nobody that does.
+    /// Records how many levels this daemon is below the control source; 0 if no path leads there.
     pub(crate) fn tree_depth(&self, path: &SourcePath) {
         let depth = if path.reaches_source() {
             path.depth() as u64
@@ -139,7 +140,7 @@
         self.tree_depth.record(depth, &[]);
     }
 
-    /// The control source was called.
+    /// Counts a call of the control source.
     pub(crate) fn source_called(&self, cause: SourceCause, result: Result<(), SourceError>) {
         let result = match result {
             Ok(()) => "ok".to_owned(),
@@ -150,25 +151,26 @@
         self.source_calls.add(1, &[result, cause]);
     }
 
-    /// Another daemon was asked.
+    /// Counts a poll of another daemon; `None` stands for success.
     pub(crate) fn peer_asked(&self, error: Option<&PeerError>) {
         let result = error.map_or_else(|| "ok".to_owned(), ToString::to_string);
         self.peer_questions
             .add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// Whether this daemon holds the duties.
+    /// Records whether this daemon holds the duties.
     pub(crate) fn duties_held(&self, is_held: bool) {
         self.holds_duties.record(u64::from(is_held), &[]);
     }
 
-    /// A window's usage was told; `is_complete`: with the counts of every daemon.
+    /// Counts a window whose usage was submitted; `is_complete` says whether the counts of every
+    /// daemon were in it.
     pub(crate) fn usage_told(&self, is_complete: bool) {
         self.usage_told
             .add(1, &[KeyValue::new("complete", is_complete)]);
     }
 
-    /// Engines of a service that are planned and that run, as the holder sees them.
+    /// Records how many engines of a service are planned and how many run, as the holder sees them.
     pub(crate) fn engines(
         &self,
         service: &ServiceName,
--- a/crates/gateway/src/requests/admission.rs
+++ b/crates/gateway/src/requests/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: a request is read as a whole and checked before anything is passed on.
+//! Admission: reads and checks a whole request before any of it is forwarded.
 //!
 //! The rules are in [`crate::decisions::admission`]; this module gathers their inputs in order: a
-//! configuration that is recent enough, the route, the key, the identifier, the deadline, the body.
+//! recent configuration, the route, the key, the identifier, the deadline, the body.
 
 use crate::control::routing_table::RoutingTable;
 use crate::decisions::admission::body_limits::{self, BodyToRead};
@@ -26,7 +26,7 @@
 /// Reads and checks a request.
 ///
 /// # Errors
-/// The reason for the daemon's own answer when it may not be passed on.
+/// The reason for the daemon's refusal if the request may not be forwarded.
 pub(crate) async fn admit(
     gateway: &Arc<Gateway>,
     arrived: Instant,
@@ -37,11 +37,11 @@
     let (head, body) = request.into_parts();
     let headers = gateway.client_headers(&head.headers);
     let client_timeout = decode::client_timeout(names, &headers);
-    wait_for_startup(gateway, client_timeout).await;
+    wait_for_first_proof(gateway, client_timeout).await;
     let table = usable_table(gateway)?;
     let host = decode::host(&head.uri, &head.headers).ok_or(RefusalReason::NoRoute)?;
     let route = table.route(&host, head.uri.path()).cloned();
-    let route = route.ok_or_else(|| denial(gateway, RefusalReason::NoRoute))?;
+    let route = route.ok_or_else(|| denial_or_not_ready(gateway, RefusalReason::NoRoute))?;
     let customer = customer(gateway, &table, &route, &head.headers)?;
     let id = decode::identifier(names, &head.headers)?;
     let path = head.uri.path_and_query().cloned();
@@ -64,7 +64,7 @@
         id,
         method: head.method,
         path,
-        headers: decode::passed_on(names, head.headers),
+        headers: decode::forwarded(names, head.headers),
         body,
         is_lowest_priority: table.priorities().is_lowest(priority, &service),
         priority,
@@ -76,19 +76,19 @@
     })
 }
 
-/// Waits a little for the first proof of a daemon that has only just started.
-async fn wait_for_startup(gateway: &Gateway, client_timeout: Option<DurationMs>) {
-    let has_started = || gateway.control.proved_at().is_some();
-    if has_started() {
+/// Waits for a limited time until a daemon that has just started has its first proof.
+async fn wait_for_first_proof(gateway: &Gateway, client_timeout: Option<DurationMs>) {
+    let has_proof = || gateway.control.proved_at().is_some();
+    if has_proof() {
         return;
     }
     let limit = freshness::startup_wait(client_timeout);
     let mut progress = gateway.control.progress();
-    // Without a proof in time the request is refused below.
-    let _ = timeout(limit, progress.wait_for(|_| has_started())).await;
+    // On a timeout the caller's freshness check refuses the request.
+    let _ = timeout(limit, progress.wait_for(|_| has_proof())).await;
 }
 
-/// The configuration, if it is recent enough to act on.
+/// Returns the routing table if it is recent enough to act on.
 fn usable_table(gateway: &Gateway) -> Result<Arc<RoutingTable>, RefusalReason> {
     let table = gateway.control.routing_table();
     let table = table.ok_or(RefusalReason::NotReady)?;
@@ -98,8 +98,9 @@
     Ok(table)
 }
 
-/// The refusal of a key or a route that the configuration doesn't have: a stale one can't tell.
-fn denial(gateway: &Gateway, reason: RefusalReason) -> RefusalReason {
+/// Returns the refusal of an unknown key or route: `NotReady` if the configuration is too stale to
+/// show that it doesn't exist.
+fn denial_or_not_ready(gateway: &Gateway, reason: RefusalReason) -> RefusalReason {
     if gateway.control.freshness().may_deny() {
         reason
     } else {
@@ -107,7 +108,7 @@
     }
 }
 
-/// The customer of the request's key; none where no key is needed.
+/// Returns the customer of the request's key; `None` if no key is needed.
 fn customer(
     gateway: &Gateway,
     table: &RoutingTable,
@@ -119,11 +120,12 @@
     }
     let key = decode::key(&gateway.header_names, headers).ok_or(RefusalReason::UnknownKey)?;
     let customer = table.customer(key).cloned();
-    let customer = customer.ok_or_else(|| denial(gateway, RefusalReason::UnknownKey))?;
+    let customer =
+        customer.ok_or_else(|| denial_or_not_ready(gateway, RefusalReason::UnknownKey))?;
     Ok(Some(customer))
 }
 
-/// How long a request may take: the shorter of the route's and the client's time.
+/// Returns the shorter of the route's and the client's timeout.
 fn route_timeout(route: &Route, client_timeout: Option<DurationMs>) -> DurationMs {
     client_timeout.map_or(route.timeout_ms, |timeout| timeout.min(route.timeout_ms))
 }
@@ -137,7 +139,7 @@
 ) -> Result<Bytes, RefusalReason> {
     let max_body = table.limits().body_bytes;
     body_limits::check(BodyToRead {
-        // A body in chunks announces no length.
+        // A chunked body has no `Content-Length`.
         announced: ByteCount(headers.parsed(&CONTENT_LENGTH).unwrap_or(0)),
         max_body,
         buffered: ByteCount(gateway.buffered_bytes.get()),
@@ -152,7 +154,7 @@
     }
 }
 
-/// Draws a service by the weights of the route's targets.
+/// Draws one of the route's services at random, by the targets' weights.
 fn draw_service(route: &Route) -> ServiceName {
     let weights = || route.targets.iter().map(|target| target.weight);
     let total = traffic_split::total(weights());
--- a/crates/gateway/src/requests/answer_body.rs
+++ b/crates/gateway/src/requests/answer_body.rs
@@ -1,6 +1,6 @@
-//! The body of an answer to a client: whole, or a stream as it comes.
+//! The body of an answer to a client: buffered, or streamed as it arrives.
 //!
-//! Relies on [`super::relay`] for the stream; an error of it cuts the client's connection.
+//! Relies on [`super::relay`] for the stream; an error of the stream closes the client's connection.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -9,23 +9,23 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A stream that can't be brought to its end: the connection to the client is cut.
+/// The reason why a stream can't be completed; the connection to the client is closed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub(crate) enum StreamError {
-    /// The endpoint broke off.
+    /// The endpoint's stream broke off.
     #[display("the endpoint broke off")]
     EndpointBrokeOff,
-    /// The time of the client or the route is over.
+    /// The client's or the route's timeout has passed.
     #[display("out of time")]
     OutOfTime,
 }
 
-/// A body.
+/// The body of an answer.
 #[derive(Debug)]
 pub(crate) enum AnswerBody<S> {
-    /// Whole.
+    /// A body that was read completely.
     Whole(Full<Bytes>),
-    /// As it comes.
+    /// A body that is forwarded as it arrives.
     Stream(Pin<Box<S>>),
 }
 
--- a/crates/gateway/src/requests/attempt.rs
+++ b/crates/gateway/src/requests/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt: a request is sent to one endpoint, and the head of its answer is read.
+//! One attempt: sends a request to one endpoint and reads the head of the answer.
 //!
-//! Owns the connection until the answer's body was read. Whether the request is sent again is not
-//! decided here: the caller gets an [`AttemptError`] that says whether it may have run.
+//! Owns the connection until the answer's body was read. The caller decides whether the request is
+//! sent again, by the returned [`AttemptError`], which says whether the request may have run.
 
 use crate::clock::Clock;
 use crate::decisions::endpoint::idle_connections::{MAX_IDLE_TRIES, may_reuse};
@@ -12,7 +12,7 @@
 use crate::endpoints::selection::Selected;
 use crate::header_names::HeaderNames;
 use crate::metrics::GatewayMetrics;
-use crate::requests::endpoint_signals::{EndpointSignals, Heard};
+use crate::requests::endpoint_signals::{AnswerOrigin, EndpointSignals};
 use crate::requests::in_flight::InFlight;
 use crate::requests::inbound::InboundRequest;
 use crate::requests::response_head;
@@ -27,22 +27,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a connection to an endpoint may take to come up. Not measured, chosen because a lost
-/// opening packet is sent again only after a second, when another endpoint has long answered.
+/// The connect timeout of endpoint connections. A lost SYN packet is sent again only after a second;
+/// another endpoint can answer before that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An endpoint's answer, its body still to be read.
+/// An endpoint's answer whose body hasn't been read yet.
 #[derive(Debug)]
 pub(crate) struct EndpointAnswer {
-    /// The endpoint that answers, and why it was selected.
+    /// The endpoint that answered, and why it was selected.
     pub(crate) selected: Selected,
-    /// The load there when the request was sent, for logs.
+    /// The endpoint's load when the request was sent, for logs.
     pub(crate) load: LoadSnapshot,
     /// Status and headers.
     pub(crate) head: response::Parts,
     /// The body.
     pub(crate) body: Incoming,
-    /// Counts the request there.
+    /// Counts the request at the endpoint.
     pub(crate) in_flight: InFlight,
     connection: Connection,
 }
@@ -52,8 +52,8 @@
         &self.selected.endpoint
     }
 
-    /// The body was read to its end: keeps the connection until `expires_at`, if there is such a moment,
-    /// and gives the head.
+    /// Keeps the connection for reuse until `expires_at`, or closes it if that is `None`, and returns
+    /// the head. Called after the body was read to its end.
     pub(crate) fn keep_connection(
         self,
         expires_at: Option<TimeMs>,
@@ -67,17 +67,17 @@
     }
 }
 
-/// When a second endpoint is asked while this one is silent.
+/// The conditions for sending the request to a second endpoint while this one is silent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Hedge<F> {
-    /// From this moment on.
+    /// The earliest moment of the second request.
     pub(crate) at: Instant,
-    /// Whether the request may be sent a second time; takes a retry from the budget.
+    /// Returns whether the request may be sent a second time; takes a retry from the budget.
     pub(crate) is_allowed: F,
 }
 
 impl<F: Fn() -> bool> Hedge<F> {
-    /// Waits for an answer: until a second endpoint is asked, else until the deadline.
+    /// Waits for an answer until the hedge is due and allowed, else until the deadline.
     async fn wait<T>(
         &self,
         answer: impl Future<Output = T>,
@@ -96,7 +96,7 @@
     }
 }
 
-/// What an attempt needs.
+/// The inputs of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt<'a> {
     pub(crate) clock: Clock,
@@ -105,15 +105,15 @@
     pub(crate) metrics: &'a GatewayMetrics,
     pub(crate) inbound: &'a InboundRequest,
     pub(crate) selected: &'a Selected,
-    /// Resumes a stream after this event.
+    /// The event after which a stream is resumed.
     pub(crate) last_event_id: Option<&'a HeaderValue>,
 }
 
 impl Attempt<'_> {
-    /// Sends the request, and checks the head of the answer.
+    /// Sends the request and checks the head of the answer.
     ///
     /// # Errors
-    /// [`AttemptError`] when the answer can't be used.
+    /// [`AttemptError`] if there is no usable answer.
     pub(crate) async fn run<F: Fn() -> bool>(
         self,
         hedge: Hedge<F>,
@@ -133,7 +133,7 @@
         let checked = response_head::check(self.names, &self.inbound.id, &head);
         if matches!(checked, Ok(()) | Err(AttemptError::NotExecuted)) {
             let signals = EndpointSignals::read(self.names, head.status, &headers);
-            signals.take_in(&self.heard(sent_at));
+            signals.apply(&self.answer_origin(sent_at));
         }
         checked?;
         Ok(EndpointAnswer {
@@ -146,9 +146,9 @@
         })
     }
 
-    /// Whose answer has come, and when.
-    fn heard(&self, sent_at: TimeMs) -> Heard<'_> {
-        Heard {
+    /// Returns the origin of the answer that has just arrived.
+    fn answer_origin(&self, sent_at: TimeMs) -> AnswerOrigin<'_> {
+        AnswerOrigin {
             endpoint: &self.selected.endpoint,
             metrics: self.metrics,
             sent_at,
@@ -156,11 +156,11 @@
         }
     }
 
-    /// The request for this endpoint.
+    /// Builds the request for this endpoint.
     fn request(&self) -> Result<Request<Full<Bytes>>, AttemptError> {
         let record = self.selected.endpoint.record.load();
         let id = HeaderValue::from_str(record.id.as_str());
-        // An endpoint whose id can't be sent could not tell whether the request is meant for it.
+        // Without its id in the request the endpoint can't check that the request is meant for it.
         let id = id.map_err(|_| AttemptError::Misdirected)?;
         let source = self.selected.cache_source;
         Ok(self
@@ -168,8 +168,8 @@
             .outbound(self.names, &id, source, self.last_event_id))
     }
 
-    /// Sends the request on an idle connection or a new one, and waits for the answer's head. An
-    /// idle connection that turns out closed before a byte was sent on it is replaced by another.
+    /// Sends the request on an idle or a new connection, and waits for the answer's head. If an idle
+    /// connection turns out to be closed before a byte was sent on it, another one is used.
     async fn send<F: Fn() -> bool>(
         &self,
         mut request: Request<Full<Bytes>>,
@@ -189,7 +189,7 @@
         Err(AttemptError::NotSent(OpenError::Refused))
     }
 
-    /// An idle connection, where the request may go on one, or a new one.
+    /// Returns an idle connection if the request may reuse one, else a new one.
     async fn connection(&self, idle_tries: usize) -> Result<Connection, AttemptError> {
         let endpoint = &self.selected.endpoint;
         let heard_at = endpoint.load.heard_at();
--- a/crates/gateway/src/requests/crash_check.rs
+++ b/crates/gateway/src/requests/crash_check.rs
@@ -1,8 +1,10 @@
-//! Crash check: when a connection to an endpoint breaks under a request, has the endpoint ended?
+//! Crash check: finds out whether an endpoint has crashed when a connection to it breaks under a
+//! request.
 //!
-//! Answers get lost, connections are reset and streams break off at endpoints that go on; only one
-//! that takes no new connection has ended. One connection is opened to find out, whatever the number
-//! of requests that broke there; at an endpoint that lives it is kept for the next request.
+//! Answers get lost, connections are reset and streams break off at endpoints that keep running;
+//! only an endpoint that refuses a new connection has crashed. One check opens a connection for all
+//! requests that broke at the endpoint; if the endpoint is running, the connection is kept for the
+//! next request.
 
 use crate::decisions::endpoint::idle_connections::idle_timeout;
 use crate::decisions::resend::OpenError;
@@ -16,34 +18,33 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How long the new connection may take. Not measured, chosen because an endpoint that has ended
-/// refuses after one round trip; silence says that the way there is cut, and proves nothing.
+/// The connect timeout of a check. A host whose endpoint has crashed refuses the connection after
+/// one round trip; a timeout means that the network path is cut, which proves nothing.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// A new connection that is closed within so long proves nothing, and another is opened: an endpoint
-/// that ends closes its listener and its connections one after the other. Not measured.
-const SETTLE: Duration = Duration::from_millis(10);
-/// Connections that are opened at most in one check. Not measured, chosen because an endpoint ends
-/// within some milliseconds.
-const MAX_TRIES: usize = 3;
+/// How long a new connection must stay open to count. One that is closed earlier proves nothing, and
+/// another is opened: a process that ends closes its listener and its connections one by one.
+const MIN_OPEN_TIME: Duration = Duration::from_millis(10);
+/// The most connections that one check opens. A process closes its sockets within some milliseconds.
+const MAX_CONNECTS: usize = 3;
 
-/// A connection to the endpoint broke while this request was under way there.
+/// Starts a check after a connection to the endpoint broke under this request, unless one is running.
 pub(crate) fn begin(gateway: &Arc<Gateway>, endpoint: &Arc<Endpoint>, request: RequestFingerprint) {
     if endpoint.lost_requests().add(request) {
         tokio::spawn(check(gateway.clone(), endpoint.clone()));
     }
 }
 
-/// Waits until the check that is under way has ended.
-pub(crate) async fn finished(endpoint: &Endpoint) {
-    // The request doesn't wait longer: such a check proves nothing.
+/// Waits until the running check has ended.
+pub(crate) async fn wait_until_finished(endpoint: &Endpoint) {
+    // The timeout is ignored: a check that takes longer proves nothing.
     let _ = timeout(CHECK_TIMEOUT, endpoint.lost_requests().checked()).await;
 }
 
-/// Opens a connection that stays open for a moment.
-async fn open_settled(address: SocketAddr) -> Result<Connection, OpenError> {
-    for _ in 0..MAX_TRIES {
+/// Opens a connection that stays open for [`MIN_OPEN_TIME`].
+async fn open_lasting(address: SocketAddr) -> Result<Connection, OpenError> {
+    for _ in 0..MAX_CONNECTS {
         let connection = Connection::open(address, CHECK_TIMEOUT).await?;
-        sleep(SETTLE).await;
+        sleep(MIN_OPEN_TIME).await;
         if connection.is_open() {
             return Ok(connection);
         }
@@ -53,7 +54,7 @@
 
 async fn check(gateway: Arc<Gateway>, endpoint: Arc<Endpoint>) {
     let address = endpoint.record.load().address;
-    let opened = open_settled(address).await;
+    let opened = open_lasting(address).await;
     let lost = endpoint.lost_requests().end_check();
     match opened {
         Err(OpenError::Refused) => {
--- a/crates/gateway/src/requests/endpoint_signals.rs
+++ b/crates/gateway/src/requests/endpoint_signals.rs
@@ -1,8 +1,9 @@
-//! What an endpoint says of itself in its answers, beside its load: read from the head of each answer,
-//! kept with this life of the endpoint, and logged when it changes.
+//! The signals in an endpoint's answers besides its load: a rate limit, an announced leave and a
+//! backoff. They are read from the head of each answer, kept with this incarnation of the endpoint,
+//! and logged when they change.
 //!
-//! Owns nothing. Only answers to the request that was sent count: one that belongs to another request, or
-//! comes from another endpoint at the address, says nothing of this one.
+//! Owns nothing. Only answers to the request that was sent count: an answer to another request, or
+//! from another endpoint at the same address, says nothing about this endpoint.
 
 use crate::decisions::eligibility::rate_limit::NamedLimit;
 use crate::endpoints::endpoint::Endpoint;
@@ -16,9 +17,9 @@
 use http::StatusCode;
 use rand::RngExt;
 
-/// An endpoint's answer, as far as its signals need it.
+/// The origin of an answer: its endpoint, and when the request was sent and answered.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Heard<'a> {
+pub(crate) struct AnswerOrigin<'a> {
     pub(crate) endpoint: &'a Endpoint,
     pub(crate) metrics: &'a GatewayMetrics,
     /// When the request was sent.
@@ -31,46 +32,46 @@
 pub(crate) struct EndpointSignals {
     limit: NamedLimit,
     is_leaving: bool,
-    wanted_rest: Option<DurationMs>,
+    backoff: Option<DurationMs>,
 }
 
 impl EndpointSignals {
-    /// Reads the signals of an answer's head.
+    /// Reads the signals in the head of an answer.
     pub(crate) fn read(
         names: &HeaderNames,
         status: StatusCode,
         headers: &HeaderReader<'_>,
     ) -> Self {
         Self {
-            limit: response_head::named_limit(names, headers),
-            is_leaving: response_head::says_it_leaves(names, headers),
-            wanted_rest: response_head::wanted_rest(names, status, headers),
+            limit: response_head::announced_limit(names, headers),
+            is_leaving: response_head::announces_leaving(names, headers),
+            backoff: response_head::requested_backoff(names, status, headers),
         }
     }
 
-    /// Keeps the signals with their endpoint.
-    pub(crate) fn take_in(self, heard: &Heard<'_>) {
-        self.take_limit_in(heard);
+    /// Applies the signals to the state of their endpoint.
+    pub(crate) fn apply(self, origin: &AnswerOrigin<'_>) {
+        self.apply_limit(origin);
         if self.is_leaving {
-            on_leaving(heard);
+            on_leaving(origin);
         }
-        if let Some(rest) = self.wanted_rest {
-            on_rest_wanted(heard, rest);
+        if let Some(backoff) = self.backoff {
+            on_backoff(origin, backoff);
         }
     }
 
-    fn take_limit_in(self, heard: &Heard<'_>) {
-        let limits = &heard.endpoint.rate_limit;
+    fn apply_limit(self, origin: &AnswerOrigin<'_>) {
+        let limits = &origin.endpoint.rate_limit;
         let draw = || rand::rng().random();
-        let Some(limit) = limits.on_answer(heard.now, heard.sent_at, self.limit, draw) else {
+        let Some(limit) = limits.on_answer(origin.now, origin.sent_at, self.limit, draw) else {
             return;
         };
-        let metrics = heard.metrics;
-        on_limit_heard(heard.endpoint, metrics, limit, LimitHeardBy::ThisDaemon);
+        let metrics = origin.metrics;
+        on_limit_heard(origin.endpoint, metrics, limit, LimitHeardBy::ThisDaemon);
     }
 }
 
-/// Who heard an endpoint name its limit. The text is for logs.
+/// The daemon that received an endpoint's rate limit. The text is for logs.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum LimitHeardBy {
     #[display("this daemon")]
@@ -79,7 +80,7 @@
     OtherDaemons,
 }
 
-/// Reports the limit that is in force now at an endpoint; none: there is none any more.
+/// Logs and counts a change of an endpoint's rate limit; `None` if the limit was withdrawn.
 pub(crate) fn on_limit_heard(
     endpoint: &Endpoint,
     metrics: &GatewayMetrics,
@@ -87,7 +88,7 @@
     heard_by: LimitHeardBy,
 ) {
     let record = endpoint.record.load();
-    metrics.limit_heard(&record.service, limit.is_some());
+    metrics.limit_changed(&record.service, limit.is_some());
     event!(
         Event::EndpointRateLimited,
         endpoint = record.id,
@@ -97,9 +98,9 @@
     );
 }
 
-fn on_leaving(heard: &Heard<'_>) {
-    if heard.endpoint.leave() {
-        let record = heard.endpoint.record.load();
+fn on_leaving(origin: &AnswerOrigin<'_>) {
+    if origin.endpoint.leave() {
+        let record = origin.endpoint.record.load();
         event!(
             Event::EndpointLeaves,
             endpoint = record.id,
@@ -109,16 +110,16 @@
     }
 }
 
-fn on_rest_wanted(heard: &Heard<'_>, rest: DurationMs) {
-    if !heard.endpoint.rest(heard.now, rest) {
+fn on_backoff(origin: &AnswerOrigin<'_>, backoff: DurationMs) {
+    if !origin.endpoint.rest(origin.now, backoff) {
         return;
     }
-    let record = heard.endpoint.record.load();
-    heard.metrics.rest_wanted(&record.service);
+    let record = origin.endpoint.record.load();
+    origin.metrics.backoff_requested(&record.service);
     event!(
         Event::EndpointRests,
         endpoint = record.id,
         service = record.service,
-        rest_ms = rest
+        rest_ms = backoff
     );
 }
--- a/crates/gateway/src/requests/exchange/mod.rs
+++ b/crates/gateway/src/requests/exchange/mod.rs
@@ -1,14 +1,14 @@
-//! The exchange of one request: endpoints are selected until one answers, or the request is
-//! refused.
+//! The exchange of one request: selects endpoints until one answers or the request is refused.
 //!
-//! Owns what became of the request so far. Whether it is shed, hedged or sent again is decided in
-//! [`crate::decisions`]; here the inputs are gathered, the verdicts carried out and logged. [`outcome`] records
-//! what each attempt says of its endpoint, [`resending`] asks whether the request is sent again.
+//! Owns the state of the request across its attempts. The rules for shedding, hedging and resending
+//! are in [`crate::decisions`]; this module gathers their inputs, acts on the results and logs them.
+//! [`outcome`] records what each attempt shows about its endpoint, and [`resending`] checks whether
+//! the request is sent again.
 
 mod outcome;
 mod resending;
 
-pub(crate) use outcome::Pace;
+pub(crate) use outcome::AnswerTiming;
 pub(crate) use resending::resend_text;
 
 use crate::decisions::admission::load_shedding::{self, QueuedRequest};
@@ -31,29 +31,29 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// The longest answer that is read whole before it is passed on. Not measured, chosen because
-/// answers of plain services have some KB, and a daemon holds many at once.
+/// The largest answer that is buffered before it is forwarded. Answers of plain services have some
+/// KB, and a daemon holds many at once.
 const MAX_WHOLE_ANSWER_BYTES: usize = 256 * 1024;
 
-/// An answer that was read whole.
+/// An answer that was read completely.
 #[derive(Debug)]
 pub(crate) struct WholeAnswer {
     pub(crate) head: response::Parts,
     pub(crate) body: Bytes,
 }
 
-/// A request on its way through attempts.
+/// A request and the state of its attempts.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) inbound: InboundRequest,
     tried: Vec<Arc<Endpoint>>,
-    /// Data centres in which it found an endpoint lost.
+    /// The data centres in which the request found an endpoint unreachable or replaced.
     lost_in: Vec<DataCentreId>,
-    /// Attempts that ran, or may have run.
+    /// The number of attempts that ran, or may have run.
     runs: u32,
-    /// Whether it was counted as its customer's usage.
-    is_counted: bool,
+    /// Whether the request was counted as its customer's usage.
+    is_usage_counted: bool,
 }
 
 impl Exchange {
@@ -64,7 +64,7 @@
             tried: Vec::new(),
             lost_in: Vec::new(),
             runs: 0,
-            is_counted: false,
+            is_usage_counted: false,
         }
     }
 
@@ -75,21 +75,22 @@
     ) -> Result<EndpointAnswer, Refusal> {
         loop {
             let selected = self.select()?;
-            self.check_queue(&selected)?;
+            self.check_queue_delay(&selected)?;
             match self.attempt(&selected, last_event_id).await {
-                Ok(answer) if self.is_retried(&answer) => {}
+                Ok(answer) if self.retries_server_error(&answer) => {}
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
                     if error == AttemptError::Broken {
-                        self.on_broken(&selected.endpoint).await;
+                        self.on_connection_broken(&selected.endpoint).await;
                     }
-                    self.after_attempt(&selected.endpoint, error)?;
+                    self.after_failed_attempt(&selected.endpoint, error)?;
                 }
             }
         }
     }
 
-    /// Reads an answer whole before the client gets it, so that one that breaks off can be retried.
+    /// Sends the request and buffers the whole answer, so that an answer that breaks off can be
+    /// retried before the client gets any of it.
     pub(crate) async fn whole_answer(&mut self) -> Result<WholeAnswer, Refusal> {
         loop {
             let mut answer = self.dispatch(None).await?;
@@ -101,34 +102,34 @@
                 Err(_) => AttemptError::TimedOut,
             };
             if error == AttemptError::Broken {
-                self.on_broken(answer.endpoint()).await;
+                self.on_connection_broken(answer.endpoint()).await;
             }
-            self.after_broken_answer(answer, error)?;
+            self.after_incomplete_answer(answer, error)?;
         }
     }
 
-    /// A connection broke under the request: the endpoint may have ended, and the request be the
-    /// cause. One under which another has ended before isn't sent on until that is known.
-    pub(crate) async fn on_broken(&self, endpoint: &Arc<Endpoint>) {
+    /// Starts a crash check after a connection broke under the request: the request may have crashed
+    /// the endpoint. A request under which an endpoint crashed before waits for the result.
+    pub(crate) async fn on_connection_broken(&self, endpoint: &Arc<Endpoint>) {
         crash_check::begin(&self.gateway, endpoint, self.inbound.fingerprint());
         if self
             .gateway
             .quarantine
             .is_suspect(|| self.inbound.fingerprint())
         {
-            crash_check::finished(endpoint).await;
+            crash_check::wait_until_finished(endpoint).await;
         }
     }
 
-    /// Whether the request is known to end the endpoints that run it.
+    /// Returns whether the request is known to crash the endpoints that run it.
     fn is_stopped(&self) -> bool {
         let fingerprint = || self.inbound.fingerprint();
         self.gateway.quarantine.is_stopped(fingerprint)
             || self.gateway.control.is_quarantined(fingerprint)
     }
 
-    /// Checks that time is left, that the request doesn't end endpoints, and that the configuration may still be
-    /// acted on.
+    /// Checks that the request doesn't crash endpoints, that time is left, and that the configuration
+    /// is recent enough to act on.
     fn check_may_send(&self) -> Result<(), RefusalReason> {
         if self.is_stopped() {
             return Err(RefusalReason::EndsEndpoints);
@@ -142,7 +143,7 @@
         Ok(())
     }
 
-    /// Selects an endpoint, if the request may be sent.
+    /// Selects an endpoint if the request may be sent.
     fn select(&self) -> Result<Selected, Refusal> {
         self.check_may_send()?;
         let directory = self.gateway.control.directory();
@@ -174,14 +175,15 @@
         }
     }
 
-    /// How long it is until an endpoint may get the request when it comes back; none: one may now, or there is none.
+    /// Returns the time until an endpoint may get the request when the client retries it; `None` if
+    /// one may get it now, or there is no endpoint.
     fn earliest_use(&self) -> Option<DurationMs> {
         let directory = self.gateway.control.directory();
         let service = directory.service(&self.inbound.service)?;
         earliest_use(&self.selection_request(), service)
     }
 
-    /// Where the request may be served.
+    /// Returns the regions in which the request may be served.
     fn region_limits(&self) -> RegionLimits<'_> {
         let customer = self.inbound.customer.as_ref();
         RegionLimits {
@@ -191,8 +193,8 @@
         }
     }
 
-    /// Sheds the request if it would wait too long.
-    fn check_queue(&self, selected: &Selected) -> Result<(), Refusal> {
+    /// Sheds the request if it would wait too long in the endpoint's queue.
+    fn check_queue_delay(&self, selected: &Selected) -> Result<(), Refusal> {
         let queue_ms = selected.estimate.queue_ms;
         let shed = load_shedding::check(QueuedRequest {
             queue_ms,
@@ -222,7 +224,7 @@
         })
     }
 
-    /// Sends the request to one endpoint, and records what that says of the endpoint.
+    /// Sends the request to one endpoint and records the outcome.
     async fn attempt(
         &mut self,
         selected: &Selected,
@@ -248,7 +250,7 @@
         result
     }
 
-    /// When a second endpoint is asked while this one is silent.
+    /// Returns the conditions for sending the request to a second endpoint while this one is silent.
     fn hedge<'a>(
         &'a self,
         endpoint: &'a Endpoint,
@@ -268,11 +270,11 @@
     }
 
     fn finish_whole(&self, answer: EndpointAnswer, body: Bytes) -> WholeAnswer {
-        let pace = Pace {
-            first: self.inbound.arrived.elapsed(),
+        let timing = AnswerTiming {
+            first_byte: self.inbound.arrived.elapsed(),
             longest_gap: Duration::ZERO,
         };
-        self.on_served(&answer, pace);
+        self.on_served(&answer, timing);
         if !answer.head.status.is_server_error() {
             answer.endpoint().health.on_served(self.gateway.clock.now());
         }
@@ -280,7 +282,8 @@
         WholeAnswer { head, body }
     }
 
-    /// Keeps the connection of an answer whose body was read to its end; gives the answer's head.
+    /// Keeps the connection of an answer whose body was read to its end, and returns the answer's
+    /// head.
     pub(crate) fn keep_connection(&self, answer: EndpointAnswer) -> response::Parts {
         let headers = self.gateway.endpoint_headers(&answer.head.headers);
         let idle_timeout = response_head::idle_timeout(&headers);
--- a/crates/gateway/src/requests/exchange/outcome.rs
+++ b/crates/gateway/src/requests/exchange/outcome.rs
@@ -1,4 +1,4 @@
-//! What an attempt says of its endpoint, and what the request becomes in usage, metrics and logs.
+//! Records the outcome of attempts and requests: endpoint health, customer usage, metrics and logs.
 
 use super::Exchange;
 use crate::decisions::duties::usage_start::{self, Began, FailedRun, Run};
@@ -12,16 +12,16 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// One plain success in so many is logged. Not measured, chosen because a line costs processor
-/// time, and successes need only a picture; everything else is logged.
+/// One in this many plain successes is logged. Each line costs processor time, and a sample of the
+/// successes is enough; everything else is logged.
 const SUCCESS_SAMPLE: u32 = 16;
 
-/// The pace of an answer, for logs and metrics.
+/// The timing of an answer, for logs and metrics.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pace {
-    /// From the request's arrival to the first bytes of the answer.
-    pub(crate) first: Duration,
-    /// The longest pause since.
+pub(crate) struct AnswerTiming {
+    /// The time from the request's arrival to the first bytes of the answer.
+    pub(crate) first_byte: Duration,
+    /// The longest gap between chunks after that.
     pub(crate) longest_gap: Duration,
 }
 
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Counts a run as its customer's usage, if it began. A prompt's success counts with its first
-    /// token instead ([`super::relay`]).
+    /// Counts a run as its customer's usage if it began. A successful run with a prompt is counted at
+    /// its first token instead ([`crate::requests::relay`]).
     pub(super) fn count_run(&mut self, run: Run, sent_at: TimeMs) {
         let is_plain = self.inbound.prompt.is_empty();
         if let Some(began) = usage_start::began(is_plain, run) {
@@ -84,9 +84,9 @@
         }
     }
 
-    /// A run of the request began: the first one counts as its customer's usage.
+    /// Counts the first run of the request that began as its customer's usage.
     pub(crate) fn count_usage(&mut self, began_at: TimeMs) {
-        if std::mem::replace(&mut self.is_counted, true) {
+        if std::mem::replace(&mut self.is_usage_counted, true) {
             return;
         }
         if let Some(customer) = &self.inbound.customer {
@@ -95,15 +95,15 @@
         }
     }
 
-    /// Counts an answer that reached its end, and logs it; of the plain successes a sample.
-    pub(crate) fn on_served(&self, answer: &EndpointAnswer, pace: Pace) {
+    /// Counts a completed answer, and logs it (of the plain successes only a sample).
+    pub(crate) fn on_served(&self, answer: &EndpointAnswer, timing: AnswerTiming) {
         let status = answer.head.status;
         if status.is_success() {
             let fingerprint = || self.inbound.fingerprint();
             self.gateway.quarantine.on_served(fingerprint);
         }
         let metrics = &self.gateway.metrics;
-        metrics.served(&self.inbound.service, status.as_u16(), pace.first);
+        metrics.served(&self.inbound.service, status.as_u16(), timing.first_byte);
         let is_plain_success = status == StatusCode::OK && self.runs == 1;
         if is_plain_success && !rand::rng().random_ratio(1, SUCCESS_SAMPLE) {
             return;
@@ -126,8 +126,8 @@
             cost_ms = estimate.cost_ms as u64,
             own_running = answer.load.own_running,
             others_running = answer.load.others_running,
-            first_ms = pace.first.as_millis(),
-            longest_gap_ms = pace.longest_gap.as_millis(),
+            first_ms = timing.first_byte.as_millis(),
+            longest_gap_ms = timing.longest_gap.as_millis(),
             took_ms = self.inbound.arrived.elapsed().as_millis()
         );
     }
--- a/crates/gateway/src/requests/exchange/resending.rs
+++ b/crates/gateway/src/requests/exchange/resending.rs
@@ -1,5 +1,5 @@
-//! Whether a request is sent again after a failure: gathers what [`crate::decisions::resend`] decides on, and
-//! logs its verdict.
+//! Resending after a failure: gathers the inputs of the rule [`crate::decisions::resend`], and logs
+//! its result.
 
 use super::Exchange;
 use crate::decisions::admission::refusal::Refusal;
@@ -12,8 +12,8 @@
 use bridgevane_events::{Event, event};
 
 impl Exchange {
-    /// Goes on after a failed attempt, or refuses the request.
-    pub(super) fn after_attempt(
+    /// Returns `Ok` if the request is sent again after a failed attempt, else its refusal.
+    pub(super) fn after_failed_attempt(
         &self,
         endpoint: &Endpoint,
         error: AttemptError,
@@ -37,8 +37,9 @@
         resend.map_err(|_| Refusal::after_failure(error, self.runs, self.earliest_use()))
     }
 
-    /// The same after the body of an answer broke off, or did not come to its end in time.
-    pub(super) fn after_broken_answer(
+    /// Like [`Self::after_failed_attempt`], for an answer whose body broke off or wasn't complete in
+    /// time.
+    pub(super) fn after_incomplete_answer(
         &self,
         answer: EndpointAnswer,
         error: AttemptError,
@@ -46,7 +47,7 @@
         let endpoint = answer.endpoint().clone();
         let status = answer.head.status;
         endpoint.health.on_failed(self.gateway.clock.now());
-        // Closes the connection, and counts the request there as ended.
+        // Closes the connection and counts the request at that endpoint as ended.
         drop(answer);
         let resend = self.may_resend(Failure::Attempt(error));
         self.gateway.metrics.attempt_failed(error);
@@ -65,8 +66,8 @@
         resend.map_err(|_| Refusal::after_failure(error, self.runs, self.earliest_use()))
     }
 
-    /// Whether the request may be sent again after a failure, and why not; takes from the retry
-    /// budget.
+    /// Checks whether the request may be sent again after a failure; takes a retry from the budget
+    /// if it may.
     pub(crate) fn may_resend(&self, failure: Failure) -> Result<(), NoResend> {
         let progress = ResendProgress {
             endpoints_tried: self.tried.len(),
@@ -74,11 +75,11 @@
             remaining: self.inbound.remaining(),
         };
         let policy = resend_policy(&self.inbound.route);
-        resend::check(failure, policy, progress, || self.take_from_budget())
+        resend::check(failure, policy, progress, || self.take_retry())
     }
 
-    /// Takes one retry from the budget, if one is left.
-    fn take_from_budget(&self) -> bool {
+    /// Takes one retry from the budget; returns whether one was left.
+    fn take_retry(&self) -> bool {
         let now = self.gateway.clock.now();
         let service = &self.inbound.service;
         let decision = self.gateway.retry_budgets.take(now, service);
@@ -100,18 +101,19 @@
         decision.is_granted
     }
 
-    /// Whether another endpoint is asked in place of an answer.
-    pub(super) fn is_retried(&self, answer: &EndpointAnswer) -> bool {
+    /// Returns whether the answer is a server error and the request is sent to another endpoint
+    /// instead; takes a retry from the budget if so.
+    pub(super) fn retries_server_error(&self, answer: &EndpointAnswer) -> bool {
         answer.head.status.is_server_error() && self.may_resend(Failure::ServerError).is_ok()
     }
 }
 
-/// The verdict on sending again, for logs: "yes", or why not.
+/// Returns the log text of a resend decision: "yes", or the reason against it.
 pub(crate) fn resend_text(resend: Result<(), NoResend>) -> String {
     resend.map_or_else(|reason| reason.to_string(), |()| "yes".to_owned())
 }
 
-/// What a route allows after a failure.
+/// Returns what a route allows after a failure.
 fn resend_policy(route: &Route) -> ResendPolicy {
     ResendPolicy {
         may_run_again: route.may_run_again(),
--- a/crates/gateway/src/requests/front.rs
+++ b/crates/gateway/src/requests/front.rs
@@ -1,7 +1,7 @@
-//! The client address: accepts connections and serves the requests on each.
+//! The client listener: accepts connections and serves the requests on each.
 //!
-//! Owns clients' connections. Relies on the HTTP library for reading heads within the idle timeout
-//! and the size limit.
+//! Owns the client connections. Relies on the HTTP library to enforce the idle timeout and the size
+//! limit while it reads request heads.
 
 use crate::gateway::Gateway;
 use crate::requests::handler;
@@ -16,33 +16,34 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long a connection may be idle until a configuration says it. Not measured, chosen because
-/// the first configuration comes within a second of a start.
+/// The idle timeout of connections accepted before the first configuration, which arrives within a
+/// second of a start.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// The longest request head until a configuration says it. Not measured, chosen because servers of
-/// the field allow 8 to 16 KB.
+/// The largest request head on connections accepted before the first configuration. Other HTTP
+/// servers allow 8 to 16 KB.
 const DEFAULT_MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The least that a connection's buffer must hold: the HTTP library's own minimum, from its docs.
+/// The smallest buffer size that the HTTP library accepts, as its documentation states.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Accepts clients until a stop ends it; then nobody listens any more.
+/// Accepts client connections until a planned stop, then closes the listener.
 pub async fn run(gateway: Arc<Gateway>, listener: TcpListener) {
     loop {
         let stream = tokio::select! {
             stream = accept(&listener) => stream,
-            () = gateway.shutdown.accepting_must_end() => break,
+            () = gateway.shutdown.listener_close_requested() => break,
         };
         tokio::spawn(serve_connection(gateway.clone(), stream));
     }
-    // Connections that the system has accepted are served, not reset.
+    // Connections still in the listen backlog are served: closing the listener would reset them.
     while let Some(Ok((stream, _))) = listener.accept().now_or_never() {
         tokio::spawn(serve_connection(gateway.clone(), stream));
     }
     drop(listener);
-    gateway.shutdown.on_accepting_ended();
+    gateway.shutdown.on_listener_closed();
 }
 
-/// Serves one connection to its end. It counts as open from the call on, before the first poll.
+/// Serves one connection to its end. The connection counts as open from this call on, even before
+/// the future is polled.
 fn serve_connection(
     gateway: Arc<Gateway>,
     stream: TcpStream,
@@ -75,11 +76,11 @@
         .header_read_timeout(idle_timeout)
         .max_buf_size(max_head_bytes.max(MIN_BUFFER_BYTES));
     let mut serving = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    // A broken connection ends its requests, and there is nobody left to tell.
+    // The error is ignored: a broken connection ends its requests, and no client is left to answer.
     tokio::select! {
         _ = serving.as_mut() => return,
-        () = gateway.shutdown.idle_must_close() => serving.as_mut().graceful_shutdown(),
+        () = gateway.shutdown.idle_close_requested() => serving.as_mut().graceful_shutdown(),
     }
-    // The same here.
+    // Ignored for the same reason.
     let _ = serving.await;
 }
--- a/crates/gateway/src/requests/handler.rs
+++ b/crates/gateway/src/requests/handler.rs
@@ -1,4 +1,5 @@
-//! One request from its head to the answer that the client reads, or the daemon's own refusal.
+//! Handles one request, from its head to the answer that the client reads or the daemon's own
+//! refusal.
 //!
 //! Owns the guards that count a request and its body until the answer has ended.
 
@@ -20,7 +21,7 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Handles one request.
+/// Handles one request and returns the answer for the client.
 pub(crate) async fn handle(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
@@ -30,7 +31,7 @@
         .headers()
         .get(&gateway.header_names.request_id)
         .cloned();
-    let mut response = match answer(&gateway, arrived, request).await {
+    let mut response = match forward(&gateway, arrived, request).await {
         Ok(response) => response,
         Err(refused) => {
             log_refusal(&gateway, id.as_ref(), &refused, arrived);
@@ -44,21 +45,21 @@
     response
 }
 
-/// What is logged for a route or a customer that isn't known.
+/// The log value for an unknown route or customer.
 const UNKNOWN: &str = "-";
 
-/// A refusal, and what is known of the request, for logs.
+/// A refusal, with the request's route and customer for logs.
 #[derive(Debug)]
 struct RefusedRequest {
     refusal: Refusal,
-    /// "-" where the request was refused before its route was known.
+    /// "-" if the request was refused before its route was known.
     route: String,
-    /// "-" where it was refused before its customer was known, or needs none.
+    /// "-" if the request was refused before its customer was known, or needs no key.
     customer: String,
 }
 
 impl RefusedRequest {
-    /// Of a request that was admitted.
+    /// Creates the refusal of an admitted request.
     fn admitted(refusal: Refusal, inbound: &InboundRequest) -> Self {
         Self {
             refusal,
@@ -78,7 +79,7 @@
     }
 }
 
-async fn answer(
+async fn forward(
     gateway: &Arc<Gateway>,
     arrived: Instant,
     request: Request<Incoming>,
@@ -107,7 +108,7 @@
         answered.map_err(|refusal| RefusedRequest::admitted(refusal, &exchange.inbound))?;
     let head = client_head(answer.head.clone());
     let relay = Relay::new(exchange, answer);
-    // The guards count the request and its body until the stream ends.
+    // Keeps the request and its body counted until the stream ends.
     let state = (relay, in_progress, buffered);
     let frames = futures_util::stream::unfold(state, |(mut relay, guard, held)| async move {
         let frame = relay.next().await?;
@@ -117,7 +118,7 @@
     Ok(Response::from_parts(head, body))
 }
 
-/// The head of an endpoint's answer as the client gets it: only status and headers go along.
+/// Returns the head for the client: the status and the end-to-end headers of the endpoint's head.
 fn client_head(head: response::Parts) -> response::Parts {
     let mut response = Response::new(());
     *response.status_mut() = head.status;
@@ -126,7 +127,7 @@
     response.into_parts().0
 }
 
-/// The daemon's own answer.
+/// Builds the daemon's own answer to a refused request.
 fn refusal_response(refusal: Refusal) -> Response<Full<Bytes>> {
     let body = format!("{{\"error\":\"{}\"}}", refusal.reason);
     let mut response = Response::new(Full::new(Bytes::from(body)));
@@ -135,7 +136,7 @@
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(wait) = refusal.retry_after() {
         let seconds = format!("{:.3}", wait.0 as f64 / 1_000.0);
-        // Digits and a point are always a valid header value.
+        // A decimal number is always a valid header value.
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(RETRY_AFTER, value);
         }
@@ -162,9 +163,9 @@
         reason = refusal.reason,
         status = refusal.reason.status().as_u16(),
         held_ms = arrived.elapsed().as_millis(),
-        // -1: there is no proof yet.
+        // -1 means no proof yet.
         proof_age_ms = proof_age.map_or(-1, |age| age.0 as i64),
-        // 0: there is no configuration yet.
+        // 0 means no configuration yet.
         version = table.map_or(0, |table| table.version().0)
     );
 }
--- a/crates/gateway/src/requests/in_flight.rs
+++ b/crates/gateway/src/requests/in_flight.rs
@@ -1,6 +1,6 @@
-//! Counts a request at its endpoint from the moment it is sent until it ends.
+//! Counts a request at its endpoint from sending until it ends.
 //!
-//! Relies on being dropped when the request ends, however it ends.
+//! Relies on being dropped when the request ends, successfully or not.
 
 use crate::clock::Clock;
 use crate::decisions::endpoint::queue_delay::{PendingRequest, prefill_ms};
@@ -8,19 +8,19 @@
 use crate::endpoints::selection::Selected;
 use std::sync::Arc;
 
-/// A request at an endpoint; dropped, it has ended.
+/// A guard that counts a request at an endpoint until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     clock: Clock,
     endpoint: Arc<Endpoint>,
-    /// Prompt tokens that the endpoint still has to read.
+    /// The prompt tokens whose prefill the endpoint hasn't finished.
     prefill_tokens: u64,
-    /// Set until the first token comes.
+    /// Set until the first token arrives.
     pending: Option<PendingRequest>,
 }
 
 impl InFlight {
-    /// The request is sent now.
+    /// Starts to count a request that is sent now.
     pub(crate) fn begin(clock: Clock, selected: &Selected) -> Self {
         let endpoint = &selected.endpoint;
         let prefill_tokens = selected.estimate.prefill_tokens;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The first token came: the endpoint has read the prompt.
+    /// Records that the first token has arrived, so that the prompt's prefill is done.
     pub(crate) fn on_first_token(&mut self) {
         let tokens = std::mem::take(&mut self.prefill_tokens);
         self.endpoint.load.on_prefill_done(tokens);
--- a/crates/gateway/src/requests/inbound.rs
+++ b/crates/gateway/src/requests/inbound.rs
@@ -1,6 +1,6 @@
-//! A request that was read as a whole and may be passed on, and its form for an endpoint.
+//! An admitted request that was read completely, and its conversion to a request for an endpoint.
 //!
-//! Owns the body until the last attempt; each attempt shares its bytes.
+//! Owns the body until the last attempt; the attempts share its bytes.
 
 use crate::clock::Clock;
 use crate::decisions::admission::priority::Priority;
@@ -17,47 +17,49 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The request.
+/// An admitted request.
 #[derive(Debug)]
 pub(crate) struct InboundRequest {
     pub(crate) clock: Clock,
-    /// When its head had arrived.
+    /// The moment at which its head had arrived.
     pub(crate) arrived: Instant,
-    /// When the client stops waiting, or the route's time is over, for timers.
+    /// The end of the client's or the route's timeout, whichever is earlier; for timers, which don't
+    /// count time in which the VM is suspended.
     pub(crate) deadline: Instant,
-    /// The same by the clock that counts suspension: what is sent on must end by it.
+    /// The same deadline on the clock that counts suspension; it bounds the timeout that is sent to
+    /// endpoints.
     pub(crate) deadline_at: TimeMs,
-    /// The client's identifier for this try.
+    /// The client's identifier for this attempt.
     pub(crate) id: HeaderValue,
     pub(crate) method: Method,
-    /// Path and query, as they came.
+    /// Path and query, unchanged.
     pub(crate) path: PathAndQuery,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) route: Arc<Route>,
-    /// The service that was drawn among the route's targets.
+    /// The service that was drawn from the route's targets.
     pub(crate) service: ServiceName,
-    /// The customer of its key; none on routes without keys.
+    /// The customer that the request's key belongs to; `None` on routes without keys.
     pub(crate) customer: Option<Arc<Customer>>,
     /// Its prompt; empty on routes without one.
     pub(crate) prompt: Prompt,
     pub(crate) priority: Priority,
     /// Whether no request of its service has a lower priority.
     pub(crate) is_lowest_priority: bool,
-    /// Worked out when it is first asked for: most requests never need it.
+    /// Computed on first use: most requests never need it.
     pub(crate) fingerprint: OnceLock<RequestFingerprint>,
 }
 
 impl InboundRequest {
-    /// The time until the deadline.
+    /// Returns the time until the deadline.
     pub(crate) fn remaining(&self) -> Duration {
         let by_timer = self.deadline.saturating_duration_since(Instant::now());
         let by_clock = self.deadline_at.since(self.clock.now());
         by_timer.min(by_clock.as_std())
     }
 
-    /// What it has in common with other tries of the same request.
+    /// Returns the hash that identifies the request across the attempts of its client.
     pub(crate) fn fingerprint(&self) -> RequestFingerprint {
         *(self.fingerprint).get_or_init(|| {
             let customer = self.customer.as_ref().map(|customer| &customer.id);
@@ -66,19 +68,19 @@
         })
     }
 
-    /// Its identifier for logs.
+    /// Returns the request's identifier for logs.
     pub(crate) fn id_text(&self) -> &str {
         self.id.to_str().unwrap_or("?")
     }
 
-    /// Its customer for logs; "-" on routes without keys.
+    /// Returns the customer for logs; "-" on routes without keys.
     pub(crate) fn customer_text(&self) -> &str {
         let customer = self.customer.as_ref();
         customer.map_or("-", |customer| customer.id.as_str())
     }
 
-    /// The request for an endpoint, which may take cached parts of its prompt from `cache_source`;
-    /// `last_event_id` resumes a stream after that event.
+    /// Builds the request for an endpoint. The endpoint may fetch cached parts of the prompt from
+    /// `cache_source`; `last_event_id` resumes a stream after that event.
     pub(crate) fn outbound(
         &self,
         names: &HeaderNames,
@@ -107,7 +109,7 @@
             let priority = HeaderValue::from(u16::from(self.priority.0));
             headers.insert(names.priority.clone(), priority);
         }
-        // A name that is no header value isn't sent; endpoints serve requests without it.
+        // A customer id that isn't a valid header value is left out; endpoints don't require it.
         if let Some(customer) = &self.customer
             && let Ok(value) = HeaderValue::from_str(customer.id.as_str())
         {
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -1,18 +1,20 @@
-//! The way of a request, in the order of the modules:
+//! Request handling, in the order in which a request passes through the modules:
 //!
-//! 1. [`front`] accepts a connection, [`handler`] takes each request on it;
-//! 2. [`admission`] reads and checks it, into an [`inbound`] request ([`request_headers`] decodes);
-//! 3. [`exchange`] selects endpoints until one answers, [`attempt`] sends it to one of them,
-//!    [`response_head`] checks whose answer came, [`endpoint_signals`] takes in what it says of its endpoint,
-//!    [`in_flight`] counts it meanwhile;
-//! 4. [`relay`] passes a stream on and resumes it elsewhere ([`server_events`] cuts it into
-//!    events); [`answer_body`] is what the client reads.
+//! 1. [`front`] accepts a connection, and [`handler`] handles each request on it;
+//! 2. [`admission`] reads and checks the request, and builds an [`inbound`] request from it
+//!    ([`request_headers`] decodes the headers);
+//! 3. [`exchange`] selects endpoints until one answers, [`attempt`] sends the request to one of
+//!    them, [`response_head`] checks that the answer belongs to the request, [`endpoint_signals`]
+//!    applies what the answer's headers say about the endpoint, and [`in_flight`] counts the
+//!    request while it is in flight;
+//! 4. [`relay`] forwards a stream and resumes it at another endpoint ([`server_events`] splits it
+//!    into events); [`answer_body`] is the body that the client reads.
 //!
-//! When an endpoint's connection breaks, [`crash_check`] looks whether the endpoint has ended, and
-//! [`quarantine`] remembers which requests ran there.
+//! When a connection to an endpoint breaks, [`crash_check`] finds out whether the endpoint has
+//! crashed, and [`quarantine`] remembers which requests ran there.
 //!
-//! What may be refused, retried or given up is decided in [`crate::decisions`]; these modules
-//! gather the inputs, act and log.
+//! The rules for refusing, retrying and giving up are in [`crate::decisions`]; these modules gather
+//! the inputs, act on the results and log.
 
 pub(crate) mod admission;
 pub(crate) mod answer_body;
--- a/crates/gateway/src/requests/quarantine.rs
+++ b/crates/gateway/src/requests/quarantine.rs
@@ -1,9 +1,9 @@
-//! The quarantine: which requests end the endpoints that run them, as far as this daemon knows.
+//! The quarantine: the requests that are known to this daemon to crash the endpoints that run them.
 //!
-//! Owns the count behind a lock, and a view of it that requests read without one. Lost with the
-//! process; a new one hears it from other daemons, and reads from the control source what they have
-//! stored there ([`crate::replication::quarantine_writer`]). The rule is
-//! [`bridgevane_decisions::crash_count`].
+//! Owns the crash count behind a lock, and a snapshot of it that requests read without a lock. The
+//! state is lost with the process; a new process receives it from other daemons and reads from the
+//! control source what they have stored there ([`crate::replication::quarantine_writer`]). The rule
+//! is [`bridgevane_decisions::crash_count`].
 
 use crate::clock::{AtomicTime, Clock};
 use crate::work_by_endpoint::EndpointHash;
@@ -18,11 +18,11 @@
 use std::sync::{Mutex, MutexGuard};
 use tokio::sync::{Notify, watch};
 
-/// For so long after news of an endpoint's end more are expected. Not measured, chosen because a request
-/// that ends endpoints comes again within seconds.
-const FRESH_NEWS: DurationMs = DurationMs(5_000);
+/// How long after a crash observation more are expected: a request that crashes endpoints is
+/// repeated within seconds.
+const RECENT_CRASH_PERIOD: DurationMs = DurationMs(5_000);
 
-/// Who saw what news say. The text is for logs.
+/// The daemons that made an observation. The text is for logs.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 enum Origin {
     #[display("this daemon")]
@@ -31,33 +31,34 @@
     OtherDaemons,
 }
 
-/// What requests read.
+/// A snapshot of the count that requests read without a lock.
 #[derive(Debug, Default)]
-struct View {
-    /// Requests that are stopped, and until when.
+struct Snapshot {
+    /// Requests under quarantine, with the moment at which their quarantine ends.
     stopped: HashMap<RequestFingerprint, TimeMs>,
-    /// Requests under which endpoints have ended, too few to be stopped.
+    /// Requests under which endpoints have crashed, too few for a quarantine.
     suspects: HashSet<RequestFingerprint>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     count: CrashCount<EndpointHash>,
-    /// Requests that this daemon's own observation put under quarantine, not stored yet.
+    /// Requests that this daemon's own observations put under quarantine, to be stored at the
+    /// control source.
     to_store: Vec<RequestFingerprint>,
 }
 
-/// The quarantine.
+/// The requests that crash the endpoints that run them.
 #[derive(Debug)]
 pub struct Quarantine {
     clock: Clock,
     state: Mutex<State>,
-    view: ArcSwap<View>,
-    /// When there was news.
-    news_at: AtomicTime,
-    /// Up to where there is news for other daemons.
+    snapshot: ArcSwap<Snapshot>,
+    /// When the newest observation was recorded.
+    recorded_at: AtomicTime,
+    /// The cursor of the newest observation for other daemons.
     newest: watch::Sender<NewsCursor>,
-    /// Wakes the task that stores the quarantine when there is more in it.
+    /// Wakes the task that stores the quarantine when requests were added to it.
     has_to_store: Notify,
 }
 
@@ -66,8 +67,8 @@
         Self {
             clock,
             state: Mutex::default(),
-            view: ArcSwap::default(),
-            news_at: AtomicTime::default(),
+            snapshot: ArcSwap::default(),
+            recorded_at: AtomicTime::default(),
             newest: watch::Sender::default(),
             has_to_store: Notify::new(),
         }
@@ -77,89 +78,91 @@
         self.state.lock().expect("no panic under this lock")
     }
 
-    /// Whether a request is no longer passed on. Its fingerprint is worked out only if any is
-    /// stopped.
+    /// Returns whether a request is under quarantine. Its fingerprint is computed only if any
+    /// request is.
     pub fn is_stopped(&self, request: impl FnOnce() -> RequestFingerprint) -> bool {
-        let view = self.view.load();
-        if view.stopped.is_empty() {
+        let snapshot = self.snapshot.load();
+        if snapshot.stopped.is_empty() {
             return false;
         }
-        let until = view.stopped.get(&request());
+        let until = snapshot.stopped.get(&request());
         until.is_some_and(|until| self.clock.now() < *until)
     }
 
-    /// Whether any request is no longer passed on.
+    /// Returns whether any request is under quarantine.
     pub(crate) fn stops_any(&self) -> bool {
-        !self.view.load().stopped.is_empty()
+        !self.snapshot.load().stopped.is_empty()
     }
 
-    /// Whether endpoints have ended under a request that is still passed on.
+    /// Returns whether endpoints have crashed under a request that isn't under quarantine.
     pub fn is_suspect(&self, request: impl FnOnce() -> RequestFingerprint) -> bool {
-        let view = self.view.load();
-        !view.suspects.is_empty() && view.suspects.contains(&request())
+        let snapshot = self.snapshot.load();
+        !snapshot.suspects.is_empty() && snapshot.suspects.contains(&request())
     }
 
-    /// Whether endpoints have ended just now, and more news are to be expected.
+    /// Returns whether endpoints have crashed recently, so that more observations are expected.
     pub(crate) fn has_fresh_news(&self) -> bool {
-        let news_at = self.news_at.get();
-        news_at.is_some_and(|at| self.clock.now() < at + FRESH_NEWS)
+        let recorded_at = self.recorded_at.get();
+        recorded_at.is_some_and(|at| self.clock.now() < at + RECENT_CRASH_PERIOD)
     }
 
-    /// This daemon saw an endpoint end while these requests were under way there.
+    /// Records that this daemon saw an endpoint crash while these requests were in flight there.
     pub fn on_crashed(&self, endpoint: EndpointHash, requests: &[RequestFingerprint]) {
         let at = self.clock.now();
-        let news = requests.iter().map(|request| CrashNews {
+        let observations = requests.iter().map(|request| CrashNews {
             request: *request,
             at,
-            // Tries that follow each other so closely are one daemon's, and few.
+            // Not needed: the start matters only for attempts that follow each other within
+            // `SAME_MOMENT`, and those are few and made by one daemon.
             began_at: None,
             fact: CrashFact::Crashed(endpoint),
         });
-        let stopped = self.take(news, Origin::ThisDaemon);
+        let stopped = self.record(observations, Origin::ThisDaemon);
         log_stopped(&stopped, Origin::ThisDaemon);
     }
 
-    /// A request was answered well. Its fingerprint is worked out only if any is suspect.
+    /// Records that a request was answered successfully. Its fingerprint is computed only if any
+    /// request is suspect.
     pub(crate) fn on_served(&self, request: impl Fn() -> RequestFingerprint) {
         if !self.is_suspect(&request) {
             return;
         }
         let request = request();
-        let news = CrashNews {
+        let observation = CrashNews {
             request,
             at: self.clock.now(),
             began_at: None,
             fact: CrashFact::Served,
         };
-        self.take([news], Origin::ThisDaemon);
+        self.record([observation], Origin::ThisDaemon);
     }
 
-    /// Another daemon tells its news.
-    pub fn on_news(&self, news: impl IntoIterator<Item = CrashNews<EndpointHash>>) {
-        let stopped = self.take(news, Origin::OtherDaemons);
+    /// Records the observations of other daemons.
+    pub fn on_news(&self, observations: impl IntoIterator<Item = CrashNews<EndpointHash>>) {
+        let stopped = self.record(observations, Origin::OtherDaemons);
         log_stopped(&stopped, Origin::OtherDaemons);
     }
 
-    /// Takes news in; gives the requests that they put under quarantine.
-    fn take(
+    /// Records observations and returns the requests that they put under quarantine.
+    fn record(
         &self,
-        news: impl IntoIterator<Item = CrashNews<EndpointHash>>,
+        observations: impl IntoIterator<Item = CrashNews<EndpointHash>>,
         origin: Origin,
     ) -> Vec<RequestFingerprint> {
         let now = self.clock.now();
         let mut state = self.state();
         let before = state.count.newest();
         let mut stopped = Vec::new();
-        for news in news {
-            if state.count.take(now, news) == NewsOutcome::Quarantines {
-                stopped.push(news.request);
+        for observation in observations {
+            if state.count.take(now, observation) == NewsOutcome::Quarantines {
+                stopped.push(observation.request);
             }
         }
         let newest = state.count.newest();
         if newest != before {
             state.count.expire(now);
-            self.view.store(view(&state.count).into());
-            self.news_at.set_if_later(now);
+            self.snapshot.store(snapshot(&state.count).into());
+            self.recorded_at.set_if_later(now);
             self.newest.send_replace(newest);
         }
         if origin == Origin::ThisDaemon {
@@ -171,7 +174,7 @@
         stopped
     }
 
-    /// The oldest `max` news after `cursor`, and up to where they go.
+    /// Returns the oldest `max` observations after `cursor`, and the cursor of the last of them.
     pub fn news_after(
         &self,
         cursor: NewsCursor,
@@ -180,24 +183,25 @@
         self.state().count.news_after(cursor, max)
     }
 
-    /// Waits until there is news after `cursor`.
+    /// Waits until there are observations after `cursor`.
     pub(crate) async fn news_since(&self, cursor: NewsCursor) {
         let mut newest = self.newest.subscribe();
-        // The sender is this owner's, and lives as long.
+        // This can't fail: `self` owns the sender.
         let _ = newest.wait_for(|newest| *newest > cursor).await;
     }
 
-    /// Waits until a request is to be stored.
+    /// Waits until a request was put under quarantine.
     pub(crate) async fn wait_for_stopped(&self) {
         self.has_to_store.notified().await;
     }
 
-    /// The requests that this daemon put under quarantine itself since the last call.
+    /// Returns the requests that this daemon's own observations put under quarantine since the last
+    /// call.
     pub(crate) fn take_to_store(&self) -> Vec<RequestFingerprint> {
         std::mem::take(&mut self.state().to_store)
     }
 
-    /// All requests that have been under quarantine for so long at least, and still are.
+    /// Returns the requests that have been under quarantine for at least `age`, and still are.
     pub(crate) fn stopped_for(&self, age: DurationMs) -> Vec<RequestFingerprint> {
         let now = self.clock.now();
         let state = self.state();
@@ -208,8 +212,8 @@
     }
 }
 
-fn view(count: &CrashCount<EndpointHash>) -> View {
-    View {
+fn snapshot(count: &CrashCount<EndpointHash>) -> Snapshot {
+    Snapshot {
         stopped: count
             .quarantined()
             .map(|(request, since)| (request, since + QUARANTINE))
@@ -218,12 +222,12 @@
     }
 }
 
-fn log_stopped(stopped: &[RequestFingerprint], told_by: Origin) {
+fn log_stopped(stopped: &[RequestFingerprint], origin: Origin) {
     for request in stopped {
         event!(
             Event::RequestQuarantined,
             fingerprint = request,
-            told_by = told_by
+            told_by = origin
         );
     }
 }
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -1,12 +1,12 @@
-//! Passes a stream on to the client, and goes on at another endpoint when it breaks off.
+//! Forwards a stream to the client, and resumes it at another endpoint when it breaks off.
 //!
-//! Owns the exchange while the stream lasts. Dropped when the client leaves, it closes the
-//! endpoint's connection at once.
+//! Owns the exchange while the stream lasts. The relay is dropped when the client disconnects, which
+//! closes the endpoint's connection at once.
 
 use crate::decisions::resend::{Failure, NoResend};
 use crate::requests::answer_body::StreamError;
 use crate::requests::attempt::EndpointAnswer;
-use crate::requests::exchange::{Exchange, Pace, resend_text};
+use crate::requests::exchange::{AnswerTiming, Exchange, resend_text};
 use crate::requests::response_head;
 use crate::requests::server_events::EventSplitter;
 use bridgevane_events::{Event, event};
@@ -16,16 +16,16 @@
 use std::time::Duration;
 use tokio::time::timeout_at;
 
-/// Measures the pace of a stream.
+/// Measures the timing of a stream.
 #[derive(Clone, Copy, Debug, Default)]
-struct PaceMeter {
-    /// When the first and the newest piece came, since the request's arrival.
+struct TimingMeter {
+    /// The times from the request's arrival to the first and to the newest chunk.
     first_and_newest: Option<(Duration, Duration)>,
     longest_gap: Duration,
 }
 
-impl PaceMeter {
-    fn on_piece(&mut self, elapsed: Duration) {
+impl TimingMeter {
+    fn on_chunk(&mut self, elapsed: Duration) {
         let first = match self.first_and_newest {
             Some((first, newest)) => {
                 self.longest_gap = self.longest_gap.max(elapsed - newest);
@@ -36,27 +36,27 @@
         self.first_and_newest = Some((first, elapsed));
     }
 
-    fn pace(&self) -> Pace {
-        // A stream without a piece counts as answered at once.
-        let (first, _) = self.first_and_newest.unwrap_or_default();
-        Pace {
-            first,
+    fn timing(&self) -> AnswerTiming {
+        // A stream without any chunk counts as answered at once.
+        let (first_byte, _) = self.first_and_newest.unwrap_or_default();
+        AnswerTiming {
+            first_byte,
             longest_gap: self.longest_gap,
         }
     }
 }
 
-/// A stream on its way to the client.
+/// A stream that is being forwarded to the client.
 pub(crate) struct Relay {
     exchange: Exchange,
-    /// The answer that is read now; none at the end.
+    /// The answer that is being read; `None` after its end.
     answer: Option<EndpointAnswer>,
-    /// Set for streams that can be resumed: only whole events are passed on.
+    /// Set for streams that can be resumed: of these only whole events are forwarded.
     splitter: Option<EventSplitter>,
-    has_first_piece: bool,
+    has_first_chunk: bool,
     /// Whether the last bytes ended an event.
     is_between_events: bool,
-    pace: PaceMeter,
+    timing: TimingMeter,
 }
 
 impl Relay {
@@ -67,28 +67,28 @@
             splitter: (is_resumable && is_success).then(EventSplitter::default),
             exchange,
             answer: Some(answer),
-            has_first_piece: false,
+            has_first_chunk: false,
             is_between_events: true,
-            pace: PaceMeter::default(),
+            timing: TimingMeter::default(),
         }
     }
 
-    /// The next bytes; none at the end.
+    /// Returns the next bytes for the client; `None` at the end of the stream.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, StreamError>> {
         loop {
             let answer = self.answer.as_mut()?;
             let frame = answer.body.frame();
             let cause = match timeout_at(self.exchange.inbound.deadline, frame).await {
                 Ok(Some(Ok(frame))) => {
-                    // Trailers aren't passed on.
+                    // Trailers aren't forwarded.
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    let passed = self.pass_on(data);
-                    if passed.is_empty() {
+                    let forwarded = self.accept_chunk(data);
+                    if forwarded.is_empty() {
                         continue;
                     }
-                    return Some(Ok(passed));
+                    return Some(Ok(forwarded));
                 }
                 Ok(None) if self.ends_inside_event() => StreamError::EndpointBrokeOff,
                 Ok(None) => return self.finish(),
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Takes a piece in, and gives what the client may have of it.
-    fn pass_on(&mut self, data: Bytes) -> Bytes {
-        self.on_piece();
+    /// Records a chunk and returns the bytes that can be forwarded now.
+    fn accept_chunk(&mut self, data: Bytes) -> Bytes {
+        self.on_chunk();
         self.is_between_events = data.ends_with(b"\n\n") || data.ends_with(b"\r\n\r\n");
         match &mut self.splitter {
             Some(splitter) => splitter.push(&data),
@@ -111,15 +111,15 @@
         }
     }
 
-    fn on_piece(&mut self) {
+    fn on_chunk(&mut self) {
         let Some(answer) = &mut self.answer else {
             return;
         };
         let gateway = &self.exchange.gateway;
         let inbound = &self.exchange.inbound;
         answer.endpoint().load.on_heard(gateway.clock.now());
-        self.pace.on_piece(inbound.arrived.elapsed());
-        if std::mem::replace(&mut self.has_first_piece, true) {
+        self.timing.on_chunk(inbound.arrived.elapsed());
+        if std::mem::replace(&mut self.has_first_chunk, true) {
             return;
         }
         answer.in_flight.on_first_token();
@@ -128,13 +128,13 @@
         gateway
             .prompt_locations
             .on_read(now, &inbound.prompt, endpoint);
-        // A failure was counted with its head.
+        // A failed answer was counted when its head arrived.
         if !inbound.prompt.is_empty() && answer.head.status.is_success() {
             self.exchange.count_usage(now);
         }
     }
 
-    /// Whether the body ends inside an event, and only the end of the connection says that it ends.
+    /// Returns whether the body ended inside an event, and only by the end of the connection.
     fn ends_inside_event(&self) -> bool {
         let Some(answer) = &self.answer else {
             return false;
@@ -154,27 +154,27 @@
         if answer.head.status.is_success() {
             answer.endpoint().health.on_served(now);
         }
-        self.exchange.on_served(&answer, self.pace.pace());
+        self.exchange.on_served(&answer, self.timing.timing());
         self.exchange.keep_connection(answer);
         None
     }
 
-    /// Goes on at another endpoint, if that is allowed.
+    /// Resumes the stream at another endpoint, if that is allowed.
     async fn resume(&mut self, cause: StreamError) -> Result<(), StreamError> {
         if cause == StreamError::EndpointBrokeOff
             && let Some(answer) = &self.answer
         {
             let now = self.exchange.gateway.clock.now();
             answer.endpoint().health.on_failed(now);
-            self.exchange.on_broken(answer.endpoint()).await;
+            self.exchange.on_connection_broken(answer.endpoint()).await;
         }
         let resend = match &self.splitter {
             Some(_) => self.exchange.may_resend(Failure::StreamBroken),
-            // Without whole events nobody knows where to go on.
+            // Only streams that are split into events can be resumed.
             None => Err(NoResend::NotResumable),
         };
         self.log_broken_off(cause, resend);
-        // Closes the connection, and counts the request there as ended.
+        // Closes the connection and counts the request at that endpoint as ended.
         self.answer = None;
         resend.map_err(|_| cause)?;
         let last_event_id = self.splitter.as_mut().and_then(|splitter| {
@@ -183,7 +183,7 @@
         });
         let header = last_event_id.map(HeaderValue::from);
         let resumed = self.exchange.dispatch(header.as_ref()).await;
-        // The refusal can't be sent any more: the client has read the head.
+        // The refusal itself can't be sent: the client already has a head.
         let answer = resumed.map_err(|_| cause)?;
         if !answer.head.status.is_success() {
             return Err(cause);
@@ -192,11 +192,11 @@
             Event::StreamResumed,
             request = self.exchange.inbound.id_text(),
             endpoint = answer.endpoint().record.load().id,
-            // -1: no event had come.
+            // -1 means that no event had arrived.
             after = last_event_id.map_or(-1, |id| id as i64)
         );
         self.answer = Some(answer);
-        self.has_first_piece = false;
+        self.has_first_chunk = false;
         Ok(())
     }
 
@@ -213,7 +213,7 @@
             customer = self.exchange.inbound.customer_text(),
             fingerprint = self.exchange.inbound.fingerprint(),
             cause = cause,
-            begun = self.has_first_piece,
+            begun = self.has_first_chunk,
             held_ms = self.exchange.inbound.arrived.elapsed().as_millis(),
             resend = resend_text(resend)
         );
--- a/crates/gateway/src/requests/request_headers.rs
+++ b/crates/gateway/src/requests/request_headers.rs
@@ -1,7 +1,7 @@
-//! Headers of requests: what is decoded from them, and which are passed on.
+//! Request headers: decodes them, and selects those that are forwarded.
 //!
-//! A header that is there and can't be decoded counts as absent, and is logged; see
-//! [`UnreadableHeaders`].
+//! A header that is present and can't be decoded counts as absent, and is logged; see
+//! [`crate::unreadable_headers`].
 
 use crate::decisions::admission::refusal::RefusalReason;
 use crate::header_names::HeaderNames;
@@ -12,7 +12,7 @@
 use http::{HeaderMap, HeaderValue, Uri};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Headers that belong to one connection only.
+/// Headers that apply to one connection only.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -24,10 +24,10 @@
     header::UPGRADE,
 ];
 
-/// Removes the headers that belong to one connection only.
+/// Removes the headers that apply to one connection only.
 pub(crate) fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let connection = headers.get_all(header::CONNECTION).iter();
-    // What is no header name can't name a header to remove.
+    // Entries that aren't valid header names can't match a header.
     let listed: Vec<HeaderName> = connection
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
@@ -38,9 +38,9 @@
     }
 }
 
-/// The headers that are passed on: without those of the connection, the key, and what only the
-/// system itself may set.
-pub(crate) fn passed_on(names: &HeaderNames, mut headers: HeaderMap) -> HeaderMap {
+/// Returns the headers that are forwarded: without those of the connection, the key, and those that
+/// only the system itself may set.
+pub(crate) fn forwarded(names: &HeaderNames, mut headers: HeaderMap) -> HeaderMap {
     let id = headers.get(&names.request_id).cloned();
     remove_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
@@ -49,14 +49,14 @@
     for name in &names.reserved {
         headers.remove(name);
     }
-    // A client that lists the identifier as a header of its connection doesn't lose it.
+    // The identifier is kept even if the client lists it in `Connection`.
     if let Some(id) = id {
         headers.insert(names.request_id.clone(), id);
     }
     headers
 }
 
-/// The host that a request names, in lower case and without a port.
+/// Returns the host of a request, in lower case and without a port.
 pub(crate) fn host(uri: &Uri, headers: &HeaderMap) -> Option<String> {
     let named = headers
         .get(header::HOST)
@@ -69,10 +69,10 @@
     Some(without_port.to_ascii_lowercase())
 }
 
-/// The key of a request. One that can't be read is refused like an unknown one.
+/// Returns the key of a request. An undecodable key is refused like an unknown one.
 pub(crate) fn key<'a>(names: &HeaderNames, headers: &'a HeaderMap) -> Option<&'a str> {
     let value = headers.get(header::AUTHORIZATION)?;
-    // The caller answers 401.
+    // The caller refuses a request without a key with status 401.
     let text = value.to_str().ok()?;
     let (scheme, key) = text.split_once(' ')?;
     scheme
@@ -80,10 +80,10 @@
         .then(|| key.trim())
 }
 
-/// The identifier of a request.
+/// Returns the identifier of a request.
 ///
 /// # Errors
-/// [`RefusalReason::Malformed`] when it has none, an empty one, or several.
+/// [`RefusalReason::Malformed`] if the request has none, an empty one, or several.
 pub(crate) fn identifier(
     names: &HeaderNames,
     headers: &HeaderMap,
@@ -96,7 +96,7 @@
     }
 }
 
-/// How long the client will wait, if it says.
+/// Returns how long the client will wait, if the header is present.
 pub(crate) fn client_timeout(
     names: &HeaderNames,
     headers: &HeaderReader<'_>,
@@ -104,7 +104,7 @@
     headers.parsed::<u64>(&names.deadline_ms).map(DurationMs)
 }
 
-/// What the headers say of the prompt; a part that can't be read ends the list.
+/// Decodes the headers that describe the prompt; an undecodable part ends the list of parts.
 pub(crate) fn prompt(names: &HeaderNames, headers: &HeaderReader<'_>) -> Prompt {
     let parts = prompt_parts(names, headers);
     let tokens_of_parts: u64 = parts.iter().map(|part| part.tokens.0).sum();
@@ -115,7 +115,7 @@
     let count = |text: Option<&str>| -> Option<u64> { headers.decoded(name, text?.trim().parse()) };
     Prompt {
         tokens: Tokens(count(prompt).unwrap_or(tokens_of_parts)),
-        // A client that names no bound gets an answer of any length; it counts as a short one.
+        // Without a bound the answer may have any length, and counts as a short one.
         max_answer_tokens: Tokens(count(answer).unwrap_or(0)),
         parts,
     }
@@ -131,15 +131,15 @@
     parts.collect()
 }
 
-/// The text is no part of a prompt.
+/// The error for a malformed part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct NotAPromptPart;
+struct InvalidPromptPart;
 
-/// Reads "name:tokens".
-fn prompt_part(text: &str) -> Result<PromptPart, NotAPromptPart> {
-    let (name, tokens) = text.split_once(':').ok_or(NotAPromptPart)?;
+/// Parses "name:tokens".
+fn prompt_part(text: &str) -> Result<PromptPart, InvalidPromptPart> {
+    let (name, tokens) = text.split_once(':').ok_or(InvalidPromptPart)?;
     Ok(PromptPart {
         id: xxh3_64(name.as_bytes()),
-        tokens: Tokens(tokens.parse().map_err(|_| NotAPromptPart)?),
+        tokens: Tokens(tokens.parse().map_err(|_| InvalidPromptPart)?),
     })
 }
--- a/crates/gateway/src/requests/response_head.rs
+++ b/crates/gateway/src/requests/response_head.rs
@@ -1,6 +1,7 @@
-//! The head of an endpoint's answer: whose it is, what it says of load and of the connection.
+//! The head of an endpoint's answer: checks that the answer belongs to the request, and decodes what
+//! its headers say about the endpoint and the connection.
 //!
-//! Owns nothing; a header that can't be decoded counts as absent, and is logged.
+//! Owns nothing. A header that can't be decoded counts as absent, and is logged.
 
 use crate::decisions::eligibility::rate_limit::{self, NamedLimit};
 use crate::decisions::endpoint::idle_connections;
@@ -13,22 +14,24 @@
 use http::{HeaderMap, HeaderValue, StatusCode, response};
 use std::time::Duration;
 
-/// Says how long an endpoint keeps an idle connection.
+/// The header that says how long an endpoint keeps an idle connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// The longest time that counts as one, in seconds. Longer ones are taken for errors of the endpoint.
+/// The longest accepted `Retry-After`, in seconds. Longer ones count as errors of the endpoint.
 const MAX_RETRY_AFTER_S: f64 = 3_600.0;
 
 /// Checks that an answer belongs to the request, and that the request ran.
 ///
 /// # Errors
-/// [`AttemptError`] when it doesn't, or the endpoint says that it did not run it.
+/// [`AttemptError`] if the answer belongs to another request, or the endpoint says that it did not
+/// run this one.
 pub(crate) fn check(
     names: &HeaderNames,
     request_id: &HeaderValue,
     head: &response::Parts,
 ) -> Result<(), AttemptError> {
-    // Before the header of one that has not run it, which may come along: it isn't full, it is another one.
+    // Checked before the "not executed" header, which may come with it: the endpoint isn't full, it
+    // is a different one.
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         return Err(AttemptError::Misdirected);
     }
@@ -41,33 +44,36 @@
     Ok(())
 }
 
-/// The header names no time that an endpoint could mean.
+/// The error for a `Retry-After` header outside of the accepted range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct NotATime;
+struct InvalidRetryAfter;
 
-/// When to come back, as the endpoint says; fractions of seconds are allowed.
+/// Returns the time in the `Retry-After` header; fractions of seconds are allowed.
 fn retry_after(headers: &HeaderReader<'_>) -> Option<DurationMs> {
     let seconds: f64 = headers.parsed(&RETRY_AFTER)?;
-    let is_time = (0.0..=MAX_RETRY_AFTER_S).contains(&seconds);
-    let seconds = headers.decoded(&RETRY_AFTER, is_time.then_some(seconds).ok_or(NotATime))?;
+    let is_valid = (0.0..=MAX_RETRY_AFTER_S).contains(&seconds);
+    let seconds = headers.decoded(
+        &RETRY_AFTER,
+        is_valid.then_some(seconds).ok_or(InvalidRetryAfter),
+    )?;
     Some(DurationMs((seconds * 1_000.0).ceil() as u64))
 }
 
-/// How long the answer's endpoint wants nothing from this daemon, if it turns the request away and says so.
-pub(crate) fn wanted_rest(
+/// Returns the backoff that an endpoint asks of this daemon: the `Retry-After` of an answer that
+/// refuses the request.
+pub(crate) fn requested_backoff(
     names: &HeaderNames,
     status: StatusCode,
     headers: &HeaderReader<'_>,
 ) -> Option<DurationMs> {
-    let is_turned_away =
-        status == StatusCode::SERVICE_UNAVAILABLE || headers.has(&names.not_executed);
-    if !is_turned_away || !headers.has(&RETRY_AFTER) {
+    let is_refused = status == StatusCode::SERVICE_UNAVAILABLE || headers.has(&names.not_executed);
+    if !is_refused || !headers.has(&RETRY_AFTER) {
         return None;
     }
     retry_after(headers)
 }
 
-/// The load that the endpoint reports, if it does.
+/// Returns the load that the endpoint reports, if it does.
 pub(crate) fn reported_load(
     names: &HeaderNames,
     headers: &HeaderReader<'_>,
@@ -76,16 +82,16 @@
     headers.decoded(&names.load, load_report(text))
 }
 
-/// The text is no load report.
+/// The error for a malformed load header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct NotALoadReport;
+struct InvalidLoadReport;
 
-/// Reads "running,waiting"; more fields may follow.
-fn load_report(text: &str) -> Result<ReportedLoad, NotALoadReport> {
+/// Parses "running,waiting"; more fields may follow.
+fn load_report(text: &str) -> Result<ReportedLoad, InvalidLoadReport> {
     let mut numbers = text.split(',').map(|number| number.trim().parse());
     let mut next = || match numbers.next() {
         Some(Ok(number)) => Ok(number),
-        _ => Err(NotALoadReport),
+        _ => Err(InvalidLoadReport),
     };
     Ok(ReportedLoad {
         running: next()?,
@@ -93,34 +99,34 @@
     })
 }
 
-/// The header names no rate that an endpoint could mean.
+/// The error for a rate limit outside of the accepted range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct NotARate;
+struct InvalidRateLimit;
 
-/// Whether the answer's endpoint says that it leaves.
-pub(crate) fn says_it_leaves(names: &HeaderNames, headers: &HeaderReader<'_>) -> bool {
+/// Returns whether the endpoint announces that it is leaving.
+pub(crate) fn announces_leaving(names: &HeaderNames, headers: &HeaderReader<'_>) -> bool {
     let leaves: Option<u8> = headers.parsed(&names.leaving);
     leaves.is_some_and(|leaves| leaves != 0)
 }
 
-/// The limit that the answer's endpoint names.
-pub(crate) fn named_limit(names: &HeaderNames, headers: &HeaderReader<'_>) -> NamedLimit {
+/// Returns the rate limit in the endpoint's answer.
+pub(crate) fn announced_limit(names: &HeaderNames, headers: &HeaderReader<'_>) -> NamedLimit {
     if !headers.has(&names.rate_limit) {
         return NamedLimit::None;
     }
     let rate = headers.parsed(&names.rate_limit).and_then(|rate: f64| {
         let limit = rate_limit::checked(RequestsPerSecond(rate));
-        headers.decoded(&names.rate_limit, limit.ok_or(NotARate))
+        headers.decoded(&names.rate_limit, limit.ok_or(InvalidRateLimit))
     });
     rate.map_or(NamedLimit::Unreadable, NamedLimit::Of)
 }
 
-/// Whether only the end of the connection marks the end of the body.
+/// Returns whether only the end of the connection marks the end of the body.
 pub(crate) fn ends_with_connection(headers: &HeaderMap) -> bool {
     !headers.contains_key(CONTENT_LENGTH) && !headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// How long the answer's connection may be idle; none: it can't be used again.
+/// Returns how long the answer's connection may be idle; `None` if it can't be reused.
 pub(crate) fn idle_timeout(headers: &HeaderReader<'_>) -> Option<DurationMs> {
     let closes = headers.text(&CONNECTION);
     if closes.is_some_and(|value| value.eq_ignore_ascii_case("close")) {
@@ -129,7 +135,7 @@
     idle_connections::idle_timeout(announced_idle_timeout(headers))
 }
 
-/// The idle timeout in `Keep-Alive: timeout=SECONDS`, among other parameters.
+/// Returns the idle timeout in `Keep-Alive: timeout=SECONDS`, which may have other parameters.
 fn announced_idle_timeout(headers: &HeaderReader<'_>) -> Option<Duration> {
     let parameters = headers.text(&KEEP_ALIVE)?.split(',');
     let mut parameters = parameters.map(str::trim);
--- a/crates/gateway/src/requests/retry_budgets.rs
+++ b/crates/gateway/src/requests/retry_budgets.rs
@@ -1,7 +1,7 @@
-//! Retry budgets of all services: this daemon's requests and retries, behind a lock.
+//! The retry budgets of all services: this daemon's recent requests and retries, behind a lock.
 //!
-//! The rule is [`crate::decisions::resend::retry_budget`]. Lost with the process: the rule holds over
-//! all lives of a daemon without it.
+//! The rule is [`crate::decisions::resend::retry_budget`]. The state is lost with the process; the
+//! rule's bound holds across restarts of a daemon without it.
 
 use crate::decisions::resend::retry_budget::{
     self, FleetBudget, RetryDecision, RetryHistory, RetryRounding,
@@ -12,22 +12,23 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Stands for an unknown number of parts: a known one is never 0, from the rule's minimum.
+/// Stands for an unknown number of parts; a known one is at least the rule's minimum, above 0.
 const UNKNOWN_PARTS: u32 = 0;
 
-/// Budgets by service.
+/// The retry budgets by service.
 #[derive(Debug)]
 pub struct RetryBudgets {
     fleet_budget: FleetBudget,
-    /// Parts that the slack is divided into.
+    /// The number of parts that the slack is divided into.
     parts: AtomicU32,
+    /// The moment from which this daemon uses its share of the slack.
     slack_from: TimeMs,
     rounding: RetryRounding,
     histories: Mutex<HashMap<ServiceName, RetryHistory>>,
 }
 
 impl RetryBudgets {
-    /// The budgets of a daemon that starts now.
+    /// Creates the budgets of a daemon that starts now.
     pub fn new(now: TimeMs, settings: &GatewaySettings, rounding: RetryRounding) -> Self {
         let follows_others = settings.peer_address.is_some() && !settings.seed_addresses.is_empty();
         let window = settings.retry_window_ms;
@@ -48,32 +49,32 @@
         }
     }
 
-    /// There are at most so many daemons.
+    /// Shares the slack among at most this many daemons.
     pub fn share_among(&self, daemons: u32) {
         let parts = retry_budget::parts(daemons);
         self.parts.store(parts, Ordering::Relaxed);
     }
 
-    /// Works on the history of a service; only the first call for it copies its name.
+    /// Applies `update` to the history of a service; only the first call copies the service's name.
     fn with_history<T>(
         &self,
         service: &ServiceName,
-        work: impl FnOnce(&mut RetryHistory) -> T,
+        update: impl FnOnce(&mut RetryHistory) -> T,
     ) -> T {
         let mut histories = self.histories.lock().expect("no panic under this lock");
         match histories.get_mut(service) {
-            Some(history) => work(history),
-            None => work(histories.entry(service.clone()).or_default()),
+            Some(history) => update(history),
+            None => update(histories.entry(service.clone()).or_default()),
         }
     }
 
-    /// A request for a service came in.
+    /// Records a request for a service.
     pub fn on_request(&self, now: TimeMs, service: &ServiceName) {
         let window = self.fleet_budget.window;
         self.with_history(service, |history| history.on_request(now, window));
     }
 
-    /// Takes one retry, if one is left.
+    /// Takes one retry of a service's budget if one is left.
     pub fn take(&self, now: TimeMs, service: &ServiceName) -> RetryDecision {
         let budget = &self.fleet_budget;
         let parts = self.parts.load(Ordering::Relaxed);
--- a/crates/gateway/src/requests/server_events.rs
+++ b/crates/gateway/src/requests/server_events.rs
@@ -1,21 +1,21 @@
-//! Server-sent events in a stream of bytes: whole events, and the identifier of the last.
+//! Splits a stream of bytes into server-sent events, and tracks the identifier of the last one.
 //!
-//! Relies on events being separated by blank lines, and on identifiers that rise within a stream.
+//! Relies on blank lines between events, and on identifiers that increase within a stream.
 
 use bytes::{Bytes, BytesMut};
 
-/// Splits a stream into whole events.
+/// Splits a stream of bytes into whole events.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
-    /// An event that has begun and not ended.
+    /// The bytes of an event that isn't complete yet.
     partial: BytesMut,
     last_event_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes bytes and gives the whole events that are new. A partial event waits for its rest; one
-    /// whose identifier isn't above the last is dropped, since it was given before the stream was
-    /// resumed.
+    /// Adds bytes and returns the events that they complete. A partial event is kept until the rest
+    /// of it arrives. An event whose identifier isn't above the last one is dropped: it was returned
+    /// before the stream was resumed.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let mut whole = BytesMut::new();
@@ -31,23 +31,23 @@
         whole.freeze()
     }
 
-    /// The identifier of the last whole event.
+    /// Returns the identifier of the last whole event.
     pub(crate) fn last_event_id(&self) -> Option<u64> {
         self.last_event_id
     }
 
-    /// Whether an event has begun and not ended.
+    /// Returns whether an event has begun and isn't complete.
     pub(crate) fn is_inside_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Forgets an event that has begun: its sender broke off.
+    /// Drops the incomplete event of a stream that broke off.
     pub(crate) fn drop_partial_event(&mut self) {
         self.partial.clear();
     }
 }
 
-/// Where the first event ends: behind its blank line.
+/// Returns the end of the first event, after its blank line.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut start = 0;
     while let Some(line) = bytes[start..].iter().position(|byte| *byte == b'\n') {
@@ -61,10 +61,10 @@
     None
 }
 
-/// The number in an event's `id` line. Events with another identifier or none can't be resumed
-/// after, and are passed on like those without.
+/// Returns the number in an event's `id` line. An event with a non-numeric identifier or none is
+/// forwarded, but a stream can't be resumed after it.
 fn event_id(event: &[u8]) -> Option<u64> {
-    // No text has no `id` line.
+    // Bytes that aren't UTF-8 have no `id` line.
     let text = std::str::from_utf8(event).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("id:"))?;
     line.trim().parse().ok()
