--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -1,12 +1,12 @@
-//! A count of things that are held, such as open connections or bytes of bodies.
+//! A counter of resources in use, such as open connections or buffered bytes.
 //!
-//! Owns nothing but the number; whoever holds a guard keeps its amount in, so that nothing is
-//! counted for ever.
+//! Owns only the number. Each guard adds its amount until it is dropped, so that no amount stays
+//! counted forever.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The count; clones share it.
+/// A counter; clones share the count.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Counter {
     count: Arc<AtomicU64>,
@@ -17,7 +17,7 @@
         self.count.load(Ordering::Relaxed)
     }
 
-    /// Adds `amount` until the guard is dropped.
+    /// Adds `amount` until the returned guard is dropped.
     pub(crate) fn hold(&self, amount: u64) -> CountGuard {
         self.count.fetch_add(amount, Ordering::Relaxed);
         CountGuard {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Keeps an amount in its counter.
+/// A guard that keeps its amount in the counter.
 #[derive(Debug)]
 pub(crate) struct CountGuard {
     counter: Counter,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,17 +1,18 @@
-//! The gateway: one process's state, as owners with one job each.
+//! The gateway: the state of one process, split into components with one responsibility each.
 //!
-//! | owner | what it owns |
+//! | component | state |
 //! |---|---|
 //! | [`ControlState`] | routes, customers, endpoints, and how recent they are |
-//! | [`Fleet`] | what is known of the other daemons |
-//! | [`PromptLocations`] | which engines read which prompts |
+//! | [`Fleet`] | what is known about the other daemons |
+//! | [`PromptLocations`] | which engines have read which prompts |
 //! | [`DutyBook`] | this daemon's part in the duties |
-//! | [`Quarantine`] | which requests end the endpoints that run them |
+//! | [`Quarantine`] | the requests that crash the endpoints that run them |
 //! | [`RetryBudgets`] | this daemon's requests and retries of the last two windows |
-//! | [`Shutdown`] | how far a planned stop has come |
-//! | counters | requests in progress, clients' connections, bytes of bodies |
+//! | [`Shutdown`] | the progress of a planned stop |
+//! | counters | requests in progress, client connections, buffered bytes |
 //!
-//! Each has its own locks or atomics, and none calls another. Nothing outlives the process.
+//! Each component has its own locks or atomics, and none calls another. No state outlives the
+//! process.
 
 use crate::clock::Clock;
 use crate::control::state::ControlState;
@@ -41,26 +42,26 @@
 /// The gateway's state.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Settings.
+    /// The settings.
     pub settings: GatewaySettings,
-    /// The clock that all moments are from.
+    /// The clock of all moments in the state.
     pub clock: Clock,
-    /// What the control source says.
+    /// The state received from the control source.
     pub control: ControlState,
     /// A hash of the VM's name.
     pub(crate) vm_hash: u64,
-    /// Notified when the VM has been suspended.
+    /// Notified after the VM was suspended.
     pub(crate) woken: Notify,
-    /// The steps of a planned stop.
+    /// The progress of a planned stop.
     pub shutdown: Shutdown,
     pub(crate) header_names: HeaderNames,
     pub(crate) fleet: Fleet,
-    /// The whole state for daemons that start.
+    /// The packed full state that starting daemons receive.
     pub(crate) packed_state: PackedState,
     /// This daemon's part in the duties.
     pub duty_book: DutyBook,
     pub(crate) prompt_locations: PromptLocations,
-    /// Requests that end the endpoints that run them.
+    /// The requests that crash the endpoints that run them.
     pub quarantine: Quarantine,
     pub(crate) retry_budgets: RetryBudgets,
     pub(crate) requests_in_progress: Counter,
@@ -71,12 +72,12 @@
 }
 
 impl Gateway {
-    /// A gateway that has heard nothing yet.
+    /// Creates a gateway without any configuration yet.
     pub fn new(settings: GatewaySettings, header_names: HeaderNames, meter: &Meter) -> Arc<Self> {
         Self::with_clock(settings, header_names, meter, Clock::start())
     }
 
-    /// The same with a clock of the caller's.
+    /// Creates a gateway that uses the given clock.
     pub fn with_clock(
         settings: GatewaySettings,
         header_names: HeaderNames,
@@ -105,31 +106,31 @@
         })
     }
 
-    /// Whether the daemon wants new connections.
+    /// Returns whether the daemon is ready for new connections.
     pub fn is_ready(&self) -> bool {
         let has_routes = self.control.routing_table().is_some();
         let may_serve = self.control.freshness().may_serve();
         !self.shutdown.is_stopping() && may_serve && has_routes
     }
 
-    /// Requests that were read and not yet answered.
+    /// Returns the number of requests whose answers have not ended.
     pub fn in_progress(&self) -> u64 {
         self.requests_in_progress.get()
     }
 
-    /// Open connections of clients.
+    /// Returns the number of open client connections.
     pub fn open_connections(&self) -> u64 {
         self.open_connections.get()
     }
 
-    /// The number of daemons is known anew: the retry budget is shared among so many.
+    /// Shares the retry budget among the daemons of the fleet, if their number is known.
     pub(crate) fn share_retry_budget(&self, fleet_size: Option<u32>) {
         if let Some(daemons) = fleet_size {
             self.retry_budgets.share_among(daemons);
         }
     }
 
-    /// How many idle connections to an endpoint this daemon keeps.
+    /// Returns how many idle connections to an endpoint this daemon keeps.
     pub(crate) fn max_idle_connections(&self, endpoint: &Endpoint) -> usize {
         let table = self.control.routing_table();
         let record = endpoint.record.load();
@@ -141,7 +142,8 @@
         idle_connections::max_idle(max_connections, daemons)
     }
 
-    /// What this daemon may send to cold endpoints of a service; none: as much as to others.
+    /// Returns what this daemon may send to the cold endpoints of a service; `None` if they take as
+    /// much as others.
     pub(crate) fn cold_quota(&self, service: &ServiceName) -> Option<ColdQuota> {
         let table = self.control.routing_table()?;
         let limits = table.service(service)?.cold?;
@@ -153,18 +155,18 @@
         })
     }
 
-    /// How many daemons there are; none: this one doesn't know.
+    /// Returns the number of daemons; `None` if this one doesn't know it.
     pub(crate) fn fleet_size(&self) -> Option<u32> {
         let is_alone = self.settings.seed_addresses.is_empty();
         self.fleet.size().or(is_alone.then_some(1))
     }
 
-    /// Decodes headers of a client's request.
+    /// Returns a decoder for the headers of a client's request.
     pub(crate) fn client_headers<'a>(&'a self, headers: &'a HeaderMap) -> HeaderReader<'a> {
         self.unreadable_headers.reader(Sender::Client, headers)
     }
 
-    /// Decodes headers of an endpoint's answer.
+    /// Returns a decoder for the headers of an endpoint's answer.
     pub(crate) fn endpoint_headers<'a>(&'a self, headers: &'a HeaderMap) -> HeaderReader<'a> {
         self.unreadable_headers.reader(Sender::Endpoint, headers)
     }
--- a/crates/gateway/src/header_names.rs
+++ b/crates/gateway/src/header_names.rs
@@ -1,40 +1,42 @@
-//! The names of headers that the gateway reads and writes, filled in by the adapter of a platform.
+//! The names of the headers that the gateway reads and writes, supplied by the adapter of a
+//! platform.
 //!
-//! The gateway itself knows no header of a platform by name.
+//! The gateway itself contains no header names of a platform.
 
 use http::HeaderName;
 
-/// Header names.
+/// The names of the headers that the gateway reads and writes.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Identifies one try of a client, on requests and answers.
+    /// Identifies one attempt of a client, on requests and answers.
     pub request_id: HeaderName,
-    /// How long the sender will wait, in milliseconds.
+    /// How long the sender will wait for the answer, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// Parts of a prompt with their sizes in tokens.
+    /// The parts of a prompt with their sizes in tokens.
     pub prompt_parts: HeaderName,
-    /// The last event that a client has of a stream.
+    /// The last event of a stream that was received; the stream is resumed after it.
     pub last_event_id: HeaderName,
     /// The customer that a key belongs to.
     pub customer: HeaderName,
-    /// The endpoint that a request is meant for; any other refuses it.
+    /// The endpoint that a request is meant for; any other endpoint refuses it.
     pub expected_endpoint: HeaderName,
-    /// An endpoint's load, on its answers.
+    /// On answers: the endpoint's load.
     pub load: HeaderName,
-    /// On an endpoint's answers while it is so: requests a second that it takes from all daemons together.
+    /// On answers of an endpoint while it has a limit: the requests per second that it accepts from
+    /// all daemons together.
     pub rate_limit: HeaderName,
-    /// On all answers of an endpoint that leaves: "1".
+    /// On all answers of an endpoint that is leaving: "1".
     pub leaving: HeaderName,
-    /// On an answer: the endpoint did not run the request.
+    /// On answers: the endpoint did not run the request.
     pub not_executed: HeaderName,
-    /// Tokens of the prompt, and the most of the answer.
+    /// The number of tokens of the prompt, and the maximum of the answer.
     pub token_counts: HeaderName,
-    /// The request's priority at an engine; 0 goes first.
+    /// The request's priority at an engine; 0 is the highest.
     pub priority: HeaderName,
-    /// Another engine that keeps parts of the prompt: take them from there.
+    /// Another engine that has parts of the prompt in its cache, to fetch them from.
     pub cache_source: HeaderName,
-    /// Headers that only the system itself may set: never taken from a client.
+    /// Headers that only the system itself may set; they are removed from clients' requests.
     pub reserved: Vec<HeaderName>,
-    /// The word before a key in `Authorization`.
+    /// The scheme before the key in `Authorization`.
     pub key_scheme: &'static str,
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,14 +1,14 @@
-//! The forwarding gateway: requests are passed to endpoints as they came.
+//! The forwarding gateway, which forwards requests to endpoints unchanged.
 //!
 //! A [`ControlSource`] supplies routes, customers' keys and endpoints, and an adapter supplies the
-//! names of headers ([`HeaderNames`]). This package decides which endpoint gets a request, what may
-//! be sent again, what is refused, and whether the configuration is recent enough to act on
+//! names of headers ([`HeaderNames`]). This crate decides which endpoint gets a request, which
+//! requests are sent again or refused, and whether the configuration is recent enough to act on
 //! ([`decisions`]). It owns no state that outlives the process.
 //!
-//! What other packages may use is listed here; everything else is the crate's own. Dependencies go
-//! one way: plain types (`prompt`, `route`, `work_by_endpoint`), `decisions`, `endpoints`,
-//! `control`, the `gateway` with its owners, and on top `requests`, `replication` and `lifecycle`,
-//! which act.
+//! This module exports what other crates may use; everything else is private. Dependencies go in one
+//! direction, from the bottom: plain types (`prompt`, `route`, `work_by_endpoint`), `decisions`,
+//! `endpoints`, `control`, the `gateway` with its components, and on top `requests`, `replication`
+//! and `lifecycle`, which act.
 
 mod clock;
 mod control;
@@ -29,7 +29,7 @@
 mod unreadable_headers;
 mod work_by_endpoint;
 
-// The daemon's parts, which the command starts.
+// The tasks of the daemon, which the command starts.
 pub use duties::holder::run as hold_duties;
 pub use duties::reporter::{report_last as report_last_usage, run as report_usage};
 pub use gateway::Gateway;
@@ -43,7 +43,7 @@
 pub use requests::front::run as serve_clients;
 pub use settings::{DutySettings, GatewaySettings};
 
-// What an adapter of a platform implements and fills in.
+// The interfaces and types that the adapter of a platform implements and fills in.
 pub use control::holder_record::HolderRecord;
 pub use control::quarantine_store::QuarantineStore;
 pub use control::routing_table::{RoutingParts, RoutingTable};
@@ -60,7 +60,7 @@
 pub use route::{ClientLimits, Customer, Repeatability, Route, RouteTarget, Service, StreamPolicy};
 pub use sockets::accept;
 
-// State that tests of the rules set up.
+// State that tests and benchmarks of the rules set up.
 pub use clock::{Clock, ClockScript};
 pub use control::patch::{Patch, PatchDoesNotFit};
 pub use control::replica::{RecordOutcome, Replica, Update};
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -1,30 +1,30 @@
-//! Routes, services, customers and limits: what an operator's configuration says, as plain types.
+//! Routes, services, customers and limits of the operator's configuration, as plain types without
+//! logic.
 //!
-//! The adapter of the platform fills these types in; [`crate::control::routing_table`] indexes
-//! them. They decide nothing.
+//! The adapter of the platform creates them, and [`crate::control::routing_table`] indexes them.
 
 use crate::decisions::duties::engine_plan::EngineScaling;
 use crate::decisions::eligibility::cold_start::ColdLimits;
 use crate::decisions::eligibility::region_limits::RegionSet;
 use bridgevane_types::{Bytes, CustomerId, DurationMs, ServiceName, Tier};
 
-/// How often a request may run.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeatability {
-    /// More than once.
+    /// The request may run more than once.
     Idempotent,
-    /// Once.
+    /// The request may run once.
     AtMostOnce,
 }
 
-/// What a route with streamed answers allows.
+/// The rules of a route with streamed answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamPolicy {
-    /// Whether another endpoint may go on from the last event.
+    /// Whether a stream may be resumed at another endpoint after its last event.
     pub is_resumable: bool,
 }
 
-/// A service that a route leads to, and its share of the route.
+/// A service that a route sends requests to, and its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
     /// The service.
@@ -33,7 +33,7 @@
     pub weight: u32,
 }
 
-/// A route: requests of one host under one path prefix.
+/// A route: the requests for one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Its name.
@@ -42,35 +42,35 @@
     pub host: String,
     /// The path prefix; it begins and ends with a slash.
     pub path_prefix: String,
-    /// How often a request may run.
+    /// Whether a request may run more than once.
     pub repeatability: Repeatability,
     /// Set for routes that answer with a stream of events.
     pub stream: Option<StreamPolicy>,
-    /// The longest that a request may take.
+    /// The timeout of a request.
     pub timeout_ms: DurationMs,
-    /// The time in which an answer, or its first token, is in time.
+    /// The target for the time to the answer, or to its first token.
     pub target_ms: DurationMs,
     /// The tier of its requests; 0 is the highest.
     pub tier: Tier,
-    /// Where requests go; never empty.
+    /// The services that its requests go to; never empty.
     pub targets: Vec<RouteTarget>,
-    /// Endpoints that one request may run on.
+    /// The maximum number of endpoints that one request may run on.
     pub max_attempts: u32,
-    /// Whether no key is needed.
+    /// Whether its requests need no key.
     pub is_public: bool,
-    /// Whether requests carry the parts of a prompt.
+    /// Whether its requests list the parts of a prompt.
     pub has_prompt_parts: bool,
-    /// Where its requests may be served; none: everywhere.
+    /// The regions in which its requests may be served; `None` for all.
     pub allowed_regions: Option<RegionSet>,
 }
 
 impl Route {
-    /// Whether a stream may go on at another endpoint.
+    /// Returns whether a stream may be resumed at another endpoint.
     pub fn is_resumable(&self) -> bool {
         self.stream.is_some_and(|stream| stream.is_resumable)
     }
 
-    /// Whether a request may run more than once, also as a stream that is resumed.
+    /// Returns whether a request may run more than once, including as a resumed stream.
     pub fn may_run_again(&self) -> bool {
         self.repeatability == Repeatability::Idempotent || self.is_resumable()
     }
@@ -81,32 +81,32 @@
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Connections that one endpoint accepts from all daemons together; 0: it doesn't say.
+    /// The number of connections that one endpoint accepts from all daemons together; 0 if unknown.
     pub max_connections: u32,
-    /// What its endpoints bear while they are cold; none: as much as always.
+    /// The limits of its endpoints while they are cold; `None` if they are the same as when warm.
     pub cold: Option<ColdLimits>,
-    /// How its engines may be ordered; none: they aren't.
+    /// The rules for ordering its engines; `None` if none are ordered.
     pub scaling: Option<EngineScaling>,
 }
 
 /// The customer that a key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Customer {
-    /// The customer.
+    /// The customer's id.
     pub id: CustomerId,
-    /// The customer's own tier; goes before the tier of a route.
+    /// The customer's own tier, which overrides the tier of a route.
     pub tier: Option<Tier>,
-    /// Where the customer's requests may be served; none: everywhere.
+    /// The regions in which the customer's requests may be served; `None` for all.
     pub allowed_regions: Option<RegionSet>,
 }
 
-/// What a client may send, and how long it may take.
+/// The size and time limits of clients' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// The longest request head.
+    /// The maximum size of a request head.
     pub head_bytes: Bytes,
-    /// The longest body.
+    /// The maximum size of a request body.
     pub body_bytes: Bytes,
-    /// How long a connection may be idle; a request head may take as long.
+    /// The timeout of an idle connection, and of a request head.
     pub idle_timeout_ms: DurationMs,
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of the gateway: all of them are known before it starts, and none changes while it runs.
+//! The settings of the gateway, which are fixed before it starts.
 //!
-//! The command fills them in from flags (docs/CONFIGURATION.md); `--print-settings` prints them
-//! under these names.
+//! The command sets them from flags (docs/CONFIGURATION.md); `--print-settings` prints them under
+//! these names.
 
 use crate::decisions::admission::freshness::FreshnessPolicy;
 use crate::decisions::duties::usage_window::UsageCalendar;
@@ -10,60 +10,61 @@
 use bridgevane_types::{Bytes, DataCentreId, DurationMs, Share, VmId};
 use std::net::SocketAddr;
 
-/// What the gateway needs to know before it starts.
+/// The settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// This VM.
+    /// The id of this VM.
     pub vm: VmId,
-    /// Its data centre.
+    /// The data centre of this VM.
     pub data_centre: DataCentreId,
     /// The region of each data centre.
     pub regions: RegionMap,
-    /// Where clients connect.
+    /// The listen address for clients.
     pub client_address: SocketAddr,
-    /// Where the balancer asks whether the daemon is ready, and where metrics are served.
+    /// The listen address for the balancer's readiness checks and the metrics page.
     pub ready_address: SocketAddr,
-    /// Where other daemons ask what this one has of the control source; none: nowhere.
+    /// The listen address for other daemons that poll this one for the control source's state;
+    /// `None` if none can.
     pub peer_address: Option<SocketAddr>,
-    /// Peer addresses of the daemons that follow the control source; without any all do.
+    /// The peer addresses of the daemons that follow the control source; if empty, all do.
     pub seed_addresses: Vec<SocketAddr>,
-    /// How long an endpoint is used whose record expired while the control source was away.
+    /// How long an endpoint stays in use after its record expired in an outage of the control source.
     pub lapse_grace_ms: DurationMs,
-    /// How long a change of the configuration may take until it is in force.
+    /// The maximum time until a change of the configuration is active.
     pub config_apply_ms: DurationMs,
-    /// How old the configuration may be.
+    /// The maximum age of the configuration.
     pub freshness: FreshnessPolicy,
-    /// How long one wait for changes lasts at the control source.
+    /// The duration of one wait for changes at the control source.
     pub watch_wait_ms: DurationMs,
-    /// How long a stop may take.
+    /// The maximum duration of a planned stop.
     pub stop_ms: DurationMs,
     /// How long the balancer still sends connections to a daemon that isn't ready.
     pub balancer_delay_ms: DurationMs,
-    /// Retries allowed for each request, over all daemons.
+    /// The number of retries allowed per request, over all daemons.
     pub retry_ratio: Share,
-    /// Retries allowed beyond the ratio in one window, over all daemons.
+    /// The number of retries allowed beyond the ratio in one window, over all daemons.
     pub retry_slack: u32,
     /// The sliding window of the retry budget.
     pub retry_window_ms: DurationMs,
-    /// Bodies held in memory at most.
+    /// The maximum size of all request bodies in memory.
     pub max_buffered_bytes: Bytes,
-    /// The duties of the fleet; none: it has none.
+    /// The duties of the fleet; `None` if it has none.
     pub duties: Option<DutySettings>,
 }
 
-/// Calls to the platform that one daemon makes for the whole fleet.
+/// The settings of the duties: calls to the platform that one daemon makes for the whole fleet.
 #[derive(Clone, Debug)]
 pub struct DutySettings {
-    /// How long a holder's lease lasts.
+    /// The duration of a holder's lease.
     pub lease_ms: DurationMs,
-    /// The windows of usage; none: usage isn't told.
+    /// The calendar of usage windows; `None` if usage isn't submitted.
     pub usage: Option<UsageCalendar>,
     /// Whether engines are ordered, for services whose configuration allows it.
     pub orders_engines: bool,
 }
 
 impl GatewaySettings {
-    /// How old other daemons' proofs may be.
+    /// Returns the limits on the age of other daemons' proofs.
     pub(crate) fn proof_limits(&self) -> ProofLimits {
         ProofLimits::new(self.freshness.proof_lifetime_ms, self.config_apply_ms)
     }
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -1,4 +1,4 @@
-//! What every socket of the daemon needs: options, and an accept loop that survives errors.
+//! Socket options of the daemon, and an accept loop that survives errors.
 //!
 //! Relies on Linux for `TCP_USER_TIMEOUT`.
 
@@ -6,20 +6,20 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long sent bytes may stay unacknowledged: a peer behind a cut closes nothing. Not measured,
-/// chosen because a lost packet is sent again within some hundred milliseconds, and a caller that
-/// waits longer has likely given up.
+/// How long sent bytes may stay unacknowledged before the connection fails: a peer behind a network
+/// cut never closes its connection. A lost packet is sent again within some hundred milliseconds, and
+/// a caller that waits longer than this has likely given up.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The pause after a failed accept, such as for want of descriptors. Not measured, chosen because
-/// without one the daemon would spin until a descriptor is free.
+/// The pause after a failed accept. Without it the daemon would spin while no file descriptor is
+/// free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts the next connection, however long that takes.
+/// Accepts the next connection, and retries after errors.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            // The connection is gone, or descriptors are short; both pass.
+            // The connection was closed again, or no file descriptor is free; both are temporary.
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
@@ -28,7 +28,7 @@
 /// Sets the options of a connection.
 ///
 /// # Errors
-/// When the system refuses one.
+/// The error of the system if it rejects an option.
 pub(crate) fn set_options(stream: &TcpStream) -> Result<(), std::io::Error> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
--- a/crates/gateway/src/unreadable_headers.rs
+++ b/crates/gateway/src/unreadable_headers.rs
@@ -1,7 +1,7 @@
-//! Headers that can't be decoded: they count as absent, and are logged, at most one a second.
+//! Headers that can't be decoded: they count as absent and are logged, at most one per second.
 //!
-//! A header that isn't there is normal; one that can't be read means that a client, an endpoint or
-//! an adapter is wrong. The log is bounded, since anybody can send such headers.
+//! An absent header is normal; an undecodable one shows an error of a client, an endpoint or an
+//! adapter. The log is rate-limited, since any client can send such headers.
 
 use crate::clock::{AtomicTime, Clock};
 use bridgevane_events::{Event, event};
@@ -10,11 +10,10 @@
 use http::{HeaderMap, HeaderName};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The least time between two lines. Not measured, chosen because one line a second shows the fault
-/// and leaves the log to others.
+/// The minimum time between two log lines: one per second shows the fault without filling the log.
 const LOG_INTERVAL: DurationMs = DurationMs(1_000);
 
-/// Who sent a header.
+/// The sender of a header.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum Sender {
     /// The client, on a request.
@@ -25,7 +24,7 @@
     Endpoint,
 }
 
-/// Logs unreadable headers.
+/// The rate-limited log of undecodable headers.
 #[derive(Debug)]
 pub(crate) struct UnreadableHeaders {
     clock: Clock,
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Decodes headers of a message of `sender`.
+    /// Returns a decoder for the headers of a message of `sender`.
     pub(crate) fn reader<'a>(&'a self, sender: Sender, headers: &'a HeaderMap) -> HeaderReader<'a> {
         HeaderReader {
             headers,
@@ -51,10 +50,10 @@
         }
     }
 
-    fn note(&self, sender: Sender, name: &HeaderName) {
+    fn log(&self, sender: Sender, name: &HeaderName) {
         let now = self.clock.now();
-        let is_soon = |at| now.since(at) < LOG_INTERVAL;
-        if self.logged_at.get().is_some_and(is_soon) {
+        let is_recent = |at| now.since(at) < LOG_INTERVAL;
+        if self.logged_at.get().is_some_and(is_recent) {
             self.suppressed.fetch_add(1, Ordering::Relaxed);
             return;
         }
@@ -68,7 +67,7 @@
     }
 }
 
-/// Decodes headers of one message.
+/// A decoder for the headers of one message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeaderReader<'a> {
     headers: &'a HeaderMap,
@@ -77,26 +76,26 @@
 }
 
 impl<'a> HeaderReader<'a> {
-    /// Whether a header is there, whatever its value.
+    /// Returns whether a header is present, even if its value can't be decoded.
     pub(crate) fn has(&self, name: &HeaderName) -> bool {
         self.headers.contains_key(name)
     }
 
-    /// The text of a header.
+    /// Returns the text of a header.
     pub(crate) fn text(&self, name: &HeaderName) -> Option<&'a str> {
         let value = self.headers.get(name)?;
         self.decoded(name, value.to_str())
     }
 
-    /// The value of a header whose whole text is one.
+    /// Returns the value of a header whose whole text is parsed.
     pub(crate) fn parsed<T: std::str::FromStr>(&self, name: &HeaderName) -> Option<T> {
         self.decoded(name, self.text(name)?.trim().parse())
     }
 
-    /// A decoded value; an error is logged as a header that can't be read.
+    /// Returns the decoded value of a header, or logs the header as undecodable.
     pub(crate) fn decoded<T, E>(&self, name: &HeaderName, decoded: Result<T, E>) -> Option<T> {
         if decoded.is_err() {
-            self.unreadable.note(self.sender, name);
+            self.unreadable.log(self.sender, name);
         }
         decoded.ok()
     }
--- a/crates/gateway/src/work_by_endpoint.rs
+++ b/crates/gateway/src/work_by_endpoint.rs
@@ -1,46 +1,46 @@
-//! Work that daemons have under way at endpoints: requests that run, and prompt tokens that were
-//! sent and not read yet.
+//! The work that daemons have in flight at endpoints: running requests, and prompt tokens that were
+//! sent and whose prefill isn't done.
 //!
-//! Where there are many daemons each sends an engine a request in some seconds, and knows little of
-//! its load. Together they know all that was sent there: sums go up the tree in which daemons
-//! follow each other, the total goes down (docs/design/14).
+//! In a large fleet each daemon sends an engine one request in some seconds, and knows little of the
+//! engine's load. Together the daemons know all requests that were sent there: sums go up the tree
+//! in which daemons follow each other, and the total goes down. See docs/design/14.
 
 use bridgevane_types::{EndpointId, WallTimeMs};
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Fewer tokens to read than this, over all endpoints, don't hasten a report. Not measured (commit
-/// cf81c29), chosen because it is 30 ms of reading, which decides nothing; half would make most
-/// messages come sooner.
+/// The number of pending prompt tokens at one endpoint that makes daemons report sooner. Fewer are
+/// less than 30 ms of prefill, which changes no selection; at half of it most reports would be sent
+/// sooner.
 const MIN_URGENT_TOKENS: u64 = 1_500;
 
-/// An endpoint's name in messages between daemons, whose indexes for it differ: the upper half of a
-/// 64-bit hash of its id and birth. Each of its lives has another.
+/// The identifier of an endpoint in messages between daemons, whose indexes for it differ: the upper
+/// half of a 64-bit hash of its id and start time. Each incarnation of the endpoint has its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointHash(pub u32);
 
 impl EndpointHash {
-    /// The hash of one life of an endpoint.
+    /// Returns the hash of one incarnation of an endpoint, which started at `born`.
     pub(crate) fn of_life(endpoint: &EndpointId, born: Option<WallTimeMs>) -> Self {
-        // Where births aren't told the hash is that of the id.
+        // Without a start time the hash covers only the id.
         let seed = born.map_or(0, |born| born.0);
         let hash = xxh3_64_with_seed(endpoint.as_str().as_bytes(), seed);
         Self((hash >> 32) as u32)
     }
 }
 
-/// Work at one endpoint.
+/// The work at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Prompt tokens that were sent and not read yet.
+    /// The prompt tokens that were sent and whose prefill isn't done.
     pub prefill_tokens: u64,
-    /// Requests that were sent and have not ended.
+    /// The requests that were sent and have not ended.
     pub running: u32,
 }
 
 impl Work {
-    fn is_none(self) -> bool {
+    fn is_zero(self) -> bool {
         self == Self::default()
     }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Work at all endpoints.
+/// The work at all endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkByEndpoint {
     by_endpoint: BTreeMap<EndpointHash, Work>,
@@ -68,19 +68,19 @@
 impl WorkByEndpoint {
     /// Adds work at an endpoint.
     pub fn add(&mut self, endpoint: EndpointHash, work: Work) {
-        if !work.is_none() {
+        if !work.is_zero() {
             *self.by_endpoint.entry(endpoint).or_default() += work;
         }
     }
 
-    /// Adds all of another's.
+    /// Adds the work of `other` at every endpoint.
     pub(crate) fn add_all(&mut self, other: &Self) {
         for (endpoint, work) in other.iter() {
             self.add(endpoint, work);
         }
     }
 
-    /// What is left without another's.
+    /// Returns this work minus the work of `other`, at least 0 at every endpoint.
     pub fn without(&self, other: &Self) -> Self {
         let mut rest = Self::default();
         for (endpoint, work) in self.iter() {
@@ -89,24 +89,24 @@
         rest
     }
 
-    /// Work at an endpoint.
+    /// Returns the work at an endpoint.
     pub(crate) fn at(&self, endpoint: EndpointHash) -> Work {
         // No entry means no work.
         self.by_endpoint.get(&endpoint).copied().unwrap_or_default()
     }
 
-    /// Whether there is no work.
+    /// Returns whether there is no work.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_endpoint.is_empty()
     }
 
-    /// Whether no prompts wait that the others should hear of soon.
+    /// Returns whether no endpoint has enough pending prompt tokens to report them sooner.
     pub fn is_small(&self) -> bool {
         self.iter()
             .all(|(_, work)| work.prefill_tokens < MIN_URGENT_TOKENS)
     }
 
-    /// All endpoints with work.
+    /// Returns all endpoints with work.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (EndpointHash, Work)> {
         self.by_endpoint
             .iter()
