--- a/crates/gateway/benches/clock.rs
+++ b/crates/gateway/benches/clock.rs
@@ -1,21 +1,21 @@
-//! What a look at the clock costs: the clock that counts suspension beside the steady one.
+//! The cost of reading the clock that counts suspension, compared with the monotonic clock.
 #![allow(missing_docs)]
 
 use bridgevane_types::boot_time;
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::time::Instant;
 
-/// Looks in one sample, so that the clock's own grain doesn't show.
-const LOOKS: u32 = 100;
+/// The number of reads per sample, which hides the granularity of the measuring clock.
+const READS: u32 = 100;
 const SAMPLES: usize = 20_000;
 
-/// Median and 99th percentile of one look, in nanoseconds.
-fn percentiles(look: impl Fn()) -> (f64, f64) {
+/// Returns the median and the 99th percentile of the time of one read, in nanoseconds.
+fn percentiles(read_clock: impl Fn()) -> (f64, f64) {
     let mut times: Vec<f64> = (0..SAMPLES)
         .map(|_| {
-            let begun = Instant::now();
-            (0..LOOKS).for_each(|_| look());
-            begun.elapsed().as_nanos() as f64 / f64::from(LOOKS)
+            let started = Instant::now();
+            (0..READS).for_each(|_| read_clock());
+            started.elapsed().as_nanos() as f64 / f64::from(READS)
         })
         .collect();
     times.sort_by(f64::total_cmp);
@@ -27,13 +27,13 @@
     bench.bench_function("clock that counts suspension", |bench| {
         bench.iter(boot_time)
     });
-    let steady = percentiles(|| {
+    let monotonic = percentiles(|| {
         std::hint::black_box(Instant::now());
     });
     let boot = percentiles(|| {
         std::hint::black_box(boot_time());
     });
-    println!("one look, p50 and p99 in ns: steady {steady:?}, counting suspension {boot:?}");
+    println!("one read, p50 and p99 in ns: monotonic {monotonic:?}, counting suspension {boot:?}");
 }
 
 criterion_group!(benches, clocks);
--- a/crates/gateway/benches/fleet_state.rs
+++ b/crates/gateway/benches/fleet_state.rs
@@ -1,8 +1,8 @@
-//! What a daemon holds of a fleet, sends of it to a daemon that starts, and spends on it for each request, by
-//! the number of endpoints.
+//! The cost of a fleet's state by the number of endpoints: the memory of a daemon, the size of the
+//! message for a starting daemon, and the processor time of packing it and of selecting an endpoint.
 //!
-//! `cargo bench -p bridgevane-gateway --bench fleet_state` prints the table of docs/CAPACITY.md. Times are of
-//! one whole core; the smallest VM has an eighth of one.
+//! `cargo bench -p bridgevane-gateway --bench fleet_state` prints the table of docs/CAPACITY.md. Times
+//! are those of one whole core; the smallest VM has an eighth of a core.
 #![allow(missing_docs)]
 
 use bridgevane_decisions::EndpointIx;
@@ -20,7 +20,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 const SIZES: [u32; 3] = [1_000, 10_000, 20_000];
-/// Runs of which the shortest counts.
+/// The number of runs, of which the shortest counts.
 const RUNS: usize = 7;
 const DATA_CENTRES: u32 = 5;
 
@@ -31,7 +31,7 @@
     number.and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
-/// The shortest of some runs, in milliseconds.
+/// Returns the time of the shortest run, in milliseconds.
 fn shortest_ms<T>(mut run: impl FnMut() -> T) -> f64 {
     let times = (0..RUNS).map(|_| {
         let started = Instant::now();
@@ -45,7 +45,7 @@
     format!("i-{:010x}", xxh3_64(&at.to_le_bytes()) >> 24)
 }
 
-/// A record as long, and as much like the others, as an endpoint writes it.
+/// Returns a record with the length and the redundancy of those that endpoints write.
 fn source_record(at: u32) -> SourceRecord {
     let value = format!(
         r#"{{"service":"huvo11a","address":"10.{}.{}.{}:8080","zone":"data-centre-{}","version":"v1","slots":32,"state":"ready","remainingWarmUp":0,"stage":"mixed","models":[{{"name":"m","version":1,"adapters":[]}}],"sequence":{},"born":{}}}"#,
@@ -162,7 +162,7 @@
     }
 }
 
-/// The messages of a whole state, not packed.
+/// Returns the uncompressed records of the whole state.
 fn whole_records(replica: &Replica) -> Vec<bridgevane_protocol::RecordChange> {
     let mut answer = whole_state(replica);
     let update = take_update(std::slice::from_mut(&mut answer)).expect("its own");
--- a/crates/gateway/benches/quarantine.rs
+++ b/crates/gateway/benches/quarantine.rs
@@ -1,5 +1,5 @@
-//! What the quarantine of requests that end endpoints costs: on a request's way, and when engines
-//! end.
+//! The cost of the quarantine of requests that crash endpoints: for each request, and when an engine
+//! crashes.
 #![allow(missing_docs)]
 
 #[path = "../tests/support/mod.rs"]
@@ -12,10 +12,11 @@
 use std::hint::black_box;
 use std::sync::Arc;
 
-/// Requests that an engine runs at once.
+/// The number of requests that an engine runs at once.
 const SLOTS: u64 = 64;
-/// As many as the rule keeps.
+/// The maximum number of requests under quarantine.
 const STOPPED: u64 = 4_096;
+/// The maximum number of suspect requests.
 const SUSPECTS: u64 = 1_024;
 
 fn request(content: u64) -> RequestFingerprint {
@@ -30,7 +31,7 @@
     Gateway::new(support::settings(), support::names(), &meter)
 }
 
-/// A gateway whose quarantine is as large as it gets.
+/// Returns a gateway whose quarantine has its maximum size.
 fn full_gateway() -> Arc<Gateway> {
     let gateway = gateway();
     for endpoint in 0..3 {
@@ -38,7 +39,7 @@
         gateway
             .quarantine
             .on_crashed(EndpointHash(endpoint), &stopped);
-        // Ends at the same moment would count as one.
+        // Crashes at the same moment would count as one.
         std::thread::sleep(std::time::Duration::from_millis(60));
     }
     let suspects: Vec<_> = (0..SUSPECTS).map(|at| request(1 << 32 | at)).collect();
@@ -51,7 +52,7 @@
     RequestFingerprint::new(Some(&customer), "POST", path, body)
 }
 
-fn on_a_request_s_way(bench: &mut Criterion) {
+fn for_each_request(bench: &mut Criterion) {
     let path = "/reports/draft";
     for kilobytes in [1, 16] {
         let body = Bytes::from(vec![b'x'; kilobytes << 10]);
@@ -70,7 +71,7 @@
     }
 }
 
-fn when_an_engine_ends(bench: &mut Criterion) {
+fn when_an_engine_crashes(bench: &mut Criterion) {
     let mut next = 1 << 40;
     for (name, gateway) in [("empty", gateway()), ("full", full_gateway())] {
         bench.bench_function(
@@ -88,5 +89,5 @@
     }
 }
 
-criterion_group!(benches, on_a_request_s_way, when_an_engine_ends);
+criterion_group!(benches, for_each_request, when_an_engine_crashes);
 criterion_main!(benches);
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -1,4 +1,4 @@
-//! The source is called sparingly.
+//! The number of calls of the control source.
 
 mod support;
 
@@ -7,8 +7,9 @@
 use support::source::{KEY, ScriptedSource, plain_route};
 use support::start;
 
+/// Guards against one call of the source for each change when many changes follow each other.
 #[tokio::test]
-async fn a_flock_of_changes_takes_few_calls() {
+async fn many_changes_in_a_row_take_few_source_calls() {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     let running = start(source).await;
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -1,15 +1,10 @@
-//! Requests that end each engine that runs them.
+//! Requests that crash every engine that runs them.
 //!
-//! Seen: one customer sent a report request whose content ended every engine that began it. It came
-//! again from outside, on new connections to other daemons and with a new identifier each time;
-//! engines started again, and ended again, up to four in a second. A request under which three
-//! engines had ended reached eleven more, and nine in ten reports failed meanwhile.
-//!
-//! How it came about: a daemon judges each try by itself, and forgets it with its answer. Runs were
-//! counted within a try only, and by one daemon; nothing said that two tries were equal.
-//!
-//! Shown by: the customer at all twenty ends of engines, no other at more than eight; no daemon had
-//! sent such a request on by itself; and these tests, which fail by the same repetition.
+//! Guards against a client that repeats such a request on new connections to other daemons, with a
+//! new identifier each time. When daemons counted runs only within one attempt of the client, nothing
+//! showed that two attempts were the same request: up to four engines crashed in a second, a request
+//! that had crashed three engines reached eleven more, and nine in ten of the customer's report
+//! requests failed.
 
 mod support;
 
@@ -19,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use support::client::{Client, Got, request};
-use support::crashing::{CrashingEngines, DEADLY};
+use support::crashing::{CRASHING_BODY, CrashingEngines};
 use support::source::{KEY, ScriptedSource, plain_route};
 use support::{Running, settings, start_with};
 use tokio::net::TcpListener;
@@ -28,14 +23,14 @@
 
 /// How long an engine runs a request.
 const RUN: Duration = Duration::from_millis(20);
-/// The same request comes again so soon.
-const REPEAT: Duration = Duration::from_millis(40);
-/// Within so long after its third end every daemon must know it.
-const CONTACT: Duration = Duration::from_millis(3_000);
-/// Ends of engines that prove the request to be the cause.
-const PROOF: usize = 3;
-/// Times that it may reach an engine once the time is over.
-const LATE_RUNS: usize = 3;
+/// The interval at which the same request is sent again.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(40);
+/// The time after the third crash within which every daemon must know the request.
+const MAX_SPREAD_TIME: Duration = Duration::from_millis(3_000);
+/// The number of crashes that put a request under quarantine.
+const CRASHES_FOR_QUARANTINE: usize = 3;
+/// How often the request may still reach an engine after that time.
+const MAX_LATE_RUNS: usize = 3;
 
 fn source() -> ScriptedSource {
     let source = ScriptedSource::new();
@@ -58,7 +53,7 @@
     client.answer().await
 }
 
-/// A daemon that other daemons can ask; `seeds` are asked by it.
+/// Starts a daemon that other daemons can poll, and that polls `seeds`.
 async fn daemon(
     vm: &str,
     source: &ScriptedSource,
@@ -76,7 +71,7 @@
     running
 }
 
-/// Two seeds, and two daemons that follow each of them.
+/// Starts two seeds, and two followers of each seed.
 async fn fleet(source: &ScriptedSource) -> Vec<Running> {
     let mut listeners = Vec::new();
     for _ in 0..6 {
@@ -97,81 +92,89 @@
     daemons
 }
 
-/// Sends the request again and again, each time by another daemon, until `until`; gives how many
-/// tries there were.
+/// Sends the crashing request repeatedly until `until`, each time to the next daemon, and returns how
+/// often it was sent.
 async fn repeat(daemons: &[SocketAddr], until: Instant, first_id: usize) -> usize {
-    let mut tries = 0;
+    let mut sent = 0;
     while Instant::now() < until {
-        let address = daemons[tries % daemons.len()];
-        tokio::spawn(send(address, first_id + tries, DEADLY));
-        tries += 1;
-        sleep(REPEAT).await;
+        let address = daemons[sent % daemons.len()];
+        tokio::spawn(send(address, first_id + sent, CRASHING_BODY));
+        sent += 1;
+        sleep(REPEAT_INTERVAL).await;
     }
-    tries
+    sent
 }
 
-async fn third_end(engines: &CrashingEngines) -> Instant {
-    while engines.ended() < PROOF {
+/// Waits for the third crash and returns its moment.
+async fn third_crash(engines: &CrashingEngines) -> Instant {
+    while engines.crashed() < CRASHES_FOR_QUARANTINE {
         sleep(Duration::from_millis(2)).await;
     }
     Instant::now()
 }
 
+/// Guards against daemons that forward the request after others have seen it crash three engines, and
+/// against a quarantine that also stops other requests.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_has_ended_three_engines_is_stopped_on_every_daemon() {
+async fn a_request_that_crashed_three_engines_is_stopped_on_every_daemon() {
     let source = source();
     let engines = CrashingEngines::start(&source, 24, RUN).await;
     let fleet = fleet(&source).await;
     let daemons: Vec<SocketAddr> = fleet.iter().map(|daemon| daemon.address).collect();
     let begin = Instant::now();
-    let repeating =
-        tokio::spawn(async move { repeat(&daemons, begin + CONTACT + CONTACT, 0).await });
-    let known_at = third_end(&engines).await + CONTACT;
+    let repeating = tokio::spawn(async move {
+        repeat(&daemons, begin + MAX_SPREAD_TIME + MAX_SPREAD_TIME, 0).await
+    });
+    let known_at = third_crash(&engines).await + MAX_SPREAD_TIME;
     tokio::time::sleep_until(known_at).await;
-    let before = engines.reached(DEADLY);
-    let tries = repeating.await.expect("no panic");
-    let late = engines.reached(DEADLY) - before;
-    assert!(late <= LATE_RUNS, "{late} runs of {tries} tries came late");
-    // One final answer, at once: it has run, and needn't come back.
+    let before = engines.received(CRASHING_BODY);
+    let sent = repeating.await.expect("no panic");
+    let late = engines.received(CRASHING_BODY) - before;
+    assert!(late <= MAX_LATE_RUNS, "{late} late runs of {sent} requests");
+    // The refusal is final and immediate, without `Retry-After`: the request must not be retried.
     for daemon in &fleet {
-        let sent = Instant::now();
-        let got = send(daemon.address, 9_000, DEADLY)
+        let sent_at = Instant::now();
+        let got = send(daemon.address, 9_000, CRASHING_BODY)
             .await
             .expect("an answer");
         assert_eq!((got.status, got.header("retry-after")), (502, None));
-        assert!(sent.elapsed() < Duration::from_millis(300), "at once");
+        assert!(sent_at.elapsed() < Duration::from_millis(300), "at once");
         let other = send(daemon.address, 9_001, "another prompt").await;
         assert_eq!(other.expect("an answer").status, 200, "others are served");
     }
 }
 
-/// No daemon keeps anything: after all have been replaced, only what lies at the source is left.
+/// Guards against a quarantine that is lost when all daemons are replaced. Daemons keep no state of
+/// their own, so that only the entries at the control source are left.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_is_stopped_stays_so_when_all_daemons_are_replaced() {
+async fn a_quarantine_survives_the_replacement_of_all_daemons() {
     let source = source();
     let engines = CrashingEngines::start(&source, 24, RUN).await;
-    let first_life = Runtime::new().unwrap();
+    let first_runtime = Runtime::new().unwrap();
     let first_source = source.clone();
-    let living = first_life.spawn(async move {
+    let starting = first_runtime.spawn(async move {
         let fleet = fleet(&first_source).await;
         fleet
             .iter()
             .map(|daemon| daemon.address)
             .collect::<Vec<_>>()
     });
-    let daemons = living.await.expect("they start");
-    repeat(&daemons, Instant::now() + CONTACT, 0).await;
-    assert!(engines.ended() >= PROOF, "it has ended engines");
-    first_life.shutdown_background();
+    let daemons = starting.await.expect("they start");
+    repeat(&daemons, Instant::now() + MAX_SPREAD_TIME, 0).await;
+    assert!(
+        engines.crashed() >= CRASHES_FOR_QUARANTINE,
+        "it has crashed engines"
+    );
+    first_runtime.shutdown_background();
     let fleet = fleet(&source).await;
     let daemons: Vec<SocketAddr> = fleet.iter().map(|daemon| daemon.address).collect();
-    let before = engines.reached(DEADLY);
-    let tries = repeat(&daemons, Instant::now() + CONTACT, 1_000).await;
-    let late = engines.reached(DEADLY) - before;
-    assert!(late <= LATE_RUNS, "{late} runs of {tries} tries came late");
+    let before = engines.received(CRASHING_BODY);
+    let sent = repeat(&daemons, Instant::now() + MAX_SPREAD_TIME, 1_000).await;
+    let late = engines.received(CRASHING_BODY) - before;
+    assert!(late <= MAX_LATE_RUNS, "{late} late runs of {sent} requests");
 }
 
-/// Daemons that all know the same three seeds, in a tree that they find themselves.
+/// Starts daemons that all know the same three seeds, and form a tree by themselves.
 async fn tree(source: &ScriptedSource, daemons: usize) -> Vec<Running> {
     let mut listeners = Vec::new();
     for _ in 0..daemons {
@@ -192,10 +195,10 @@
     started
 }
 
-/// News travel up and down a tree of some levels well within the time that they have: three ends, each
-/// seen by another daemon, stop the request on all.
+/// Guards against observations that spread too slowly up and down a tree of several levels: three
+/// crashes, each seen by another daemon, must stop the request on all daemons in time.
 #[tokio::test(flavor = "multi_thread")]
-async fn three_ends_that_three_daemons_saw_are_known_to_eighty_in_time() {
+async fn three_crashes_seen_by_three_daemons_are_known_to_eighty_in_time() {
     let source = source();
     let _engines = CrashingEngines::start(&source, 1, RUN).await;
     let fleet = tree(&source, 80).await;
@@ -205,21 +208,21 @@
             customer: 1,
             content: round,
         };
-        for end in 0..3 {
-            // Neither is a seed.
-            let seen_by = &fleet[3 + (17 * round as usize + 23 * end) % 77].gateway;
-            let endpoint = EndpointHash(100 * round as u32 + end as u32);
+        for crash in 0..3 {
+            // None of these daemons is a seed.
+            let seen_by = &fleet[3 + (17 * round as usize + 23 * crash) % 77].gateway;
+            let endpoint = EndpointHash(100 * round as u32 + crash as u32);
             seen_by.quarantine.on_crashed(endpoint, &[request]);
-            // Ends at the same moment would count as one.
+            // Crashes at the same moment would count as one.
             sleep(Duration::from_millis(60)).await;
         }
-        let told = Instant::now();
+        let observed_at = Instant::now();
         let knows = |daemon: &&Running| daemon.gateway.quarantine.is_stopped(|| request);
         while fleet.iter().filter(knows).count() < fleet.len() {
             sleep(Duration::from_millis(5)).await;
-            assert!(told.elapsed() < CONTACT, "round {round}");
+            assert!(observed_at.elapsed() < MAX_SPREAD_TIME, "round {round}");
         }
-        slowest = slowest.max(told.elapsed());
+        slowest = slowest.max(observed_at.elapsed());
     }
     println!("known to {} daemons within {slowest:?}", fleet.len());
 }
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request, for each thing that an endpoint or a client can do.
+//! The outcome of a request for each behaviour of endpoints and clients.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use support::source::{KEY, ScriptedSource, plain_route, stream_route};
 use support::{Running, start};
 
-/// A gateway before two plain endpoints and two model endpoints of one script each.
-async fn stage(plain: Vec<Act>, model: fn(usize) -> Vec<Act>) -> (Running, [Endpoint; 4]) {
+/// Starts a gateway with two plain endpoints and two model endpoints, each kind with one script.
+async fn start_gateway(plain: Vec<Act>, model: fn(usize) -> Vec<Act>) -> (Running, [Endpoint; 4]) {
     let source = ScriptedSource::new();
     let routes = vec![
         plain_route("once", AtMostOnce, 1),
@@ -19,10 +19,10 @@
         stream_route("resume", true, 2),
     ];
     source.configure(1, routes, &[KEY]);
-    let again = plain.clone();
+    let plain_copy = plain.clone();
     let endpoints = [
         Endpoint::start(move |_| plain.clone()).await,
-        Endpoint::start(move |_| again.clone()).await,
+        Endpoint::start(move |_| plain_copy.clone()).await,
         Endpoint::start(model).await,
         Endpoint::start(model).await,
     ];
@@ -33,11 +33,12 @@
     (start(source).await, endpoints)
 }
 
+/// Returns the number of requests that reached the endpoints.
 fn runs(endpoints: &[Endpoint]) -> usize {
     endpoints.iter().map(Endpoint::count).sum()
 }
 
-async fn ask(running: &Running, method: &str, path: &str) -> Option<Got> {
+async fn send_request(running: &Running, method: &str, path: &str) -> Option<Got> {
     let mut client = Client::connect(running.address).await;
     client
         .send(&request(method, path, "a1", "x-deadline: 900\r\n", ""))
@@ -45,25 +46,27 @@
     client.answer().await
 }
 
-fn ok() -> Vec<Act> {
+fn answer_ok() -> Vec<Act> {
     vec![answer("200 OK", "fine")]
 }
 
-fn no_model(_: usize) -> Vec<Act> {
+fn unused_model(_: usize) -> Vec<Act> {
     Vec::new()
 }
 
+/// Guards against runs that the route doesn't allow, and against missing retries: a request that may
+/// run once must not be sent again after an endpoint may have run it.
 #[tokio::test]
 async fn outcomes_of_plain_requests() {
-    // What the endpoints do, status and runs for one that runs at most once, and for one that
-    // may be repeated.
+    // The behaviour of the endpoints, then the expected status and number of runs for a request that
+    // may run once, and for one that may be repeated.
     let not_run = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n".to_owned();
     let crossed = "HTTP/1.1 200 OK\r\nx-id: other\r\ncontent-length: 2\r\n\r\nno".to_owned();
     let short = "HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-length: 9\r\n\r\nfine".to_owned();
     let garbage = "SMTP ready\r\n\r\n".to_owned();
-    type Ends = (u16, usize, u16, usize);
-    let cases: Vec<(&str, Vec<Act>, Ends)> = vec![
-        ("answers", ok(), (200, 1, 200, 1)),
+    type Outcome = (u16, usize, u16, usize);
+    let cases: Vec<(&str, Vec<Act>, Outcome)> = vec![
+        ("answers", answer_ok(), (200, 1, 200, 1)),
         ("fails", vec![answer("500 No", "x")], (500, 1, 500, 2)),
         ("not found", vec![answer("404 No", "x")], (404, 1, 404, 1)),
         ("is full", vec![Act::Send(not_run)], (503, 2, 503, 2)),
@@ -78,27 +81,29 @@
         ("is no HTTP", vec![Act::Send(garbage)], (502, 1, 502, 2)),
         ("is silent", vec![Act::Hang], (504, 1, 504, 2)),
     ];
-    for (what, acts, (once, once_runs, often, often_runs)) in cases {
-        let (running, endpoints) = stage(acts.clone(), no_model).await;
-        let got = ask(&running, "POST", "/once/x").await.expect(what);
+    for (case, actions, (once, once_runs, often, often_runs)) in cases {
+        let (running, endpoints) = start_gateway(actions.clone(), unused_model).await;
+        let got = send_request(&running, "POST", "/once/x").await.expect(case);
         assert_eq!(
             (got.status, runs(&endpoints)),
             (once, once_runs),
-            "{what}, once"
+            "{case}, once"
         );
-        let (running, endpoints) = stage(acts, no_model).await;
-        let got = ask(&running, "GET", "/often/x").await.expect(what);
+        let (running, endpoints) = start_gateway(actions, unused_model).await;
+        let got = send_request(&running, "GET", "/often/x").await.expect(case);
         assert_eq!(
             (got.status, runs(&endpoints)),
             (often, often_runs),
-            "{what}, often"
+            "{case}, often"
         );
     }
 }
 
+/// Guards against changed paths and bodies, and against reserved headers, keys and hop-by-hop
+/// headers of a client that reach an endpoint.
 #[tokio::test]
-async fn a_request_is_passed_on_as_it_came() {
-    let (running, endpoints) = stage(ok(), no_model).await;
+async fn a_request_is_forwarded_unchanged_except_for_reserved_headers() {
+    let (running, endpoints) = start_gateway(answer_ok(), unused_model).await;
     let mut client = Client::connect(running.address).await;
     let extra = "x-customer: forged\r\nx-endpoint: forged\r\nx-other: kept\r\n\
                  connection: x-hop\r\nx-hop: dropped\r\n";
@@ -130,13 +135,14 @@
     );
     assert_eq!(seen.header("x-other").as_deref(), Some("kept"));
     assert_eq!(seen.header("host").as_deref(), Some("host.example"));
-    for gone in ["authorization", "x-hop", "connection"] {
-        assert_eq!(seen.header(gone), None, "{gone}");
+    for removed in ["authorization", "x-hop", "connection"] {
+        assert_eq!(seen.header(removed), None, "{removed}");
     }
-    let left: u64 = seen.header("x-deadline").unwrap().parse().unwrap();
-    assert!((1..=2_000).contains(&left), "{left}");
+    let remaining_ms: u64 = seen.header("x-deadline").unwrap().parse().unwrap();
+    assert!((1..=2_000).contains(&remaining_ms), "{remaining_ms}");
 }
 
+/// Guards against invalid requests that reach an endpoint, or get the wrong status or error code.
 #[tokio::test]
 async fn bad_requests_get_a_typed_answer_at_once() {
     let big = "x".repeat(100_001);
@@ -185,19 +191,21 @@
             "body_too_large",
         ),
     ];
-    let (running, endpoints) = stage(ok(), no_model).await;
-    for (what, text, status, code) in cases {
+    let (running, endpoints) = start_gateway(answer_ok(), unused_model).await;
+    for (case, text, status, code) in cases {
         let mut client = Client::connect(running.address).await;
         client.send(&text).await;
-        let got = client.answer().await.expect(what);
-        assert_eq!(got.status, status, "{what}");
-        assert!(got.body.contains(code), "{what}: {}", got.body);
+        let got = client.answer().await.expect(case);
+        assert_eq!(got.status, status, "{case}");
+        assert!(got.body.contains(code), "{case}: {}", got.body);
     }
     assert_eq!(runs(&endpoints), 0);
 }
 
+/// Guards against request smuggling: a message whose length the gateway and an endpoint could read
+/// differently must not be forwarded.
 #[tokio::test]
-async fn a_smuggled_request_never_arrives() {
+async fn requests_with_ambiguous_framing_reach_no_endpoint() {
     let cases = [
         "POST /once/x HTTP/1.1\r\nhost: host.example\r\nx-id: a1\r\nauthorization: Token key-1\r\n\
          content-length: 4\r\ncontent-length: 40\r\n\r\nabcd",
@@ -207,7 +215,7 @@
         "GET /once/x HTTP/1.1\r\nhost host.example\r\n\r\n",
     ];
     for text in cases {
-        let (running, endpoints) = stage(ok(), no_model).await;
+        let (running, endpoints) = start_gateway(answer_ok(), unused_model).await;
         let mut client = Client::connect(running.address).await;
         client.send(text).await;
         let got = client.answer().await;
@@ -216,10 +224,12 @@
     }
 }
 
+/// Guards against a second answer on an endpoint's connection that is taken for the answer to the
+/// next request on it.
 #[tokio::test]
-async fn a_surplus_answer_reaches_nobody() {
+async fn a_surplus_answer_is_never_sent_to_a_client() {
     let twice = vec![answer("200 OK", "fine"), answer("200 OK", "surplus")];
-    let (running, _) = stage(twice, no_model).await;
+    let (running, _) = start_gateway(twice, unused_model).await;
     for at in 0..6 {
         let mut client = Client::connect(running.address).await;
         let id = format!("a{at}");
@@ -230,11 +240,15 @@
     }
 }
 
+/// Guards against an answer without a length that is taken for one that broke off: the end of its
+/// connection is its end.
 #[tokio::test]
-async fn an_answer_that_ends_with_its_connection_is_passed_on_whole() {
+async fn an_answer_that_ends_with_its_connection_is_forwarded_completely() {
     let unframed = "HTTP/1.1 200 OK\r\nx-id: {id}\r\n\r\nfine".to_owned();
-    let (running, _) = stage(vec![Act::Send(unframed), Act::Close], no_model).await;
-    let got = ask(&running, "POST", "/once/x").await.expect("an answer");
+    let (running, _) = start_gateway(vec![Act::Send(unframed), Act::Close], unused_model).await;
+    let got = send_request(&running, "POST", "/once/x")
+        .await
+        .expect("an answer");
     assert_eq!(
         (got.status, got.body.as_str(), got.is_whole),
         (200, "fine", true)
@@ -242,57 +256,67 @@
 }
 
 fn breaks_off_inside_an_event(at: usize) -> Vec<Act> {
-    let whole = |from: u64| (from..=4).map(event).chain([last_chunk()]);
+    let events_from = |first: u64| (first..=4).map(event).chain([last_chunk()]);
     match at {
         0 => vec![stream_head(), event(1), chunk("id: 2\nda"), Act::Reset],
-        _ => [stream_head()].into_iter().chain(whole(2)).collect(),
+        _ => [stream_head()].into_iter().chain(events_from(2)).collect(),
     }
 }
 
+/// Guards against lost, repeated or partial events when a stream breaks off inside an event and is
+/// resumed.
 #[tokio::test]
-async fn a_resumable_stream_goes_on_at_another_endpoint() {
-    // Each endpoint breaks off the first request that it gets; the next one goes elsewhere.
-    static FIRST: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
+async fn a_resumable_stream_is_resumed_at_another_endpoint() {
+    // The first request of all breaks off; the next one goes to the other endpoint.
+    static REQUESTS: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     fn script(_: usize) -> Vec<Act> {
-        breaks_off_inside_an_event(FIRST.fetch_add(1, std::sync::atomic::Ordering::Relaxed))
+        breaks_off_inside_an_event(REQUESTS.fetch_add(1, std::sync::atomic::Ordering::Relaxed))
     }
-    let (running, endpoints) = stage(Vec::new(), script).await;
-    let got = ask(&running, "POST", "/resume/x").await.expect("an answer");
+    let (running, endpoints) = start_gateway(Vec::new(), script).await;
+    let got = send_request(&running, "POST", "/resume/x")
+        .await
+        .expect("an answer");
     let expected: String = (1..=4)
         .map(|id| format!("id: {id}\ndata: piece {id}\n\n"))
         .collect();
     assert_eq!((got.status, got.is_whole), (200, true));
     assert_eq!(got.body, expected);
     assert_eq!(runs(&endpoints), 2);
-    let taken_up = endpoints.iter().any(|endpoint| {
+    let is_resumed = endpoints.iter().any(|endpoint| {
         let seen = endpoint.seen.lock().unwrap();
         seen.iter()
             .any(|seen| seen.header("last-event-id").as_deref() == Some("1"))
     });
-    assert!(taken_up);
+    assert!(is_resumed);
 }
 
+/// Guards against a broken stream that ends with a regular last chunk, so that the client takes it
+/// for complete.
 #[tokio::test]
-async fn a_stream_that_can_t_be_taken_up_never_looks_complete() {
-    let (running, endpoints) = stage(Vec::new(), breaks_off_inside_an_event).await;
-    let got = ask(&running, "POST", "/stream/x").await.expect("an answer");
+async fn a_broken_stream_that_cannot_be_resumed_ends_incomplete() {
+    let (running, endpoints) = start_gateway(Vec::new(), breaks_off_inside_an_event).await;
+    let got = send_request(&running, "POST", "/stream/x")
+        .await
+        .expect("an answer");
     assert_eq!((got.status, got.is_whole), (200, false));
     assert_eq!(runs(&endpoints), 1);
 }
 
+/// Guards against an endpoint that keeps working for a client that has disconnected, because the
+/// gateway notices the disconnect only with the next chunk.
 #[tokio::test]
-async fn a_client_that_leaves_a_silent_stream_frees_its_endpoint() {
+async fn a_client_disconnect_closes_the_endpoint_s_connection_of_a_silent_stream() {
     fn silent(_: usize) -> Vec<Act> {
         vec![stream_head(), event(1), Act::Wait(Duration::from_secs(9))]
     }
-    let (running, endpoints) = stage(Vec::new(), silent).await;
+    let (running, endpoints) = start_gateway(Vec::new(), silent).await;
     let mut client = Client::connect(running.address).await;
     client
         .send(&request("POST", "/stream/x", "a1", "", ""))
         .await;
     client.read_until("piece 1").await;
     drop(client);
-    let left = async {
+    let closed = async {
         while endpoints
             .iter()
             .all(|endpoint| *endpoint.abandoned.lock().unwrap() == 0)
@@ -300,21 +324,27 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let left = tokio::time::timeout(Duration::from_millis(500), left).await;
-    assert!(left.is_ok(), "the endpoint's connection is closed at once");
+    let closed = tokio::time::timeout(Duration::from_millis(500), closed).await;
+    assert!(
+        closed.is_ok(),
+        "the endpoint's connection is closed at once"
+    );
 }
 
+/// Guards against a server error that is forwarded for a stream that may run elsewhere.
 #[tokio::test]
 async fn a_resumable_stream_whose_endpoint_fails_is_asked_for_elsewhere() {
-    static FIRST: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
+    static REQUESTS: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     fn script(_: usize) -> Vec<Act> {
-        match FIRST.fetch_add(1, std::sync::atomic::Ordering::Relaxed) {
+        match REQUESTS.fetch_add(1, std::sync::atomic::Ordering::Relaxed) {
             0 => vec![answer("500 No", "x")],
             _ => vec![stream_head(), event(1), last_chunk()],
         }
     }
-    let (running, endpoints) = stage(Vec::new(), script).await;
-    let got = ask(&running, "POST", "/resume/x").await.expect("an answer");
+    let (running, endpoints) = start_gateway(Vec::new(), script).await;
+    let got = send_request(&running, "POST", "/resume/x")
+        .await
+        .expect("an answer");
     assert_eq!((got.status, got.is_whole), (200, true));
     assert_eq!(runs(&endpoints), 2);
 }
@@ -325,37 +355,51 @@
     vec![Act::Send(text.into()), Act::Close]
 }
 
+/// Guards against a stream that is taken for complete because its body has no length, although its
+/// connection ended inside an event.
 #[tokio::test]
 async fn a_stream_that_ends_inside_an_event_never_looks_complete() {
-    let (running, endpoints) = stage(Vec::new(), ends_inside_an_event_without_a_length).await;
-    let got = ask(&running, "POST", "/stream/x").await.expect("an answer");
+    let (running, endpoints) =
+        start_gateway(Vec::new(), ends_inside_an_event_without_a_length).await;
+    let got = send_request(&running, "POST", "/stream/x")
+        .await
+        .expect("an answer");
     assert_eq!((got.status, got.is_whole), (200, false));
     assert_eq!(runs(&endpoints), 1);
-    let got = ask(&running, "POST", "/resume/x").await.expect("an answer");
+    let got = send_request(&running, "POST", "/resume/x")
+        .await
+        .expect("an answer");
     assert_eq!((got.status, got.is_whole), (200, false));
-    assert_eq!(runs(&endpoints), 3, "it was taken up once");
+    assert_eq!(runs(&endpoints), 3, "it was resumed once");
 }
 
-/// On solcata, a day of our own (`engines-back-behind-a-cut.toml`, `--vary --seed 909757026075`): an endpoint came back at
-/// its address under another id, and said of each request for the old one that it isn't that one, and has not run
-/// it. Counted as full, and idle, the old one got every request first, until no retries were left.
+/// Guards against repeated requests to a replaced endpoint. An endpoint restarts at its address under
+/// another id, and answers requests for the old id with "misdirected" and "not executed". When that
+/// counted as full, the idle old endpoint was selected first for every request, until the retry
+/// budget was empty.
 #[tokio::test]
 async fn an_endpoint_that_is_another_one_by_now_isnt_asked_by_each_request() {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     let misdirected = "HTTP/1.1 421 No\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-    let other = Endpoint::start(move |_| vec![Act::Send(misdirected.to_owned())]).await;
-    let sound = Endpoint::start(|_| ok()).await;
+    let replaced = Endpoint::start(move |_| vec![Act::Send(misdirected.to_owned())]).await;
+    let healthy = Endpoint::start(|_| answer_ok()).await;
     for at in 0..3 {
-        source.endpoint(&format!("old-{at}"), "plain", other.address);
+        source.endpoint(&format!("old-{at}"), "plain", replaced.address);
     }
-    // Farther away, so that the others go before it.
-    source.endpoint_in("dc-2", "sound", "plain", sound.address);
+    // In another data centre, so that the old ids are preferred.
+    source.endpoint_in("dc-2", "sound", "plain", healthy.address);
     let running = start(source).await;
     for _ in 0..12 {
-        let got = ask(&running, "GET", "/often/x").await.expect("an answer");
+        let got = send_request(&running, "GET", "/often/x")
+            .await
+            .expect("an answer");
         assert_eq!(got.status, 200);
     }
-    assert_eq!(sound.count(), 12);
-    assert!(other.count() <= 3, "{}: each is ejected", other.count());
+    assert_eq!(healthy.count(), 12);
+    assert!(
+        replaced.count() <= 3,
+        "{}: each is ejected",
+        replaced.count()
+    );
 }
--- a/crates/gateway/tests/stopping.rs
+++ b/crates/gateway/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing.
+//! A planned stop loses no request.
 
 mod support;
 
@@ -9,21 +9,23 @@
 use support::source::{KEY, ScriptedSource, plain_route};
 use support::{Running, start};
 
-async fn stage(acts: Vec<Act>) -> (Running, Endpoint) {
+/// Starts a gateway with one endpoint, which handles every request by `actions`.
+async fn start_gateway(actions: Vec<Act>) -> (Running, Endpoint) {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
-    let endpoint = Endpoint::start(move |_| acts.clone()).await;
+    let endpoint = Endpoint::start(move |_| actions.clone()).await;
     source.endpoint("e-0", "plain", endpoint.address);
     (start(source).await, endpoint)
 }
 
+/// Guards against a stop that cuts a running request.
 #[tokio::test]
-async fn a_request_in_progress_is_answered_before_the_end() {
+async fn a_request_in_progress_is_answered_before_the_process_exits() {
     let slow = vec![
         Act::Wait(Duration::from_millis(600)),
         answer("200 OK", "fine"),
     ];
-    let (running, _) = stage(slow).await;
+    let (running, _) = start_gateway(slow).await;
     let mut client = Client::connect(running.address).await;
     client.send(&request("POST", "/once/x", "a1", "", "")).await;
     while running.gateway.in_progress() == 0 {
@@ -36,28 +38,30 @@
     stopping.await.unwrap();
 }
 
+/// Guards against a stop that cuts a connection accepted shortly before the listener closes.
 #[tokio::test]
-async fn a_connection_that_comes_late_is_served_and_the_end_waits_for_it() {
+async fn a_connection_accepted_during_the_stop_is_served_before_the_process_exits() {
     let slow = vec![
         Act::Wait(Duration::from_millis(400)),
         answer("200 OK", "fine"),
     ];
-    let (running, _) = stage(slow).await;
+    let (running, _) = start_gateway(slow).await;
     let stopping = tokio::spawn(stop_gracefully(running.gateway.clone()));
-    // The balancer's delay of the settings is nearly over.
+    // Most of the balancer's delay, 150 ms in the settings, has passed.
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut client = Client::connect(running.address).await;
     client.send(&request("POST", "/once/x", "a1", "", "")).await;
     tokio::time::sleep(Duration::from_millis(250)).await;
-    assert!(!stopping.is_finished(), "the answer is still under way");
+    assert!(!stopping.is_finished(), "the answer is still pending");
     let got = client.answer().await.expect("an answer");
     assert_eq!(got.status, 200);
     stopping.await.unwrap();
 }
 
+/// Guards against a client that sends its next request on an idle connection to a daemon that exits.
 #[tokio::test]
-async fn a_resting_connection_is_closed_after_the_balancer_s_delay() {
-    let (running, _) = stage(vec![answer("200 OK", "fine")]).await;
+async fn an_idle_connection_is_closed_after_the_balancer_s_delay() {
+    let (running, _) = start_gateway(vec![answer("200 OK", "fine")]).await;
     let mut client = Client::connect(running.address).await;
     client.send(&request("POST", "/once/x", "a1", "", "")).await;
     assert_eq!(client.answer().await.expect("an answer").status, 200);
@@ -66,18 +70,22 @@
     stopping.await.unwrap();
 }
 
+/// Guards against connections that are accepted during the stop and reset when the process exits.
 #[tokio::test]
-async fn when_the_stop_is_over_no_connection_is_open_and_none_can_come() {
-    let (running, _) = stage(vec![answer("200 OK", "fine")]).await;
+async fn after_a_stop_no_connection_is_open_and_new_ones_are_refused() {
+    let (running, _) = start_gateway(vec![answer("200 OK", "fine")]).await;
     let stopping = tokio::spawn(stop_gracefully(running.gateway.clone()));
-    // Clients that go on until they are refused, as those do who read an old list.
+    // Clients with an outdated list of daemons connect until they are refused.
     let mut served = 0;
     while !stopping.is_finished() {
         if let Ok(stream) = tokio::net::TcpStream::connect(running.address).await {
             drop(stream);
             let mut client = Client::connect(running.address).await;
             client.send(&request("POST", "/once/x", "a1", "", "")).await;
-            let got = client.answer().await.expect("what was taken is answered");
+            let got = client
+                .answer()
+                .await
+                .expect("an accepted request is answered");
             assert_eq!(got.status, 200);
             served += 1;
         }
@@ -86,17 +94,18 @@
     assert!(served > 0);
     assert_eq!(running.gateway.open_connections(), 0);
     let refused = tokio::net::TcpStream::connect(running.address).await;
-    assert!(refused.is_err(), "nobody listens any more");
+    assert!(refused.is_err(), "the listener is closed");
 }
 
-/// An outage of the control source excuses no request that a planned stop cuts.
+/// Guards against a stop that cuts a request because the control source is unavailable and the proof
+/// expires meanwhile.
 #[tokio::test]
-async fn a_stop_in_an_outage_of_the_source_answers_what_was_taken() {
+async fn a_stop_during_an_outage_of_the_source_answers_accepted_requests() {
     let slow = vec![
         Act::Wait(Duration::from_millis(900)),
         answer("200 OK", "fine"),
     ];
-    let (running, _) = stage(slow).await;
+    let (running, _) = start_gateway(slow).await;
     running.source.fail(Some(SourceError::NoAnswer));
     let mut client = Client::connect(running.address).await;
     client.send(&request("POST", "/once/x", "a1", "", "")).await;
@@ -104,43 +113,47 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let stopping = tokio::spawn(stop_gracefully(running.gateway.clone()));
-    // The proof and the balancer's delay are over before the answer comes.
+    // The proof's lifetime and the balancer's delay pass before the answer arrives.
     tokio::time::sleep(Duration::from_millis(750)).await;
-    assert!(!stopping.is_finished(), "the process would have ended");
+    assert!(!stopping.is_finished(), "the process must not exit yet");
     let got = client.answer().await.expect("an answer");
     assert_eq!(got.status, 200);
     stopping.await.unwrap();
 }
 
-/// Asks again and again, until nobody listens.
-async fn ask_on(address: std::net::SocketAddr) {
+/// Sends requests on new connections until connecting fails.
+async fn send_until_refused(address: std::net::SocketAddr) {
     while let Ok(stream) = tokio::net::TcpStream::connect(address).await {
         drop(stream);
         let mut client = Client::connect(address).await;
         client.send(&request("POST", "/once/x", "a1", "", "")).await;
-        let got = client.answer().await.expect("what was taken is answered");
+        let got = client
+            .answer()
+            .await
+            .expect("an accepted request is answered");
         assert_eq!(got.status, 200);
     }
 }
 
+/// Guards against a stop that waits for its time limit because new clients keep connecting.
 #[tokio::test]
-async fn clients_that_never_stop_coming_don_t_hold_up_the_stop() {
+async fn continuous_new_connections_do_not_delay_the_stop() {
     let slow = vec![
         Act::Wait(Duration::from_millis(100)),
         answer("200 OK", "fine"),
     ];
-    let (running, _) = stage(slow).await;
+    let (running, _) = start_gateway(slow).await;
     for _ in 0..4 {
-        tokio::spawn(ask_on(running.address));
+        tokio::spawn(send_until_refused(running.address));
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     stop_gracefully(running.gateway.clone()).await;
     // The settings allow three seconds; the balancer's delay is 150 ms.
     assert!(
-        begun.elapsed() < Duration::from_secs(2),
+        started.elapsed() < Duration::from_secs(2),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
     assert_eq!(running.gateway.open_connections(), 0);
 }
--- a/crates/gateway/tests/support/client.rs
+++ b/crates/gateway/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends bytes and reads one answer.
+//! A client that sends raw bytes and reads answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,15 +6,15 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer as the client got it.
+/// An answer as the client received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Got {
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body was complete.
     pub is_whole: bool,
 }
 
@@ -29,12 +29,14 @@
     }
 }
 
+/// A connection of a client.
 pub struct Client {
     stream: TcpStream,
-    rest: Vec<u8>,
+    /// The received bytes that haven't been parsed yet.
+    unparsed: Vec<u8>,
 }
 
-/// A request with a key, of an identifier.
+/// Returns the text of a request with a valid key; `extra` are further header lines.
 pub fn request(method: &str, path: &str, id: &str, extra: &str, body: &str) -> String {
     let length = if body.is_empty() {
         String::new()
@@ -51,7 +53,7 @@
     pub async fn connect(address: SocketAddr) -> Self {
         Self {
             stream: TcpStream::connect(address).await.unwrap(),
-            rest: Vec::new(),
+            unparsed: Vec::new(),
         }
     }
 
@@ -59,49 +61,53 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Reads until `text` has come.
+    /// Reads until `text` has arrived, and returns all unparsed text.
     pub async fn read_until(&mut self, text: &str) -> String {
         let reading = async {
-            while !String::from_utf8_lossy(&self.rest).contains(text) {
+            while !String::from_utf8_lossy(&self.unparsed).contains(text) {
                 if self.read_more().await == 0 {
                     break;
                 }
             }
         };
-        timeout(LIMIT, reading).await.expect("the text comes");
-        String::from_utf8_lossy(&self.rest).into_owned()
+        timeout(TIMEOUT, reading).await.expect("the text arrives");
+        String::from_utf8_lossy(&self.unparsed).into_owned()
     }
 
     async fn read_more(&mut self) -> usize {
         let mut bytes = [0; 4096];
         let count = self.stream.read(&mut bytes).await.unwrap_or(0);
-        self.rest.extend_from_slice(&bytes[..count]);
+        self.unparsed.extend_from_slice(&bytes[..count]);
         count
     }
 
-    /// Whether the other side closes the connection within the time, without a byte.
+    /// Returns whether the other side closes the connection within the time, without sending a byte.
     pub async fn is_closed_within(&mut self, time: Duration) -> bool {
         matches!(timeout(time, self.read_more()).await, Ok(0))
     }
 
-    /// Reads one answer; none when the connection ends before a head.
+    /// Reads one answer; returns `None` if the connection ends before a complete head.
     pub async fn answer(&mut self) -> Option<Got> {
-        timeout(LIMIT, self.read_answer())
+        timeout(TIMEOUT, self.read_answer())
             .await
-            .expect("an answer comes")
+            .expect("an answer arrives")
     }
 
     async fn read_answer(&mut self) -> Option<Got> {
         let end = loop {
-            if let Some(end) = self.rest.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
+            if let Some(end) = self
+                .unparsed
+                .windows(4)
+                .position(|bytes| bytes == b"\r\n\r\n")
+            {
                 break end;
             }
             if self.read_more().await == 0 {
                 return None;
             }
         };
-        let head = String::from_utf8_lossy(&self.rest[..end]).into_owned();
-        self.rest.drain(..end + 4);
+        let head = String::from_utf8_lossy(&self.unparsed[..end]).into_owned();
+        self.unparsed.drain(..end + 4);
         let status = head.split(' ').nth(1).unwrap().parse().unwrap();
         let lower = head.to_lowercase();
         let length = lower
@@ -120,33 +126,33 @@
     }
 
     async fn read_length(&mut self, length: usize) -> (Vec<u8>, bool) {
-        while self.rest.len() < length {
+        while self.unparsed.len() < length {
             if self.read_more().await == 0 {
-                return (std::mem::take(&mut self.rest), false);
+                return (std::mem::take(&mut self.unparsed), false);
             }
         }
-        (self.rest.drain(..length).collect(), true)
+        (self.unparsed.drain(..length).collect(), true)
     }
 
     async fn read_chunks(&mut self) -> (Vec<u8>, bool) {
         let mut body = Vec::new();
         loop {
-            let Some(line) = self.rest.windows(2).position(|bytes| bytes == b"\r\n") else {
+            let Some(line) = self.unparsed.windows(2).position(|bytes| bytes == b"\r\n") else {
                 if self.read_more().await == 0 {
                     return (body, false);
                 }
                 continue;
             };
-            let text = String::from_utf8_lossy(&self.rest[..line]).into_owned();
+            let text = String::from_utf8_lossy(&self.unparsed[..line]).into_owned();
             let length = usize::from_str_radix(text.trim(), 16).unwrap();
             let whole = line + 2 + length + 2;
-            while self.rest.len() < whole {
+            while self.unparsed.len() < whole {
                 if self.read_more().await == 0 {
                     return (body, false);
                 }
             }
-            body.extend_from_slice(&self.rest[line + 2..line + 2 + length]);
-            self.rest.drain(..whole);
+            body.extend_from_slice(&self.unparsed[line + 2..line + 2 + length]);
+            self.unparsed.drain(..whole);
             if length == 0 {
                 return (body, true);
             }
--- a/crates/gateway/tests/support/crashing.rs
+++ b/crates/gateway/tests/support/crashing.rs
@@ -1,42 +1,42 @@
-//! Engines of one service that end when they run a certain request, and start again under new ids.
+//! Engines of one service that crash when they run a certain request, and restart under new ids.
 
 use super::endpoint::{Act, Endpoint, Seen, answer};
 use super::source::ScriptedSource;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The body of the request that ends every engine that runs it.
-pub const DEADLY: &str = "a prompt that no engine survives";
-/// How long a start takes.
-const RESTART: Duration = Duration::from_millis(150);
+/// The body of the request that crashes every engine that runs it.
+pub const CRASHING_BODY: &str = "a prompt that no engine survives";
+/// How long a restart takes.
+const RESTART_TIME: Duration = Duration::from_millis(150);
 
 /// Engines of the service "plain"; clones share one state.
 #[derive(Clone)]
 pub struct CrashingEngines {
     source: ScriptedSource,
-    /// How long a request runs, whatever becomes of it.
-    run: Duration,
+    /// How long a request runs before it is answered or crashes the engine.
+    run_time: Duration,
     started: Arc<Mutex<Vec<Endpoint>>>,
 }
 
 impl CrashingEngines {
-    /// Starts so many, each of which runs a request for `run`.
-    pub async fn start(source: &ScriptedSource, count: usize, run: Duration) -> Self {
+    /// Starts `count` engines, each of which runs a request for `run_time`.
+    pub async fn start(source: &ScriptedSource, count: usize, run_time: Duration) -> Self {
         let engines = Self {
             source: source.clone(),
-            run,
+            run_time,
             started: Arc::default(),
         };
         for _ in 0..count {
             let (id, endpoint) = engines.start_one().await;
-            tokio::spawn(engines.clone().keep_running(id, endpoint));
+            tokio::spawn(engines.clone().restart_after_crashes(id, endpoint));
         }
         engines
     }
 
     async fn start_one(&self) -> (String, Endpoint) {
-        let run = self.run;
-        let endpoint = Endpoint::start_by(move |_, seen| acts(run, seen)).await;
+        let run_time = self.run_time;
+        let endpoint = Endpoint::start_by_request(move |_, seen| actions(run_time, seen)).await;
         let id = {
             let mut started = self.started.lock().unwrap();
             started.push(endpoint.clone());
@@ -46,39 +46,41 @@
         (id, endpoint)
     }
 
-    /// Starts an engine again whenever it has ended.
-    async fn keep_running(self, mut id: String, mut endpoint: Endpoint) {
+    /// Restarts an engine after each crash, under a new id.
+    async fn restart_after_crashes(self, mut id: String, mut endpoint: Endpoint) {
         loop {
-            endpoint.ended.cancelled().await;
-            tokio::time::sleep(RESTART).await;
+            endpoint.crashed.cancelled().await;
+            tokio::time::sleep(RESTART_TIME).await;
             self.source.gone(&id);
             (id, endpoint) = self.start_one().await;
         }
     }
 
-    /// Engines that have ended.
-    pub fn ended(&self) -> usize {
+    /// Returns the number of crashes.
+    pub fn crashed(&self) -> usize {
         let started = self.started.lock().unwrap();
-        let ended = started.iter().filter(|engine| engine.ended.is_cancelled());
-        ended.count()
+        let crashed = started
+            .iter()
+            .filter(|engine| engine.crashed.is_cancelled());
+        crashed.count()
     }
 
-    /// Requests with this body that have reached engines.
-    pub fn reached(&self, body: &str) -> usize {
+    /// Returns the number of requests with this body that engines have received.
+    pub fn received(&self, body: &str) -> usize {
         let started = self.started.lock().unwrap();
-        let reached = |engine: &Endpoint| {
+        let received = |engine: &Endpoint| {
             let seen = engine.seen.lock().unwrap();
             let equal = seen.iter().filter(|seen| seen.body == body.as_bytes());
             equal.count()
         };
-        started.iter().map(reached).sum()
+        started.iter().map(received).sum()
     }
 }
 
-fn acts(run: Duration, seen: &Seen) -> Vec<Act> {
-    if seen.body == DEADLY.as_bytes() {
-        vec![Act::Wait(run), Act::Crash]
+fn actions(run_time: Duration, seen: &Seen) -> Vec<Act> {
+    if seen.body == CRASHING_BODY.as_bytes() {
+        vec![Act::Wait(run_time), Act::Crash]
     } else {
-        vec![Act::Wait(run), answer("200 OK", "fine")]
+        vec![Act::Wait(run_time), answer("200 OK", "fine")]
     }
 }
--- a/crates/gateway/tests/support/endpoint.rs
+++ b/crates/gateway/tests/support/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers as a test says, byte by byte.
+//! An endpoint that answers byte by byte according to a test's script.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -7,24 +7,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// What is done with one request.
+/// One step of the handling of a request.
 #[derive(Clone, Debug)]
 pub enum Act {
-    /// Bytes are sent; `{id}` becomes the request's identifier.
+    /// Sends bytes; `{id}` is replaced by the request's identifier.
     Send(String),
-    /// Time passes.
+    /// Waits.
     Wait(Duration),
-    /// The connection is closed.
+    /// Closes the connection.
     Close,
-    /// The connection is reset.
+    /// Resets the connection.
     Reset,
-    /// Nothing more, the connection stays.
+    /// Sends nothing more and keeps the connection open.
     Hang,
-    /// The endpoint ends as a process does: its listener and all its connections are closed.
+    /// Crashes the endpoint: closes its listener and all its connections.
     Crash,
 }
 
-/// A request as it arrived.
+/// A request as the endpoint received it.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub head: String,
@@ -39,24 +39,26 @@
     }
 }
 
+/// A scripted endpoint; clones share one state.
 #[derive(Clone)]
 pub struct Endpoint {
     pub address: SocketAddr,
+    /// The requests that it has received.
     pub seen: Arc<Mutex<Vec<Seen>>>,
-    /// Connections whose other side went away while a request was under way.
+    /// The number of connections that the other side closed during a request.
     pub abandoned: Arc<Mutex<usize>>,
-    /// Cancelled when the endpoint ends.
-    pub ended: CancellationToken,
+    /// Cancelled when the endpoint crashes.
+    pub crashed: CancellationToken,
 }
 
 impl Endpoint {
-    /// Starts an endpoint whose n-th request is answered by `script(n)`.
+    /// Starts an endpoint that handles its n-th request by `script(n)`.
     pub async fn start(script: impl Fn(usize) -> Vec<Act> + Send + Sync + 'static) -> Self {
-        Self::start_by(move |at, _| script(at)).await
+        Self::start_by_request(move |at, _| script(at)).await
     }
 
-    /// Starts an endpoint that answers its n-th request by its content, too.
-    pub async fn start_by(
+    /// Starts an endpoint whose script also depends on the content of the request.
+    pub async fn start_by_request(
         script: impl Fn(usize, &Seen) -> Vec<Act> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -64,51 +66,54 @@
             address: listener.local_addr().unwrap(),
             seen: Arc::default(),
             abandoned: Arc::default(),
-            ended: CancellationToken::new(),
+            crashed: CancellationToken::new(),
         };
         let own = endpoint.clone();
         let script = Arc::new(script);
-        let ended = endpoint.ended.clone();
-        tokio::spawn(ended.run_until_cancelled_owned(async move {
+        let crashed = endpoint.crashed.clone();
+        tokio::spawn(crashed.run_until_cancelled_owned(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
                 let serving = serve(own.clone(), stream, script.clone());
-                tokio::spawn(own.ended.clone().run_until_cancelled_owned(serving));
+                tokio::spawn(own.crashed.clone().run_until_cancelled_owned(serving));
             }
         }));
         endpoint
     }
 
-    fn note(&self, seen: Seen) -> usize {
+    /// Records a request and returns its index.
+    fn record(&self, seen: Seen) -> usize {
         let mut all = self.seen.lock().unwrap();
         all.push(seen);
         all.len() - 1
     }
 
+    /// Returns the number of requests that it has received.
     pub fn count(&self) -> usize {
         self.seen.lock().unwrap().len()
     }
 }
 
-async fn read_request(stream: &mut TcpStream, rest: &mut Vec<u8>) -> Option<Seen> {
+/// Reads one request; `unparsed` holds bytes that were received and not parsed yet.
+async fn read_request(stream: &mut TcpStream, unparsed: &mut Vec<u8>) -> Option<Seen> {
     loop {
-        if let Some(end) = rest.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&rest[..end]).into_owned();
+        if let Some(end) = unparsed.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&unparsed[..end]).into_owned();
             let length = head
                 .lines()
                 .find_map(|line| line.strip_prefix("content-length: "))
                 .map_or(0, |length| length.parse().unwrap());
             let whole = end + 4 + length;
-            if rest.len() >= whole {
-                let body = rest[end + 4..whole].to_vec();
-                rest.drain(..whole);
+            if unparsed.len() >= whole {
+                let body = unparsed[end + 4..whole].to_vec();
+                unparsed.drain(..whole);
                 return Some(Seen { head, body });
             }
         }
         let mut bytes = [0; 4096];
         match stream.read(&mut bytes).await {
             Ok(0) | Err(_) => return None,
-            Ok(count) => rest.extend_from_slice(&bytes[..count]),
+            Ok(count) => unparsed.extend_from_slice(&bytes[..count]),
         }
     }
 }
@@ -118,12 +123,12 @@
     mut stream: TcpStream,
     script: Arc<impl Fn(usize, &Seen) -> Vec<Act> + Send + Sync + 'static>,
 ) {
-    let mut rest = Vec::new();
-    while let Some(seen) = read_request(&mut stream, &mut rest).await {
+    let mut unparsed = Vec::new();
+    while let Some(seen) = read_request(&mut stream, &mut unparsed).await {
         let id = seen.header("x-id").unwrap_or_default();
-        let at = endpoint.note(seen.clone());
-        for act in script(at, &seen) {
-            match act {
+        let at = endpoint.record(seen.clone());
+        for action in script(at, &seen) {
+            match action {
                 Act::Send(text) => {
                     let text = text.replace("{id}", &id);
                     if stream.write_all(text.as_bytes()).await.is_err() {
@@ -142,7 +147,7 @@
                 }
                 Act::Close => return,
                 Act::Crash => {
-                    endpoint.ended.cancel();
+                    endpoint.crashed.cancel();
                     return;
                 }
                 Act::Reset => {
@@ -161,7 +166,7 @@
     }
 }
 
-/// A whole answer of a status with a body.
+/// Sends a complete answer with a status and a body.
 pub fn answer(status: &str, body: &str) -> Act {
     Act::Send(format!(
         "HTTP/1.1 {status}\r\nx-id: {{id}}\r\nx-sign: s\r\ncontent-length: {}\r\n\r\n{body}",
@@ -169,7 +174,7 @@
     ))
 }
 
-/// The head of a stream in chunks.
+/// Sends the head of a chunked stream.
 pub fn stream_head() -> Act {
     Act::Send(
         "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-sign: s\r\ncontent-type: text/event-stream\r\n\
@@ -178,17 +183,17 @@
     )
 }
 
-/// Bytes as one chunk.
+/// Sends text as one chunk.
 pub fn chunk(text: &str) -> Act {
     Act::Send(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
-/// One event as a chunk.
+/// Sends one event as a chunk.
 pub fn event(id: u64) -> Act {
     chunk(&format!("id: {id}\ndata: piece {id}\n\n"))
 }
 
-/// The end of a stream in chunks.
+/// Sends the last chunk of a chunked stream.
 pub fn last_chunk() -> Act {
     Act::Send("0\r\n\r\n".into())
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway before a control source and endpoints that tests script, over real sockets.
+//! A gateway with a scripted control source and scripted endpoints, over real sockets.
 
 #![allow(dead_code, missing_docs)]
 
@@ -25,7 +25,7 @@
     HeaderName::from_static(text)
 }
 
-/// Header names of the tests' own.
+/// Returns the header names that the tests use.
 pub fn names() -> HeaderNames {
     HeaderNames {
         request_id: name("x-id"),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Settings with short times.
+/// Returns settings with short times.
 pub fn settings() -> GatewaySettings {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     GatewaySettings {
@@ -91,12 +91,12 @@
     start_with(source, settings()).await
 }
 
-/// The same with settings of the test's own.
+/// Starts a gateway with the given settings.
 pub async fn start_with(source: ScriptedSource, settings: GatewaySettings) -> Running {
     start_by(Clock::scripted(ClockScript::leaked()), source, settings).await
 }
 
-/// The same with a clock of the test's own.
+/// Starts a gateway with the given clock and settings.
 pub async fn start_by(clock: Clock, source: ScriptedSource, settings: GatewaySettings) -> Running {
     let meter = opentelemetry::global::meter("test");
     let gateway = Gateway::with_clock(settings, names(), &meter, clock);
--- a/crates/gateway/tests/support/records.rs
+++ b/crates/gateway/tests/support/records.rs
@@ -1,18 +1,18 @@
-//! Endpoints of services that tests of the rules set up, as one daemon knows them.
+//! Services with idle endpoints, as one daemon knows them, for tests of the rules.
 
 use bridgevane_decisions::EndpointIx;
 use bridgevane_gateway::{Endpoint, EndpointRecord, ServiceEndpoints};
 use bridgevane_types::DurationMs;
 use std::sync::Arc;
 
-/// The record of an endpoint with so many slots.
+/// Returns the record of endpoint number `at` with the given number of slots.
 pub fn record(at: u32, data_centre: &str, slots: u32) -> EndpointRecord {
     EndpointRecord {
         born: None,
         sequence: None,
         id: format!("e-{at}").as_str().into(),
         service: "model".into(),
-        // The port tells endpoints apart.
+        // Each endpoint has its own port.
         address: format!("127.0.0.1:{}", at + 1).parse().expect("an address"),
         data_centre: data_centre.into(),
         slots,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Idle endpoints, of which `data_centre_of` says where each is.
+/// Returns a service of idle endpoints; `data_centre_of` returns the data centre of each.
 pub fn service(
     endpoints: u32,
     slots: u32,
