--- a/crates/gateway/benches/quarantine.rs
+++ b/crates/gateway/benches/quarantine.rs
@@ -15,7 +15,7 @@
 /// The number of requests that an engine runs at once.
 const SLOTS: u64 = 64;
 /// The maximum number of requests under quarantine.
-const STOPPED: u64 = 4_096;
+const QUARANTINED: u64 = 4_096;
 /// The maximum number of suspect requests.
 const SUSPECTS: u64 = 1_024;
 
@@ -35,10 +35,10 @@
 fn full_gateway() -> Arc<Gateway> {
     let gateway = gateway();
     for endpoint in 0..3 {
-        let stopped: Vec<_> = (0..STOPPED).map(request).collect();
+        let quarantined: Vec<_> = (0..QUARANTINED).map(request).collect();
         gateway
             .quarantine
-            .on_crashed(EndpointHash(endpoint), &stopped);
+            .on_crashed(EndpointHash(endpoint), &quarantined);
         // Crashes at the same moment would count as one.
         std::thread::sleep(std::time::Duration::from_millis(60));
     }
@@ -64,7 +64,7 @@
             bench.bench_function(&name, |bench| {
                 bench.iter(|| {
                     let quarantine = &gateway.quarantine;
-                    quarantine.is_stopped(|| fingerprint(black_box(path), black_box(&body)))
+                    quarantine.is_quarantined(|| fingerprint(black_box(path), black_box(&body)))
                 });
             });
         }
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -8,8 +8,8 @@
 use tokio::sync::{Notify, watch};
 
 /// How long a connection that is accepted after idle ones were closed may take to send a request.
-/// Without it, late connections were closed before their request; clients send at once after they
-/// connect.
+/// Without this time, late connections were closed before their request arrived. Clients send at once
+/// after they connect.
 const LATE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The state of the client listener.
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -32,12 +32,12 @@
     limit_changes: Counter<u64>,
     requested_backoffs: Counter<u64>,
     source_calls: Counter<u64>,
-    peer_questions: Counter<u64>,
+    peer_polls: Counter<u64>,
     first_byte_s: Histogram<f64>,
     proof_age_s: Gauge<f64>,
     tree_depth: Gauge<u64>,
     holds_duties: Gauge<u64>,
-    usage_told: Counter<u64>,
+    submitted_usage_windows: Counter<u64>,
     engines: Gauge<u64>,
 }
 
@@ -55,7 +55,7 @@
             limit_changes: counter("bridgevane_gateway_endpoint_limits"),
             requested_backoffs: counter("bridgevane_gateway_endpoint_rests"),
             source_calls: counter("bridgevane_gateway_source_calls"),
-            peer_questions: counter("bridgevane_gateway_peer_questions"),
+            peer_polls: counter("bridgevane_gateway_peer_questions"),
             first_byte_s: meter
                 .f64_histogram("bridgevane_gateway_first_byte_seconds")
                 .with_boundaries(FIRST_BYTE_BUCKETS_S.to_vec())
@@ -65,7 +65,7 @@
                 .build(),
             tree_depth: meter.u64_gauge("bridgevane_gateway_tree_depth").build(),
             holds_duties: meter.u64_gauge("bridgevane_gateway_holds_duties").build(),
-            usage_told: counter("bridgevane_gateway_usage_windows_told"),
+            submitted_usage_windows: counter("bridgevane_gateway_usage_windows_told"),
             engines: meter.u64_gauge("bridgevane_gateway_engines").build(),
         }
     }
@@ -124,7 +124,7 @@
             .add(1, &[service, KeyValue::new("limited", is_limited)]);
     }
 
-    /// Counts an endpoint that asked this daemon for a backoff.
+    /// Counts an endpoint that asked this daemon for a back-off.
     pub(crate) fn backoff_requested(&self, service: &ServiceName) {
         let service = KeyValue::new("service", service.as_str().to_owned());
         self.requested_backoffs.add(1, &[service]);
@@ -154,8 +154,7 @@
     /// Counts a poll of another daemon; `None` stands for success.
     pub(crate) fn peer_asked(&self, error: Option<&PeerError>) {
         let result = error.map_or_else(|| "ok".to_owned(), ToString::to_string);
-        self.peer_questions
-            .add(1, &[KeyValue::new("result", result)]);
+        self.peer_polls.add(1, &[KeyValue::new("result", result)]);
     }
 
     /// Records whether this daemon holds the duties.
@@ -166,7 +165,7 @@
     /// Counts a window whose usage was submitted; `is_complete` says whether the counts of every
     /// daemon were in it.
     pub(crate) fn usage_told(&self, is_complete: bool) {
-        self.usage_told
+        self.submitted_usage_windows
             .add(1, &[KeyValue::new("complete", is_complete)]);
     }
 
--- a/crates/gateway/src/requests/endpoint_signals.rs
+++ b/crates/gateway/src/requests/endpoint_signals.rs
@@ -1,5 +1,5 @@
 //! The signals in an endpoint's answers besides its load: a rate limit, an announced leave and a
-//! backoff. They are read from the head of each answer, kept with this incarnation of the endpoint,
+//! back-off. They are read from the head of each answer, kept with this incarnation of the endpoint,
 //! and logged when they change.
 //!
 //! Owns nothing. Only answers to the request that was sent count: an answer to another request, or
@@ -85,7 +85,7 @@
     endpoint: &Endpoint,
     metrics: &GatewayMetrics,
     limit: Option<RequestsPerSecond>,
-    heard_by: LimitHeardBy,
+    observer: LimitHeardBy,
 ) {
     let record = endpoint.record.load();
     metrics.limit_changed(&record.service, limit.is_some());
@@ -94,7 +94,7 @@
         endpoint = record.id,
         service = record.service,
         requests_per_s = limit.map_or_else(|| "none".to_owned(), |limit| limit.to_string()),
-        heard_by = heard_by
+        heard_by = observer
     );
 }
 
--- a/crates/gateway/src/requests/exchange/mod.rs
+++ b/crates/gateway/src/requests/exchange/mod.rs
@@ -122,16 +122,16 @@
     }
 
     /// Returns whether the request is known to crash the endpoints that run it.
-    fn is_stopped(&self) -> bool {
+    fn is_quarantined(&self) -> bool {
         let fingerprint = || self.inbound.fingerprint();
-        self.gateway.quarantine.is_stopped(fingerprint)
+        self.gateway.quarantine.is_quarantined(fingerprint)
             || self.gateway.control.is_quarantined(fingerprint)
     }
 
     /// Checks that the request doesn't crash endpoints, that time is left, and that the configuration
     /// is recent enough to act on.
     fn check_may_send(&self) -> Result<(), RefusalReason> {
-        if self.is_stopped() {
+        if self.is_quarantined() {
             return Err(RefusalReason::EndsEndpoints);
         }
         if self.inbound.remaining() < resend::MIN_REMAINING {
--- a/crates/gateway/src/requests/exchange/resending.rs
+++ b/crates/gateway/src/requests/exchange/resending.rs
@@ -75,11 +75,11 @@
             remaining: self.inbound.remaining(),
         };
         let policy = resend_policy(&self.inbound.route);
-        resend::check(failure, policy, progress, || self.take_retry())
+        resend::check(failure, policy, progress, || self.withdraw_retry())
     }
 
     /// Takes one retry from the budget; returns whether one was left.
-    fn take_retry(&self) -> bool {
+    fn withdraw_retry(&self) -> bool {
         let now = self.gateway.clock.now();
         let service = &self.inbound.service;
         let decision = self.gateway.retry_budgets.take(now, service);
--- a/crates/gateway/src/requests/quarantine.rs
+++ b/crates/gateway/src/requests/quarantine.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 struct Snapshot {
     /// Requests under quarantine, with the moment at which their quarantine ends.
-    stopped: HashMap<RequestFingerprint, TimeMs>,
+    quarantined: HashMap<RequestFingerprint, TimeMs>,
     /// Requests under which endpoints have crashed, too few for a quarantine.
     suspects: HashSet<RequestFingerprint>,
 }
@@ -80,18 +80,18 @@
 
     /// Returns whether a request is under quarantine. Its fingerprint is computed only if any
     /// request is.
-    pub fn is_stopped(&self, request: impl FnOnce() -> RequestFingerprint) -> bool {
+    pub fn is_quarantined(&self, request: impl FnOnce() -> RequestFingerprint) -> bool {
         let snapshot = self.snapshot.load();
-        if snapshot.stopped.is_empty() {
+        if snapshot.quarantined.is_empty() {
             return false;
         }
-        let until = snapshot.stopped.get(&request());
+        let until = snapshot.quarantined.get(&request());
         until.is_some_and(|until| self.clock.now() < *until)
     }
 
     /// Returns whether any request is under quarantine.
     pub(crate) fn stops_any(&self) -> bool {
-        !self.snapshot.load().stopped.is_empty()
+        !self.snapshot.load().quarantined.is_empty()
     }
 
     /// Returns whether endpoints have crashed under a request that isn't under quarantine.
@@ -117,8 +117,8 @@
             began_at: None,
             fact: CrashFact::Crashed(endpoint),
         });
-        let stopped = self.record(observations, Origin::ThisDaemon);
-        log_stopped(&stopped, Origin::ThisDaemon);
+        let quarantined = self.record(observations, Origin::ThisDaemon);
+        log_quarantined(&quarantined, Origin::ThisDaemon);
     }
 
     /// Records that a request was answered successfully. Its fingerprint is computed only if any
@@ -139,8 +139,8 @@
 
     /// Records the observations of other daemons.
     pub fn on_news(&self, observations: impl IntoIterator<Item = CrashNews<EndpointHash>>) {
-        let stopped = self.record(observations, Origin::OtherDaemons);
-        log_stopped(&stopped, Origin::OtherDaemons);
+        let quarantined = self.record(observations, Origin::OtherDaemons);
+        log_quarantined(&quarantined, Origin::OtherDaemons);
     }
 
     /// Records observations and returns the requests that they put under quarantine.
@@ -152,10 +152,10 @@
         let now = self.clock.now();
         let mut state = self.state();
         let before = state.count.newest();
-        let mut stopped = Vec::new();
+        let mut quarantined = Vec::new();
         for observation in observations {
             if state.count.take(now, observation) == NewsOutcome::Quarantines {
-                stopped.push(observation.request);
+                quarantined.push(observation.request);
             }
         }
         let newest = state.count.newest();
@@ -166,12 +166,12 @@
             self.newest.send_replace(newest);
         }
         if origin == Origin::ThisDaemon {
-            state.to_store.extend(&stopped);
+            state.to_store.extend(&quarantined);
         }
-        if !stopped.is_empty() {
+        if !quarantined.is_empty() {
             self.has_to_store.notify_one();
         }
-        stopped
+        quarantined
     }
 
     /// Returns the oldest `max` observations after `cursor`, and the cursor of the last of them.
@@ -205,16 +205,16 @@
     pub(crate) fn stopped_for(&self, age: DurationMs) -> Vec<RequestFingerprint> {
         let now = self.clock.now();
         let state = self.state();
-        let stopped = state.count.quarantined();
-        let old_enough = stopped.filter(|(_, since)| *since + age <= now);
-        let not_over = old_enough.filter(|(_, since)| now < *since + QUARANTINE);
-        not_over.map(|(request, _)| request).collect()
+        let quarantined = state.count.quarantined();
+        let old_enough = quarantined.filter(|(_, since)| *since + age <= now);
+        let not_expired = old_enough.filter(|(_, since)| now < *since + QUARANTINE);
+        not_expired.map(|(request, _)| request).collect()
     }
 }
 
 fn snapshot(count: &CrashCount<EndpointHash>) -> Snapshot {
     Snapshot {
-        stopped: count
+        quarantined: count
             .quarantined()
             .map(|(request, since)| (request, since + QUARANTINE))
             .collect(),
@@ -222,8 +222,8 @@
     }
 }
 
-fn log_stopped(stopped: &[RequestFingerprint], origin: Origin) {
-    for request in stopped {
+fn log_quarantined(quarantined: &[RequestFingerprint], origin: Origin) {
+    for request in quarantined {
         event!(
             Event::RequestQuarantined,
             fingerprint = request,
--- a/crates/gateway/src/requests/response_head.rs
+++ b/crates/gateway/src/requests/response_head.rs
@@ -59,7 +59,7 @@
     Some(DurationMs((seconds * 1_000.0).ceil() as u64))
 }
 
-/// Returns the backoff that an endpoint asks of this daemon: the `Retry-After` of an answer that
+/// Returns the back-off that an endpoint asks of this daemon: the `Retry-After` of an answer that
 /// refuses the request.
 pub(crate) fn requested_backoff(
     names: &HeaderNames,
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -217,7 +217,7 @@
             sleep(Duration::from_millis(60)).await;
         }
         let observed_at = Instant::now();
-        let knows = |daemon: &&Running| daemon.gateway.quarantine.is_stopped(|| request);
+        let knows = |daemon: &&Running| daemon.gateway.quarantine.is_quarantined(|| request);
         while fleet.iter().filter(knows).count() < fleet.len() {
             sleep(Duration::from_millis(5)).await;
             assert!(observed_at.elapsed() < MAX_SPREAD_TIME, "round {round}");
--- a/crates/gateway/tests/support/crashing.rs
+++ b/crates/gateway/tests/support/crashing.rs
@@ -1,6 +1,6 @@
 //! Engines of one service that crash when they run a certain request, and restart under new ids.
 
-use super::endpoint::{Act, Endpoint, Seen, answer};
+use super::endpoint::{Act, Endpoint, ReceivedRequest, answer};
 use super::source::ScriptedSource;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -77,7 +77,7 @@
     }
 }
 
-fn actions(run_time: Duration, seen: &Seen) -> Vec<Act> {
+fn actions(run_time: Duration, seen: &ReceivedRequest) -> Vec<Act> {
     if seen.body == CRASHING_BODY.as_bytes() {
         vec![Act::Wait(run_time), Act::Crash]
     } else {
--- a/crates/gateway/tests/support/endpoint.rs
+++ b/crates/gateway/tests/support/endpoint.rs
@@ -26,12 +26,12 @@
 
 /// A request as the endpoint received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<String> {
         let prefix = format!("{name}: ");
         let line = self.head.lines().find(|line| line.starts_with(&prefix))?;
@@ -44,7 +44,7 @@
 pub struct Endpoint {
     pub address: SocketAddr,
     /// The requests that it has received.
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub seen: Arc<Mutex<Vec<ReceivedRequest>>>,
     /// The number of connections that the other side closed during a request.
     pub abandoned: Arc<Mutex<usize>>,
     /// Cancelled when the endpoint crashes.
@@ -59,7 +59,7 @@
 
     /// Starts an endpoint whose script also depends on the content of the request.
     pub async fn start_by_request(
-        script: impl Fn(usize, &Seen) -> Vec<Act> + Send + Sync + 'static,
+        script: impl Fn(usize, &ReceivedRequest) -> Vec<Act> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoint = Self {
@@ -82,7 +82,7 @@
     }
 
     /// Records a request and returns its index.
-    fn record(&self, seen: Seen) -> usize {
+    fn record(&self, seen: ReceivedRequest) -> usize {
         let mut all = self.seen.lock().unwrap();
         all.push(seen);
         all.len() - 1
@@ -95,7 +95,7 @@
 }
 
 /// Reads one request; `unparsed` holds bytes that were received and not parsed yet.
-async fn read_request(stream: &mut TcpStream, unparsed: &mut Vec<u8>) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream, unparsed: &mut Vec<u8>) -> Option<ReceivedRequest> {
     loop {
         if let Some(end) = unparsed.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&unparsed[..end]).into_owned();
@@ -107,7 +107,7 @@
             if unparsed.len() >= whole {
                 let body = unparsed[end + 4..whole].to_vec();
                 unparsed.drain(..whole);
-                return Some(Seen { head, body });
+                return Some(ReceivedRequest { head, body });
             }
         }
         let mut bytes = [0; 4096];
@@ -121,7 +121,7 @@
 async fn serve(
     endpoint: Endpoint,
     mut stream: TcpStream,
-    script: Arc<impl Fn(usize, &Seen) -> Vec<Act> + Send + Sync + 'static>,
+    script: Arc<impl Fn(usize, &ReceivedRequest) -> Vec<Act> + Send + Sync + 'static>,
 ) {
     let mut unparsed = Vec::new();
     while let Some(seen) = read_request(&mut stream, &mut unparsed).await {
