--- a/crates/gateway/benches/fleet_state.rs
+++ b/crates/gateway/benches/fleet_state.rs
@@ -9,7 +9,8 @@
 use bridgevane_gateway::decisions::eligibility::region_limits::RegionLimits;
 use bridgevane_gateway::{
     Endpoint, EndpointRecord, FullState, Prompt, PromptLocations, PromptPart, Replica, Revision,
-    SelectionRequest, ServiceEndpoints, SourceRecord, put_update, select_endpoint, take_update,
+    SelectionRequest, ServiceEndpoints, SourceRecord, decode_update, encode_update,
+    select_endpoint,
 };
 use bridgevane_protocol::RecordsAnswer;
 use bridgevane_types::{DataCentreId, DurationMs, TimeMs, Tokens};
@@ -74,14 +75,14 @@
 
 fn whole_state(replica: &Replica) -> RecordsAnswer {
     let mut answer = RecordsAnswer::default();
-    put_update(&mut answer, replica.update_since(Revision(0)));
+    encode_update(&mut answer, replica.update_since(Revision(0)));
     answer
 }
 
 fn service(endpoints: u32) -> Vec<Arc<Endpoint>> {
     let endpoints = (0..endpoints).map(|at| {
         let record = EndpointRecord {
-            born: None,
+            started_at: None,
             sequence: None,
             id: id(at).as_str().into(),
             service: "model".into(),
@@ -119,7 +120,7 @@
             data_centre: &data_centre,
             prompt,
             tried: &[],
-            lost_in: &[],
+            data_centres_with_lost_endpoints: &[],
             region_limits: RegionLimits::EVERYWHERE,
             daemons: Some(1),
             cold: None,
@@ -147,7 +148,7 @@
         let packed = whole_state(&replica).encoded_len();
         let pack_ms = shortest_ms(|| whole_state(&replica));
         let answer = whole_state(&replica);
-        let unpack_ms = shortest_ms(|| take_update(&mut [answer.clone()]));
+        let unpack_ms = shortest_ms(|| decode_update(&mut [answer.clone()]));
         let directory_ms = shortest_ms(|| ServiceEndpoints::new(all.clone()));
         let service = ServiceEndpoints::new(all);
         println!(
@@ -165,9 +166,9 @@
 /// Returns the uncompressed records of the whole state.
 fn whole_records(replica: &Replica) -> Vec<bridgevane_protocol::RecordChange> {
     let mut answer = whole_state(replica);
-    let update = take_update(std::slice::from_mut(&mut answer)).expect("its own");
+    let update = decode_update(std::slice::from_mut(&mut answer)).expect("its own");
     let mut unpacked = RecordsAnswer::default();
-    put_update(&mut unpacked, update);
+    encode_update(&mut unpacked, update);
     let packed = std::mem::take(&mut unpacked.packed_records);
     let bytes = lz4_flex::decompress_size_prepended(&packed).expect("its own");
     let batch = bridgevane_protocol::RecordBatch::decode(bytes::Bytes::from(bytes));
--- a/crates/gateway/src/control/endpoint_registry.rs
+++ b/crates/gateway/src/control/endpoint_registry.rs
@@ -10,7 +10,7 @@
 use crate::control::record_order::RecordOrder;
 use crate::control::source::Revision;
 use crate::decisions::eligibility::evacuation::Evacuations;
-use crate::decisions::eligibility::leaving::LeavingLives;
+use crate::decisions::eligibility::leaving::LeavingIncarnations;
 use crate::decisions::replication::record_expiry::Removal;
 use crate::endpoints::directory::Directory;
 use crate::endpoints::endpoint::{Endpoint, EndpointRecord};
@@ -49,7 +49,7 @@
 pub(crate) struct EndpointRegistry {
     entries: HashMap<EndpointId, RegistryEntry>,
     /// Endpoints that announced that they leave and have no entry any more.
-    leaving: LeavingLives,
+    leaving: LeavingIncarnations,
     next_index: u32,
     /// The number of endpoints in the current batch that weren't logged individually.
     unlogged_endpoints: usize,
@@ -158,8 +158,8 @@
         let id = record.id.clone();
         let endpoint = Arc::new(Endpoint::new(index, record));
         endpoint.cold.extend(now, cold_remaining_ms);
-        if self.leaving.contains(&endpoint.life()) {
-            endpoint.leave();
+        if self.leaving.contains(&endpoint.incarnation()) {
+            endpoint.mark_leaving();
         }
         self.entries.insert(
             id,
@@ -222,8 +222,8 @@
         if let Some(entry) = self.entries.remove(id) {
             self.needs_directory = true;
             entry.endpoint.idle_connections.close();
-            if entry.endpoint.has_said_it_leaves() {
-                self.leaving.remember(entry.endpoint.life());
+            if entry.endpoint.has_announced_leaving() {
+                self.leaving.remember(entry.endpoint.incarnation());
             }
             let revision = entry.revision;
             event!(Event::EndpointGone, endpoint = id, revision = revision);
--- a/crates/gateway/src/control/holder_record.rs
+++ b/crates/gateway/src/control/holder_record.rs
@@ -1,6 +1,6 @@
 //! The record of the duties' holder in the control source, and its encoding.
 
-use crate::decisions::duties::usage_collection::DaemonLife;
+use crate::decisions::duties::usage_collection::DaemonIncarnation;
 use bridgevane_protocol::DutyHolder;
 use bridgevane_types::{Incarnation, VmId};
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HolderRecord {
     /// The daemon that holds the duties.
-    pub daemon: DaemonLife,
+    pub daemon: DaemonIncarnation,
     /// The address for other daemons; none if it can't be reached.
     pub peer_address: Option<SocketAddr>,
 }
@@ -24,7 +24,7 @@
     pub fn decode(value: &Bytes) -> Result<Self, DecodeError> {
         let message = DutyHolder::decode(value.clone())?;
         Ok(Self {
-            daemon: DaemonLife {
+            daemon: DaemonIncarnation {
                 vm: VmId::from(message.vm.as_str()),
                 incarnation: Incarnation(message.incarnation),
             },
--- a/crates/gateway/src/control/record_order.rs
+++ b/crates/gateway/src/control/record_order.rs
@@ -10,7 +10,7 @@
 /// counts as the earliest, so records without these fields are ordered by revision alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RecordOrder {
-    born: Option<WallTimeMs>,
+    started_at: Option<WallTimeMs>,
     sequence: Option<u64>,
     revision: Revision,
 }
@@ -18,15 +18,15 @@
 impl RecordOrder {
     pub(crate) fn from_record(record: &EndpointRecord, revision: Revision) -> Self {
         Self {
-            born: record.born,
+            started_at: record.started_at,
             // Without the time of birth, a restarted sequence can't be told from an old one.
-            sequence: record.born.and(record.sequence),
+            sequence: record.started_at.and(record.sequence),
             revision,
         }
     }
 
     /// Returns whether this record is of a newer incarnation than the other one.
     pub(crate) fn is_newer_incarnation(&self, other: &Self) -> bool {
-        self.born > other.born
+        self.started_at > other.started_at
     }
 }
--- a/crates/gateway/src/control/replica.rs
+++ b/crates/gateway/src/control/replica.rs
@@ -33,7 +33,7 @@
 
 /// The new value of a changed record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RecordOutcome {
+pub enum ChangedValue {
     /// The whole value.
     Whole(Bytes),
     /// The difference from the value at `base`.
@@ -55,15 +55,15 @@
     /// The revision of the change.
     pub revision: Revision,
     /// The new value.
-    pub outcome: RecordOutcome,
+    pub outcome: ChangedValue,
 }
 
 impl RecordChange {
     fn bytes(&self) -> usize {
         let value = match &self.outcome {
-            RecordOutcome::Whole(value) => value.len(),
-            RecordOutcome::Patched { patch, .. } => patch.inserted.len(),
-            RecordOutcome::Removed => 0,
+            ChangedValue::Whole(value) => value.len(),
+            ChangedValue::Patched { patch, .. } => patch.inserted.len(),
+            ChangedValue::Removed => 0,
         };
         self.key.len() + value
     }
@@ -71,7 +71,7 @@
 
 /// An update that one daemon sends to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Update {
+pub enum ReplicaUpdate {
     /// The changes since the requested revision.
     Changes(Vec<RecordChange>),
     /// All records.
@@ -146,15 +146,15 @@
             return false;
         }
         let outcome = match (&record.value, known) {
-            (None, _) => RecordOutcome::Removed,
+            (None, _) => ChangedValue::Removed,
             (Some(new), Some(old)) => match Patch::between(&old.bytes, new) {
-                Some(patch) => RecordOutcome::Patched {
+                Some(patch) => ChangedValue::Patched {
                     base: old.revision,
                     patch,
                 },
-                None => RecordOutcome::Whole(new.clone()),
+                None => ChangedValue::Whole(new.clone()),
             },
-            (Some(new), None) => RecordOutcome::Whole(new.clone()),
+            (Some(new), None) => ChangedValue::Whole(new.clone()),
         };
         match &record.value {
             None => {
@@ -191,21 +191,21 @@
     }
 
     /// Returns the update for a daemon that is complete up to `after`; 0: it has no state.
-    pub fn update_since(&self, after: Revision) -> Update {
+    pub fn update_since(&self, after: Revision) -> ReplicaUpdate {
         if after == Revision(0) {
-            return Update::Full(self.records_after(after).collect());
+            return ReplicaUpdate::Full(self.records_after(after).collect());
         }
         if after >= self.remembered_after {
             let newer = self.changes.iter().filter(|change| change.revision > after);
-            return Update::Changes(newer.cloned().collect());
+            return ReplicaUpdate::Changes(newer.cloned().collect());
         }
         if !self.removals.are_complete_after(after) {
-            return Update::Full(self.records_after(Revision(0)).collect());
+            return ReplicaUpdate::Full(self.records_after(Revision(0)).collect());
         }
         let removed = self.removals.after(after);
         let mut changes: Vec<RecordChange> = self.records_after(after).chain(removed).collect();
         changes.sort_by_key(|change| change.revision);
-        Update::Changes(changes)
+        ReplicaUpdate::Changes(changes)
     }
 
     /// Returns the records that were written after a revision, as whole values.
@@ -215,7 +215,7 @@
         newer.map(|(key, value)| RecordChange {
             key: key.clone(),
             revision: value.revision,
-            outcome: RecordOutcome::Whole(value.bytes.clone()),
+            outcome: ChangedValue::Whole(value.bytes.clone()),
         })
     }
 
@@ -306,7 +306,7 @@
         newer.map(|(revision, key)| RecordChange {
             key: key.clone(),
             revision: *revision,
-            outcome: RecordOutcome::Removed,
+            outcome: ChangedValue::Removed,
         })
     }
 }
@@ -317,9 +317,9 @@
     known: Option<&Value>,
 ) -> Result<Option<Bytes>, PatchDoesNotFit> {
     let (base, patch) = match &change.outcome {
-        RecordOutcome::Removed => return Ok(None),
-        RecordOutcome::Whole(value) => return Ok(Some(value.clone())),
-        RecordOutcome::Patched { base, patch } => (*base, patch),
+        ChangedValue::Removed => return Ok(None),
+        ChangedValue::Whole(value) => return Ok(Some(value.clone())),
+        ChangedValue::Patched { base, patch } => (*base, patch),
     };
     let known = known.ok_or(PatchDoesNotFit)?;
     if known.revision >= change.revision {
--- a/crates/gateway/src/control/source.rs
+++ b/crates/gateway/src/control/source.rs
@@ -23,23 +23,23 @@
     /// An endpoint's record.
     Endpoint(EndpointRecord),
     /// An endpoint's record was removed.
-    EndpointGone(EndpointId),
+    EndpointRemoved(EndpointId),
     /// The value under an endpoint's id isn't a valid record: another writer stored it.
-    NoEndpoint(EndpointId, RecordFault),
+    InvalidEndpoint(EndpointId, RecordFault),
     /// Operators evacuate a data centre.
-    Evacuated(DataCentreId),
+    EvacuationStarted(DataCentreId),
     /// Operators ended the evacuation of a data centre.
-    EvacuationOver(DataCentreId),
+    EvacuationEnded(DataCentreId),
     /// The evacuation record of a data centre can't be decoded.
-    NoEvacuation(DataCentreId),
+    InvalidEvacuation(DataCentreId),
     /// A daemon holds the duties.
     DutyHolder(HolderRecord),
     /// No daemon holds the duties.
-    DutyHolderGone,
+    DutyHolderRemoved,
     /// A request is under quarantine.
     Quarantined(RequestFingerprint),
     /// The quarantine of a request has ended.
-    QuarantineOver(RequestFingerprint),
+    QuarantineEnded(RequestFingerprint),
     /// A record of this kind can't be decoded; it is logged and ignored.
     Unreadable(&'static str),
 }
@@ -52,7 +52,7 @@
     Unreadable,
     /// A field is missing or has another type.
     #[display("a field is missing or of another type")]
-    HalfARecord,
+    IncompleteRecord,
     /// The state is unknown.
     #[display("an unknown state")]
     UnknownState,
@@ -123,7 +123,7 @@
 
 impl ReadProgress {
     /// Counts a part that has arrived.
-    pub fn on_part(&self) {
+    pub fn count_part(&self) {
         self.parts.fetch_add(1, Ordering::Relaxed);
     }
 
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -232,8 +232,8 @@
                 Change::Endpoint(record) => {
                     registry.upsert(record, revision, self.clock.now());
                 }
-                Change::EndpointGone(id) => registry.remove(&id, revision, removal),
-                Change::NoEndpoint(id, fault) => {
+                Change::EndpointRemoved(id) => registry.remove(&id, revision, removal),
+                Change::InvalidEndpoint(id, fault) => {
                     event!(
                         Event::EndpointRecordRejected,
                         endpoint = id,
@@ -243,13 +243,13 @@
                     // The record was overwritten, not lost: it won't come back after an outage.
                     registry.remove(&id, revision, Removal::AtOnce);
                 }
-                Change::Evacuated(data_centre) => {
+                Change::EvacuationStarted(data_centre) => {
                     self.begin_evacuation(registry, &data_centre, revision);
                 }
-                Change::EvacuationOver(data_centre) => {
+                Change::EvacuationEnded(data_centre) => {
                     self.end_evacuation(registry, &data_centre, revision);
                 }
-                Change::NoEvacuation(data_centre) => {
+                Change::InvalidEvacuation(data_centre) => {
                     event!(
                         Event::EvacuationRejected,
                         data_centre = data_centre,
@@ -262,8 +262,8 @@
                     self.duty_holder.store(Arc::new(entry));
                 }
                 // Applied above, all at once.
-                Change::Quarantined(_) | Change::QuarantineOver(_) => {}
-                Change::DutyHolderGone => self.on_duty_holder_gone(revision),
+                Change::Quarantined(_) | Change::QuarantineEnded(_) => {}
+                Change::DutyHolderRemoved => self.on_duty_holder_gone(revision),
                 Change::Unreadable(what) => {
                     event!(Event::ConfigRejected, what = what, revision = revision);
                 }
@@ -321,7 +321,7 @@
         revision: Revision,
     ) {
         let listed = evacuated_data_centres(records);
-        let over = self.evacuations().unlisted(&listed, revision);
+        let over = self.evacuations().ended_in_full_state(&listed, revision);
         for data_centre in over {
             self.end_evacuation(registry, &data_centre, revision);
         }
@@ -338,7 +338,7 @@
                 Change::Quarantined(request) => {
                     Arc::make_mut(&mut quarantined).insert(request);
                 }
-                Change::QuarantineOver(request) => {
+                Change::QuarantineEnded(request) => {
                     Arc::make_mut(&mut quarantined).remove(&request);
                 }
                 _ => {}
@@ -391,7 +391,7 @@
 /// stays as it was.
 fn evacuated_data_centres(records: &[ChangeAt]) -> HashSet<DataCentreId> {
     let data_centres = records.iter().filter_map(|record| match &record.change {
-        Change::Evacuated(data_centre) | Change::NoEvacuation(data_centre) => {
+        Change::EvacuationStarted(data_centre) | Change::InvalidEvacuation(data_centre) => {
             Some(data_centre.clone())
         }
         _ => None,
--- a/crates/gateway/src/decisions/admission/refusal.rs
+++ b/crates/gateway/src/decisions/admission/refusal.rs
@@ -2,7 +2,7 @@
 //!
 //! Each status is a guarantee: 408, 421, 429 and 503 say that the request has not run and will not,
 //! so a client may send it again, even one that may run only once. Hence once a request may have
-//! run, only 502 and 504 are left ([`RefusalReason::unless_run`], [`Refusal::after_failure`]).
+//! run, only 502 and 504 are left ([`RefusalReason::or_unknown_if_run`], [`Refusal::after_failure`]).
 //!
 //! Tests: `exchange.rs::outcomes_of_plain_requests`, `bad_requests_get_a_typed_answer_at_once`.
 
@@ -101,7 +101,7 @@
 
     /// Returns this reason, which says "not run", or [`Self::OutcomeUnknown`] once the request may
     /// have run.
-    pub fn unless_run(self, runs: u32) -> Self {
+    pub fn or_unknown_if_run(self, runs: u32) -> Self {
         if runs > 0 { Self::OutcomeUnknown } else { self }
     }
 
@@ -131,19 +131,22 @@
     }
 
     /// Returns the refusal of a request for which no endpoint is left.
-    pub fn none_selected(none: NoneSelected) -> Self {
-        let has_endpoints = none.was_tried || none.may_be_cold || none.earliest_use.is_some();
+    pub fn no_endpoint_left(none: NoEndpointLeft) -> Self {
+        let has_endpoints =
+            none.was_tried || none.may_be_cold || none.time_until_available.is_some();
         if has_endpoints {
-            Self::overloaded(none.runs, none.earliest_use)
+            Self::overloaded(none.runs, none.time_until_available)
         } else {
-            RefusalReason::NoEndpoint.unless_run(none.runs).into()
+            RefusalReason::NoEndpoint
+                .or_unknown_if_run(none.runs)
+                .into()
         }
     }
 
     /// Returns the refusal if no endpoint accepts the request now; its retry time is when one does.
-    fn overloaded(runs: u32, earliest_use: Option<DurationMs>) -> Self {
-        let reason = RefusalReason::Overloaded.unless_run(runs);
-        let retry_after = earliest_use.map(|wait| wait.max(OVERLOADED_RETRY_AFTER));
+    fn overloaded(runs: u32, time_until_available: Option<DurationMs>) -> Self {
+        let reason = RefusalReason::Overloaded.or_unknown_if_run(runs);
+        let retry_after = time_until_available.map(|wait| wait.max(OVERLOADED_RETRY_AFTER));
         Self {
             reason,
             // A request that may have run gets no retry time.
@@ -152,28 +155,32 @@
     }
 
     /// Returns the refusal after a failed attempt that is not sent again. `runs` counts the
-    /// attempts that ran or may have run, and `earliest_use` is the time until an endpoint may get
+    /// attempts that ran or may have run, and `time_until_available` is the time until an endpoint may get
     /// the request (`None`: one may get it now, and only the retry isn't allowed).
-    pub fn after_failure(error: AttemptError, runs: u32, earliest_use: Option<DurationMs>) -> Self {
+    pub fn after_failure(
+        error: AttemptError,
+        runs: u32,
+        time_until_available: Option<DurationMs>,
+    ) -> Self {
         if error.may_have_run() {
             return match error {
                 AttemptError::TimedOut => RefusalReason::TimedOut.into(),
                 _ => RefusalReason::OutcomeUnknown.into(),
             };
         }
-        Self::overloaded(runs, earliest_use)
+        Self::overloaded(runs, time_until_available)
     }
 }
 
 /// The state of a request for which no endpoint is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoneSelected {
+pub struct NoEndpointLeft {
     /// Whether an endpoint was tried.
     pub was_tried: bool,
     /// Whether endpoints of the service may be cold.
     pub may_be_cold: bool,
     /// The time until an endpoint may get the request; `None` if waiting alone doesn't help.
-    pub earliest_use: Option<DurationMs>,
+    pub time_until_available: Option<DurationMs>,
     /// The number of attempts that ran or may have run.
     pub runs: u32,
 }
--- a/crates/gateway/src/decisions/duties/duty_state.rs
+++ b/crates/gateway/src/decisions/duties/duty_state.rs
@@ -8,7 +8,7 @@
 //!
 //! Tests: `duties_usage.rs`, `duties_search.rs`.
 
-use super::usage_collection::DaemonLife;
+use super::usage_collection::DaemonIncarnation;
 use super::usage_counts::UsageCounts;
 use super::usage_window::UsageWindow;
 use bridgevane_types::ServiceName;
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyState {
     /// The process that wrote it.
-    pub holder: DaemonLife,
+    pub holder: DaemonIncarnation,
     /// The newest windows with final counts, oldest first.
-    pub told: Vec<WindowUsage>,
+    pub submitted_windows: Vec<WindowUsage>,
     /// The number of daemons that closed the newest of these windows.
     pub daemons: usize,
     /// The number of engines that each service needs, counted as permanent engines.
@@ -42,26 +42,26 @@
 
 impl DutyState {
     /// Returns the state of a first holder.
-    pub fn first(holder: DaemonLife) -> Self {
+    pub fn initial(holder: DaemonIncarnation) -> Self {
         Self {
             holder,
-            told: Vec::new(),
+            submitted_windows: Vec::new(),
             daemons: 0,
             needed_engines: BTreeMap::new(),
         }
     }
 
     /// Returns the same state under another holder.
-    pub fn taken_over(self, holder: DaemonLife) -> Self {
+    pub fn with_holder(self, holder: DaemonIncarnation) -> Self {
         Self { holder, ..self }
     }
 
     /// Returns the state with one more window, which this number of daemons closed.
     pub fn with_window(&self, usage: WindowUsage, daemons: usize) -> Self {
         let mut state = self.clone();
-        state.told.push(usage);
-        let surplus = state.told.len().saturating_sub(KEPT_WINDOWS);
-        state.told.drain(..surplus);
+        state.submitted_windows.push(usage);
+        let surplus = state.submitted_windows.len().saturating_sub(KEPT_WINDOWS);
+        state.submitted_windows.drain(..surplus);
         state.daemons = daemons;
         state
     }
@@ -75,6 +75,6 @@
 
     /// Returns the newest window with final counts.
     pub fn newest_window(&self) -> Option<UsageWindow> {
-        self.told.last().map(|usage| usage.window)
+        self.submitted_windows.last().map(|usage| usage.window)
     }
 }
--- a/crates/gateway/src/decisions/duties/engine_need.rs
+++ b/crates/gateway/src/decisions/duties/engine_need.rs
@@ -27,7 +27,7 @@
 
 /// A service's need, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Need {
+pub struct NeedEstimate {
     /// The number of engines, counted as permanent engines.
     pub engines: u32,
     /// Whether the number is final and not about to rise.
@@ -36,16 +36,16 @@
 
 /// Estimates the need of one service.
 #[derive(Debug, Default)]
-pub struct EngineNeed {
+pub struct NeedEstimator {
     observation: Option<Observation>,
 }
 
-impl EngineNeed {
+impl NeedEstimator {
     /// Returns the need, where `recorded` is the one in the duty state (0: none) and `permanent`
     /// engines run.
-    pub fn observe(&mut self, now: TimeMs, recorded: u32, permanent: u32) -> Need {
+    pub fn observe(&mut self, now: TimeMs, recorded: u32, permanent: u32) -> NeedEstimate {
         if recorded > 0 {
-            return Need {
+            return NeedEstimate {
                 engines: recorded.max(permanent),
                 is_settled: true,
             };
@@ -57,7 +57,7 @@
             permanent,
             since: now,
         }));
-        Need {
+        NeedEstimate {
             engines: permanent,
             is_settled: permanent > 0 && now.since(observation.since) >= SETTLING_TIME,
         }
--- a/crates/gateway/src/decisions/duties/engine_orders.rs
+++ b/crates/gateway/src/decisions/duties/engine_orders.rs
@@ -53,7 +53,7 @@
 pub enum OrderOutcome {
     /// The platform accepted it.
     #[display("taken")]
-    Taken,
+    Accepted,
     /// No engines of the kind are available at present.
     #[display("unavailable")]
     Unavailable,
@@ -147,7 +147,7 @@
             planned.permanent
         };
         let wanted = |kind, count| WantedOrder {
-            running: running.of(kind),
+            running: running.count_of(kind),
             order: EngineOrder {
                 key: key(kind),
                 count,
--- a/crates/gateway/src/decisions/duties/engine_plan.rs
+++ b/crates/gateway/src/decisions/duties/engine_plan.rs
@@ -75,7 +75,7 @@
 
 impl EngineCounts {
     /// Returns the number of engines of a kind.
-    pub fn of(&self, kind: EngineKind) -> u32 {
+    pub fn count_of(&self, kind: EngineKind) -> u32 {
         match kind {
             EngineKind::Permanent => self.permanent,
             EngineKind::Reclaimable => self.reclaimable,
--- a/crates/gateway/src/decisions/duties/tenure.rs
+++ b/crates/gateway/src/decisions/duties/tenure.rs
@@ -44,7 +44,7 @@
 pub enum Predecessor {
     /// There was no holder yet.
     #[display("nobody")]
-    Nobody,
+    None,
     /// This daemon, in this incarnation of its process.
     #[display("itself")]
     Itself,
@@ -55,7 +55,7 @@
 
 /// A daemon's rank among the candidates for a vacant key.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum StandingPlace {
+pub enum CandidateRank {
     /// It was the last holder.
     LastHolder,
     /// It is the seed at this position of the settings' list, from 0 on.
@@ -69,12 +69,12 @@
 }
 
 /// Returns when a daemon becomes a candidate for a key that has been vacant since a given time.
-pub fn stands_at(vacant_since: TimeMs, place: StandingPlace) -> TimeMs {
+pub fn candidacy_starts_at(vacant_since: TimeMs, place: CandidateRank) -> TimeMs {
     let step = CANDIDACY_STEP.0;
     let delay_ms = match place {
-        StandingPlace::LastHolder => 0,
-        StandingPlace::Seed(position) => (position as u64 + 1).min(SEED_RANKS) * step,
-        StandingPlace::Other { spread } => {
+        CandidateRank::LastHolder => 0,
+        CandidateRank::Seed(position) => (position as u64 + 1).min(SEED_RANKS) * step,
+        CandidateRank::Other { spread } => {
             (SEED_RANKS + 1) * step + (spread.clamp(0.0, 1.0) * SEED_RANKS as f64) as u64 * step
         }
     };
@@ -85,17 +85,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tenure {
     lease: HeldLease,
-    acts_from: TimeMs,
+    may_act_from: TimeMs,
     is_over: bool,
 }
 
 /// How a daemon became the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Accession {
+pub struct TenureStart {
     /// The revision that wrote the holder's key.
     pub fence: FenceToken,
     /// When the call that granted the lease was sent.
-    pub lease_asked_at: TimeMs,
+    pub lease_requested_at: TimeMs,
     /// When the response to the write of the holder's key arrived.
     pub known_at: TimeMs,
     /// How long a lease lasts.
@@ -106,21 +106,21 @@
 
 impl Tenure {
     /// Creates the tenure of a daemon that has just become the holder.
-    pub fn begin(accession: Accession) -> Self {
-        let Accession {
+    pub fn begin(accession: TenureStart) -> Self {
+        let TenureStart {
             fence,
-            lease_asked_at,
+            lease_requested_at,
             known_at,
             lease_ms,
             predecessor,
         } = accession;
-        let acts_from = match predecessor {
-            Predecessor::Nobody | Predecessor::Itself => known_at,
+        let may_act_from = match predecessor {
+            Predecessor::None | Predecessor::Itself => known_at,
             Predecessor::Another => known_at + lease_ms,
         };
         Self {
-            lease: HeldLease::granted(fence, lease_asked_at, lease_ms),
-            acts_from,
+            lease: HeldLease::granted(fence, lease_requested_at, lease_ms),
+            may_act_from,
             is_over: false,
         }
     }
@@ -147,12 +147,12 @@
     }
 
     /// Returns the time from which this holder may act.
-    pub fn acts_from(&self) -> TimeMs {
-        self.acts_from
+    pub fn may_act_from(&self) -> TimeMs {
+        self.may_act_from
     }
 
     /// Returns whether a call that ends within `call_limit` may be sent now.
     pub fn may_act(&self, now: TimeMs, call_limit: DurationMs) -> bool {
-        !self.is_over && now >= self.acts_from && self.lease.may_act(now, call_limit)
+        !self.is_over && now >= self.may_act_from && self.lease.may_act(now, call_limit)
     }
 }
--- a/crates/gateway/src/decisions/duties/usage_collection.rs
+++ b/crates/gateway/src/decisions/duties/usage_collection.rs
@@ -30,7 +30,7 @@
 
 /// One incarnation of a daemon's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct DaemonLife {
+pub struct DaemonIncarnation {
     /// Its VM.
     pub vm: VmId,
     /// Drawn at random when the process starts.
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
     /// The reporting daemon.
-    pub daemon: DaemonLife,
+    pub daemon: DaemonIncarnation,
     /// Every window before this one is closed: its counts are final.
     pub first_open: UsageWindow,
     /// The counts by window.
@@ -58,7 +58,7 @@
 /// The reported usage of all daemons.
 #[derive(Debug)]
 pub struct UsageCollection {
-    by_daemon: BTreeMap<DaemonLife, DaemonUsage>,
+    by_daemon: BTreeMap<DaemonIncarnation, DaemonUsage>,
     /// When the holder started to collect.
     started_at: TimeMs,
     /// The number of daemons that closed the last submitted window.
@@ -102,7 +102,7 @@
         if collecting_for < MIN_COLLECTION_TIME {
             return false;
         }
-        let is_missing = |(daemon, known): (&DaemonLife, &DaemonUsage)| {
+        let is_missing = |(daemon, known): (&DaemonIncarnation, &DaemonUsage)| {
             known.first_open <= window && self.is_awaited(now, daemon, known)
         };
         if self.by_daemon.iter().any(is_missing) {
@@ -112,8 +112,8 @@
         !is_new_holder || self.daemons_closed(window) >= self.expected_daemons
     }
 
-    fn is_awaited(&self, now: TimeMs, daemon: &DaemonLife, known: &DaemonUsage) -> bool {
-        let is_newer_incarnation = |(other, newer): (&DaemonLife, &DaemonUsage)| {
+    fn is_awaited(&self, now: TimeMs, daemon: &DaemonIncarnation, known: &DaemonUsage) -> bool {
+        let is_newer_incarnation = |(other, newer): (&DaemonIncarnation, &DaemonUsage)| {
             other.vm == daemon.vm && other != daemon && newer.last_report_at >= known.last_report_at
         };
         now.since(known.last_report_at) < DAEMON_TTL
--- a/crates/gateway/src/decisions/duties/usage_ledger.rs
+++ b/crates/gateway/src/decisions/duties/usage_ledger.rs
@@ -15,7 +15,7 @@
 const RETENTION_FACTOR: u64 = 3;
 
 /// Returns how many of the newest windows are kept.
-pub fn remembered_windows(calendar: UsageCalendar) -> u64 {
+pub fn retained_windows(calendar: UsageCalendar) -> u64 {
     calendar.timely_windows() * RETENTION_FACTOR
 }
 
@@ -40,7 +40,7 @@
         let window = self.calendar.window_at(at);
         self.windows.entry(window).or_default().count(customer);
         let newest = self.windows.last_key_value().map(|(newest, _)| *newest);
-        let kept = remembered_windows(self.calendar);
+        let kept = retained_windows(self.calendar);
         let first_kept = newest.unwrap_or(window).minus(kept - 1);
         while let Some(oldest) = self.windows.first_entry()
             && *oldest.key() < first_kept
--- a/crates/gateway/src/decisions/duties/usage_start.rs
+++ b/crates/gateway/src/decisions/duties/usage_start.rs
@@ -36,7 +36,7 @@
 
 /// The result of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Run {
+pub enum RunResult {
     /// The endpoint answered with this status.
     Answered(StatusCode),
     /// There was no usable response, and the request may have run.
@@ -56,7 +56,7 @@
 
 /// The time from which a run counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Began {
+pub enum UsageStart {
     /// When it was sent.
     WhenSent,
     /// Now.
@@ -64,15 +64,15 @@
 }
 
 /// Returns from when a run counts; `None` if it didn't start, or if its first token will show it.
-pub fn began(is_plain: bool, run: Run) -> Option<Began> {
+pub fn usage_start(is_plain: bool, run: RunResult) -> Option<UsageStart> {
     if is_plain {
-        return Some(Began::WhenSent);
+        return Some(UsageStart::WhenSent);
     }
     let has_begun = match run {
-        Run::Answered(status) => status.is_server_error(),
-        Run::Failed(failed) => has_failed_run_begun(failed),
+        RunResult::Answered(status) => status.is_server_error(),
+        RunResult::Failed(failed) => has_failed_run_begun(failed),
     };
-    has_begun.then_some(Began::Now)
+    has_begun.then_some(UsageStart::Now)
 }
 
 fn has_failed_run_begun(run: FailedRun) -> bool {
--- a/crates/gateway/src/decisions/eligibility/evacuation.rs
+++ b/crates/gateway/src/decisions/eligibility/evacuation.rs
@@ -57,7 +57,7 @@
 
     /// Returns the evacuations that have ended according to a full state at `revision` that lists
     /// `listed`.
-    pub fn unlisted(
+    pub fn ended_in_full_state(
         &self,
         listed: &HashSet<DataCentreId>,
         revision: Revision,
--- a/crates/gateway/src/decisions/eligibility/leaving.rs
+++ b/crates/gateway/src/decisions/eligibility/leaving.rs
@@ -30,17 +30,17 @@
     /// The endpoint.
     pub id: EndpointId,
     /// When its process started; `None` if not reported.
-    pub born: Option<WallTimeMs>,
+    pub started_at: Option<WallTimeMs>,
 }
 
 /// The leaving incarnations whose records are gone but may return.
 #[derive(Debug, Default)]
-pub struct LeavingLives {
+pub struct LeavingIncarnations {
     incarnations: HashSet<EndpointIncarnation>,
     oldest_first: VecDeque<EndpointIncarnation>,
 }
 
-impl LeavingLives {
+impl LeavingIncarnations {
     /// Records that the record of a leaving incarnation is gone.
     pub fn remember(&mut self, incarnation: EndpointIncarnation) {
         if !self.incarnations.insert(incarnation.clone()) {
--- a/crates/gateway/src/decisions/eligibility/rate_limit.rs
+++ b/crates/gateway/src/decisions/eligibility/rate_limit.rs
@@ -59,9 +59,9 @@
 
 /// The limit that one answer of an endpoint announces.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NamedLimit {
+pub enum AnnouncedLimit {
     /// A limit in requests a second, from all daemons together.
-    Of(RequestsPerSecond),
+    Limit(RequestsPerSecond),
     /// No limit.
     None,
     /// A limit that can't be parsed, and changes nothing.
@@ -69,7 +69,7 @@
 }
 
 /// Returns a limit that an endpoint or another daemon announced, if it is valid.
-pub(crate) fn checked(limit: RequestsPerSecond) -> Option<RequestsPerSecond> {
+pub(crate) fn valid_limit(limit: RequestsPerSecond) -> Option<RequestsPerSecond> {
     let is_limit = (0.0..=MAX_LIMIT.0).contains(&limit.0);
     is_limit.then_some(limit)
 }
--- a/crates/gateway/src/decisions/eligibility/rest.rs
+++ b/crates/gateway/src/decisions/eligibility/rest.rs
@@ -32,7 +32,7 @@
 
 /// Returns the time until one of the endpoints may get a request that is retried; `None` if one of
 /// them may get it now, or there is none.
-pub fn earliest_use(waits: impl Iterator<Item = EndpointWait>) -> Option<DurationMs> {
+pub fn time_until_available(waits: impl Iterator<Item = EndpointWait>) -> Option<DurationMs> {
     let waits = waits.map(|wait| {
         let permit = wait.permit.map(|permit| permit.min(MAX_SENT_PERMIT_WAIT));
         wait.backoff.max(permit).unwrap_or_default()
--- a/crates/gateway/src/decisions/replication/followers.rs
+++ b/crates/gateway/src/decisions/replication/followers.rs
@@ -52,12 +52,12 @@
     /// The address at which it can be polled itself.
     pub address: SocketAddr,
     /// The daemon itself and those that follow it, directly or not.
-    pub tree: Tree,
+    pub subtree: Subtree,
 }
 
 /// A daemon and those that follow it, directly or not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tree {
+pub struct Subtree {
     /// The number of daemons.
     pub size: u32,
     /// The number of daemons on the longest path down, the first one included.
@@ -74,7 +74,7 @@
     /// By the daemon at this address from now on.
     Redirect(SocketAddr),
     /// Not at all: this daemon follows it, directly or not.
-    Circle,
+    Cycle,
 }
 
 #[derive(Debug)]
@@ -94,7 +94,10 @@
 
     /// Records a new poll with its current subtree.
     fn update(&mut self, now: TimeMs, follower: Follower) {
-        let grown_by = follower.tree.size.saturating_sub(self.follower.tree.size);
+        let grown_by = follower
+            .subtree
+            .size
+            .saturating_sub(self.follower.subtree.size);
         self.redirected = self.redirected.saturating_sub(grown_by);
         self.seen_at = now;
         self.follower = follower;
@@ -108,7 +111,7 @@
         } else {
             0
         };
-        self.follower.tree.size.max(1).saturating_add(redirected)
+        self.follower.subtree.size.max(1).saturating_add(redirected)
     }
 }
 
@@ -139,7 +142,7 @@
         self.by_vm.retain(|_, known| known.is_current(now));
         if own_path.contains(follower.address) {
             self.by_vm.remove(&follower.vm);
-            return FollowerPlacement::Circle;
+            return FollowerPlacement::Cycle;
         }
         if let Some(known) = self.by_vm.get_mut(&follower.vm) {
             known.update(now, follower);
@@ -163,9 +166,9 @@
             .into_iter()
             .min_by_key(|known| known.expected_size(now));
         smallest.map_or(FollowerPlacement::Here, |known| {
-            let joining_size = follower.tree.size.max(1);
+            let joining_size = follower.subtree.size.max(1);
             known.redirected =
-                known.expected_size(now) - known.follower.tree.size.max(1) + joining_size;
+                known.expected_size(now) - known.follower.subtree.size.max(1) + joining_size;
             known.redirected_at = now;
             FollowerPlacement::Redirect(known.follower.address)
         })
@@ -213,26 +216,26 @@
 
     /// Returns this daemon's subtree with its own work, limited to the followers for which
     /// `is_counted` holds.
-    pub fn tree(
+    pub fn subtree(
         &self,
         now: TimeMs,
         own_work: WorkByEndpoint,
         is_counted: impl Fn(&Follower) -> bool,
-    ) -> Tree {
-        let mut tree = Tree {
+    ) -> Subtree {
+        let mut subtree = Subtree {
             size: 1,
             depth: 1,
             work: own_work,
         };
         for follower in self.current(now) {
-            if follower.tree.depth < MAX_TREE_DEPTH && is_counted(follower) {
-                let size = follower.tree.size.clamp(1, MAX_TREE_SIZE);
-                tree.size = tree.size.saturating_add(size);
-                tree.depth = tree.depth.max(follower.tree.depth + 1);
-                tree.work.add_all(&follower.tree.work);
+            if follower.subtree.depth < MAX_TREE_DEPTH && is_counted(follower) {
+                let size = follower.subtree.size.clamp(1, MAX_TREE_SIZE);
+                subtree.size = subtree.size.saturating_add(size);
+                subtree.depth = subtree.depth.max(follower.subtree.depth + 1);
+                subtree.work.add_all(&follower.subtree.work);
             }
         }
-        tree
+        subtree
     }
 
     /// Returns the number of followers known at the last poll.
--- a/crates/gateway/src/decisions/replication/hold.rs
+++ b/crates/gateway/src/decisions/replication/hold.rs
@@ -25,7 +25,7 @@
 
 /// Returns how long a poll is held at most by a daemon whose proof has this age; `None`: it has no
 /// proof.
-pub fn hold(is_busy: bool, proof_age: Option<DurationMs>, limits: ProofLimits) -> DurationMs {
+pub fn max_hold(is_busy: bool, proof_age: Option<DurationMs>, limits: ProofLimits) -> DurationMs {
     let longest = if is_busy { MAX_BUSY_HOLD } else { MAX_HOLD };
     let left = proof_age.and_then(|age| limits.leave_from.0.checked_sub(age.0));
     match left {
--- a/crates/gateway/src/decisions/replication/upstream.rs
+++ b/crates/gateway/src/decisions/replication/upstream.rs
@@ -214,7 +214,7 @@
 
     /// Returns when a poll of the parent must be cancelled because this daemon's slot at the source
     /// comes; `None` if no slot is ahead.
-    pub fn source_turn(&self, now: TimeMs) -> Option<TimeMs> {
+    pub fn source_slot_at(&self, now: TimeMs) -> Option<TimeMs> {
         let is_stale = !self.is_proof_younger(now, self.limits.leave_from);
         let has_turn = !self.is_seed() && is_stale && self.failed_searches > 0;
         // A slot that has come is used at the next step, unless another rule takes precedence.
@@ -223,7 +223,7 @@
     }
 
     /// Returns true once after a step without a result: the next step should wait a little.
-    pub fn take_pause(&mut self) -> bool {
+    pub fn take_pause_request(&mut self) -> bool {
         std::mem::take(&mut self.must_pause)
     }
 
@@ -404,7 +404,7 @@
     }
 
     fn is_adoptable(&self, now: TimeMs, peer: SocketAddr, report: &PeerReport) -> bool {
-        if self.leads_back(&report.path) {
+        if self.is_in_path(&report.path) {
             return false;
         }
         if !report.path.reaches_source() || !self.is_young(report) {
@@ -479,14 +479,14 @@
     }
 
     /// Returns whether a daemon with this source path follows this one, directly or not.
-    pub fn leads_back(&self, path: &SourcePath) -> bool {
+    pub fn is_in_path(&self, path: &SourcePath) -> bool {
         path.contains(self.own_address)
     }
 
     /// Drops the parent because it follows this daemon: neither would follow any other daemon. A
     /// daemon that redirected this one there would do so again until it has forgotten that
     /// follower.
-    pub fn on_circle(&mut self, now: TimeMs, peer: SocketAddr) {
+    pub fn on_cycle(&mut self, now: TimeMs, peer: SocketAddr) {
         let Some(parent) = self.parent.take_if(|parent| parent.address == peer) else {
             return;
         };
--- a/crates/gateway/src/decisions/resend/retry_budget.rs
+++ b/crates/gateway/src/decisions/resend/retry_budget.rs
@@ -143,7 +143,7 @@
     }
 
     /// Uses one retry, if it stays within the budget in every window that contains it.
-    pub(crate) fn take(
+    pub(crate) fn withdraw(
         &mut self,
         now: TimeMs,
         budget: &FleetBudget,
--- a/crates/gateway/src/duties/api.rs
+++ b/crates/gateway/src/duties/api.rs
@@ -31,7 +31,7 @@
     /// The lease was renewed for its full duration.
     Renewed,
     /// The lease has ended.
-    Gone,
+    Ended,
 }
 
 /// The value of a key.
@@ -73,7 +73,7 @@
     /// A key had another revision than expected; nothing was written.
     Conflict,
     /// The lease has ended; nothing was written.
-    NoLease,
+    LeaseEnded,
 }
 
 /// The store, as far as the duties use it.
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// [`DutyCallError`] when the usage isn't known to be accepted.
-    fn tell_usage(
+    fn submit_usage(
         &self,
         credentials: &Credentials,
         usage: &WindowUsage,
--- a/crates/gateway/src/duties/book.rs
+++ b/crates/gateway/src/duties/book.rs
@@ -5,7 +5,7 @@
 //! ledger's lock once, when it begins to run.
 
 use crate::clock::Clock;
-use crate::decisions::duties::usage_collection::{DaemonLife, UsageCollection, UsageReport};
+use crate::decisions::duties::usage_collection::{DaemonIncarnation, UsageCollection, UsageReport};
 use crate::decisions::duties::usage_ledger::UsageLedger;
 use crate::decisions::duties::usage_window::{UsageCalendar, UsageWindow};
 use crate::settings::GatewaySettings;
@@ -15,9 +15,9 @@
 
 /// Usage counts and reports.
 #[derive(Debug)]
-pub struct DutyBook {
+pub struct UsageTracker {
     clock: Clock,
-    daemon: DaemonLife,
+    daemon: DaemonIncarnation,
     /// None if the fleet doesn't submit usage.
     calendar: Option<UsageCalendar>,
     ledger: Option<Mutex<UsageLedger>>,
@@ -27,12 +27,12 @@
     report_arrived: Notify,
 }
 
-impl DutyBook {
+impl UsageTracker {
     pub(crate) fn new(clock: Clock, settings: &GatewaySettings) -> Self {
         let calendar = settings.duties.as_ref().and_then(|duties| duties.usage);
         Self {
             clock,
-            daemon: DaemonLife {
+            daemon: DaemonIncarnation {
                 vm: settings.vm.clone(),
                 incarnation: Incarnation(rand::random()),
             },
@@ -44,7 +44,7 @@
     }
 
     /// Returns this daemon's VM and incarnation.
-    pub(crate) fn daemon(&self) -> &DaemonLife {
+    pub(crate) fn daemon(&self) -> &DaemonIncarnation {
         &self.daemon
     }
 
--- a/crates/gateway/src/duties/codec.rs
+++ b/crates/gateway/src/duties/codec.rs
@@ -4,7 +4,7 @@
 //! The messages are defined in `bridgevane-protocol`; their field numbers never change.
 
 use crate::decisions::duties::duty_state::{DutyState, WindowUsage};
-use crate::decisions::duties::usage_collection::{DaemonLife, UsageReport};
+use crate::decisions::duties::usage_collection::{DaemonIncarnation, UsageReport};
 use crate::decisions::duties::usage_counts::UsageCounts;
 use crate::decisions::duties::usage_window::UsageWindow;
 use bridgevane_protocol::{
@@ -20,7 +20,7 @@
     let message = DutyStateMessage {
         vm: state.holder.vm.to_string(),
         incarnation: state.holder.incarnation.0,
-        told: state.told.iter().map(encode_window).collect(),
+        told: state.submitted_windows.iter().map(encode_window).collect(),
         daemons: u32::try_from(state.daemons).unwrap_or(u32::MAX),
         needed_engines: needed
             .map(|(service, engines)| NeededEngines {
@@ -38,7 +38,7 @@
     let needed = message.needed_engines.into_iter();
     Ok(DutyState {
         holder: decode_daemon(&message.vm, message.incarnation),
-        told: message.told.into_iter().map(decode_window).collect(),
+        submitted_windows: message.told.into_iter().map(decode_window).collect(),
         daemons: message.daemons as usize,
         needed_engines: needed
             .map(|needed| {
@@ -75,8 +75,8 @@
     }
 }
 
-fn decode_daemon(vm: &str, incarnation: u64) -> DaemonLife {
-    DaemonLife {
+fn decode_daemon(vm: &str, incarnation: u64) -> DaemonIncarnation {
+    DaemonIncarnation {
         vm: VmId::from(vm),
         incarnation: Incarnation(incarnation),
     }
--- a/crates/gateway/src/duties/engines.rs
+++ b/crates/gateway/src/duties/engines.rs
@@ -4,7 +4,7 @@
 //! [`crate::decisions::duties::engine_orders`] which order is next; this module gathers the inputs
 //! and sends the orders.
 
-use crate::decisions::duties::engine_need::{EngineNeed, Need};
+use crate::decisions::duties::engine_need::{NeedEstimate, NeedEstimator};
 use crate::decisions::duties::engine_orders::{EngineOrder, OrderBook, OrderInputs};
 use crate::decisions::duties::engine_plan::{EngineScaling, EnginesByDataCentre, PlanInputs, plan};
 use crate::duties::api::{DutyCallError, DutyPlatform, DutyStore};
@@ -68,7 +68,7 @@
 /// The holder's state for one service.
 #[derive(Debug, Default)]
 struct OrderedService {
-    need: EngineNeed,
+    need: NeedEstimator,
     book: OrderBook,
 }
 
@@ -124,7 +124,7 @@
 
     /// Returns whether no request runs, and none began in the previous window or since.
     fn is_idle(&self) -> bool {
-        let book = &self.gateway.duty_book;
+        let book = &self.gateway.usage_tracker;
         // Without usage reports the holder doesn't know whether requests have begun.
         let Some(calendar) = book.calendar() else {
             return false;
@@ -140,9 +140,9 @@
     /// Returns the engines that the service needs. An increased need is stored for the successor.
     async fn observe_need(
         &self,
-        need: &mut EngineNeed,
+        need: &mut NeedEstimator,
         running: &EnginesByDataCentre,
-    ) -> Result<Need, SessionEnd> {
+    ) -> Result<NeedEstimate, SessionEnd> {
         let permanent = running.values().map(|counts| counts.permanent).sum();
         let known = self.session.state().await.needed_engines;
         let known = known.get(self.service).copied().unwrap_or_default();
@@ -172,7 +172,7 @@
             .order_engines(&credentials, self.service, order);
         let ordered = timeout(DUTY_CALL_TIMEOUT.as_std(), ordering).await;
         let running = running.get(&order.key.data_centre).copied();
-        let running = running.unwrap_or_default().of(order.key.kind);
+        let running = running.unwrap_or_default().count_of(order.key.kind);
         match ordered.unwrap_or(Err(DutyCallError::NoAnswer)) {
             Ok(outcome) => {
                 event!(
--- a/crates/gateway/src/duties/hold.rs
+++ b/crates/gateway/src/duties/hold.rs
@@ -113,8 +113,8 @@
     /// Waits until a duty's call may be sent.
     pub(super) async fn wait_until_may_act(&self) {
         let until_first = {
-            let acts_from = self.tenure().acts_from();
-            acts_from.since(self.clock.now())
+            let may_act_from = self.tenure().may_act_from();
+            may_act_from.since(self.clock.now())
         };
         sleep(until_first.as_std()).await;
         while !self.may_act() {
@@ -142,7 +142,7 @@
         let renewing = timeout(STORE_CALL_TIMEOUT, self.store.renew_lease(self.lease)).await;
         match renewing {
             Ok(Ok(LeaseRenewal::Renewed)) => self.tenure().on_renewed(asked_at),
-            Ok(Ok(LeaseRenewal::Gone)) => self.tenure().end(),
+            Ok(Ok(LeaseRenewal::Ended)) => self.tenure().end(),
             // Not logged: the task that follows the store logs that it is unavailable.
             Ok(Err(_)) | Err(_) => return false,
         }
@@ -181,7 +181,7 @@
                 Ok(Ok(TransactionOutcome::Conflict)) => {
                     break self.find_applied_write(&transaction).await?;
                 }
-                Ok(Ok(TransactionOutcome::NoLease)) => return Err(SessionEnd::Lost),
+                Ok(Ok(TransactionOutcome::LeaseEnded)) => return Err(SessionEnd::Lost),
                 // Not logged: the task that follows the store logs that it is unavailable.
                 Ok(Err(_)) | Err(_) => sleep(RETRY_PAUSE).await,
             }
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -7,7 +7,9 @@
 use crate::control::holder_record::HolderRecord;
 use crate::control::source::{Revision, SourceError};
 use crate::decisions::duties::duty_state::DutyState;
-use crate::decisions::duties::tenure::{Accession, Predecessor, StandingPlace, Tenure, stands_at};
+use crate::decisions::duties::tenure::{
+    CandidateRank, Predecessor, Tenure, TenureStart, candidacy_starts_at,
+};
 use crate::duties::api::{
     DutyKey, DutyPlatform, DutyStore, LeaseId, Put, StoredValue, Transaction, TransactionOutcome,
 };
@@ -96,7 +98,7 @@
         let vacant_since = match holder.view() {
             HolderView::Unknown => return None,
             HolderView::Held(holder) => {
-                self.was_holder = holder.daemon == *gateway.duty_book.daemon();
+                self.was_holder = holder.daemon == *gateway.usage_tracker.daemon();
                 return None;
             }
             HolderView::Vacant { since } => *since,
@@ -107,16 +109,16 @@
         if gateway.shutdown.is_stopping() || is_in_cooldown || !is_fresh || !follows_source {
             return None;
         }
-        Some(stands_at(vacant_since, self.candidate_rank()))
+        Some(candidacy_starts_at(vacant_since, self.candidate_rank()))
     }
 
-    fn candidate_rank(&self) -> StandingPlace {
+    fn candidate_rank(&self) -> CandidateRank {
         if self.was_holder {
-            return StandingPlace::LastHolder;
+            return CandidateRank::LastHolder;
         }
         match self.gateway.fleet.seed_position() {
-            Some(position) => StandingPlace::Seed(position),
-            None => StandingPlace::Other {
+            Some(position) => CandidateRank::Seed(position),
+            None => CandidateRank::Other {
                 spread: self.spread,
             },
         }
@@ -125,33 +127,33 @@
     /// Tries to become the holder; returns none if another daemon did.
     async fn try_become_holder(&mut self) -> Result<Option<SessionStart>, SourceError> {
         let before = call_store(self.store.read(DutyKey::State)).await?;
-        let daemon = self.gateway.duty_book.daemon().clone();
+        let daemon = self.gateway.usage_tracker.daemon().clone();
         let previous = before.as_ref().map(|stored| decode_state(&stored.value));
         let previous = previous.transpose().map_err(|_| SourceError::Unreadable)?;
         let predecessor = match &previous {
-            None => Predecessor::Nobody,
+            None => Predecessor::None,
             Some(state) if state.holder == daemon => Predecessor::Itself,
             Some(_) => Predecessor::Another,
         };
         let state = match previous {
-            None => DutyState::first(daemon),
-            Some(state) => state.taken_over(daemon),
+            None => DutyState::initial(daemon),
+            Some(state) => state.with_holder(daemon),
         };
         let lease_ms = self.settings.lease_ms;
-        let lease_asked_at = self.gateway.clock.now();
+        let lease_requested_at = self.gateway.clock.now();
         let lease = call_store(self.store.grant_lease(lease_ms)).await?;
         let transaction = self.holder_transaction(lease, before.as_ref(), &state);
         let Some(revision) = self.write_holder(lease, &transaction).await? else {
             return Ok(None);
         };
-        let tenure = Tenure::begin(Accession {
+        let tenure = Tenure::begin(TenureStart {
             fence: FenceToken(revision.0),
-            lease_asked_at,
+            lease_requested_at,
             known_at: self.gateway.clock.now(),
             lease_ms,
             predecessor,
         });
-        let acts_in = tenure.acts_from().since(self.gateway.clock.now());
+        let acts_in = tenure.may_act_from().since(self.gateway.clock.now());
         event!(
             Event::DutiesTaken,
             fence = revision,
@@ -204,7 +206,7 @@
     ) -> Result<Option<Revision>, SourceError> {
         match call_store(self.store.write(transaction)).await {
             Ok(TransactionOutcome::Done(revision)) => return Ok(Some(revision)),
-            Ok(TransactionOutcome::Conflict | TransactionOutcome::NoLease) => {}
+            Ok(TransactionOutcome::Conflict | TransactionOutcome::LeaseEnded) => {}
             // The write may have been applied, or may be applied later. Only a key under this lease
             // proves that it was: the key of an earlier attempt is removed with that attempt's
             // lease.
@@ -224,7 +226,7 @@
     /// Performs the duties until the session ends.
     async fn perform_duties(&mut self, start: SessionStart) {
         let gateway = self.gateway.clone();
-        gateway.duty_book.start_collecting(start.state.daemons);
+        gateway.usage_tracker.start_collecting(start.state.daemons);
         gateway.metrics.duties_held(true);
         let session = HolderSession::begin(gateway.clock, &self.store, start);
         let end = tokio::select! {
@@ -233,7 +235,7 @@
             end = engines::order_engines(&gateway, &session, &self.platform, &self.settings) => end,
             () = wait_for_stop(&gateway) => SessionEnd::Stopping,
         };
-        gateway.duty_book.stop_collecting();
+        gateway.usage_tracker.stop_collecting();
         gateway.metrics.duties_held(false);
         event!(
             Event::DutiesLost,
--- a/crates/gateway/src/duties/reporter.rs
+++ b/crates/gateway/src/duties/reporter.rs
@@ -5,7 +5,7 @@
 
 use crate::control::duty_holder::HolderView;
 use crate::control::holder_record::HolderRecord;
-use crate::decisions::duties::usage_collection::{DaemonLife, UsageReport};
+use crate::decisions::duties::usage_collection::{DaemonIncarnation, UsageReport};
 use crate::decisions::duties::usage_window::UsageWindow;
 use crate::duties::codec::encode_report;
 use crate::gateway::Gateway;
@@ -31,7 +31,7 @@
 
 /// Reports usage to the holder, until the daemon ends.
 pub async fn run(gateway: Arc<Gateway>) {
-    if gateway.duty_book.calendar().is_none() {
+    if gateway.usage_tracker.calendar().is_none() {
         return;
     }
     let phase_ms = rand::random_range(0..SPREAD_MS);
@@ -47,8 +47,8 @@
 }
 
 /// Sends the final report to the holder when the process ends.
-pub async fn report_last(gateway: Arc<Gateway>) {
-    let Some(report) = gateway.duty_book.final_report() else {
+pub async fn report_final(gateway: Arc<Gateway>) {
+    let Some(report) = gateway.usage_tracker.final_report() else {
         return;
     };
     let Some(holder) = other_holder(&gateway) else {
@@ -66,7 +66,7 @@
 /// The counts that a holder has acknowledged.
 #[derive(Debug)]
 struct AcknowledgedCounts {
-    holder: DaemonLife,
+    holder: DaemonIncarnation,
     first_open: UsageWindow,
     /// The number of reported requests by window. Counts only increase, so a different sum shows
     /// that a window has changed.
@@ -75,7 +75,7 @@
 
 struct Reporter {
     gateway: Arc<Gateway>,
-    connection: Option<(DaemonLife, FramedStream)>,
+    connection: Option<(DaemonIncarnation, FramedStream)>,
     acknowledged: Option<AcknowledgedCounts>,
 }
 
@@ -95,7 +95,7 @@
             self.connection = None;
             return;
         };
-        let Some(mut report) = self.gateway.duty_book.own_report() else {
+        let Some(mut report) = self.gateway.usage_tracker.own_report() else {
             return;
         };
         let acknowledged = self.acknowledged.take();
@@ -159,7 +159,7 @@
 /// Returns the holder of the duties, if it is another daemon.
 fn other_holder(gateway: &Gateway) -> Option<HolderRecord> {
     match gateway.control.duty_holder().view() {
-        HolderView::Held(holder) if holder.daemon != *gateway.duty_book.daemon() => {
+        HolderView::Held(holder) if holder.daemon != *gateway.usage_tracker.daemon() => {
             Some(holder.clone())
         }
         _ => None,
--- a/crates/gateway/src/duties/usage.rs
+++ b/crates/gateway/src/duties/usage.rs
@@ -4,7 +4,7 @@
 //! [`crate::decisions::duties::usage_collection`] with which counts.
 
 use crate::decisions::duties::duty_state::WindowUsage;
-use crate::decisions::duties::usage_ledger::remembered_windows;
+use crate::decisions::duties::usage_ledger::retained_windows;
 use crate::decisions::duties::usage_window::{UsageCalendar, UsageDue, UsageWindow};
 use crate::duties::api::{DutyCallError, DutyPlatform, DutyStore};
 use crate::duties::hold::{DUTY_CALL_TIMEOUT, HolderSession, RETRY_PAUSE, SessionEnd};
@@ -23,7 +23,7 @@
     session: &HolderSession<'_, S>,
     platform: &P,
 ) -> SessionEnd {
-    let Some(calendar) = gateway.duty_book.calendar() else {
+    let Some(calendar) = gateway.usage_tracker.calendar() else {
         return std::future::pending().await;
     };
     let submitter = UsageSubmitter {
@@ -49,7 +49,7 @@
     async fn run(&self) -> Result<std::convert::Infallible, SessionEnd> {
         let state = self.session.state().await;
         // The previous holder may not have submitted these.
-        for usage in &state.told {
+        for usage in &state.submitted_windows {
             self.submit(usage).await?;
         }
         let mut window = self.first_window(state.newest_window());
@@ -68,7 +68,7 @@
     /// Returns the oldest window that daemons still remember.
     fn oldest_remembered_window(&self) -> UsageWindow {
         let current = self.calendar.window_at(self.now());
-        current.minus(remembered_windows(self.calendar) - 1)
+        current.minus(retained_windows(self.calendar) - 1)
     }
 
     /// Returns the first window that no holder has stored.
@@ -82,7 +82,7 @@
 
     async fn wait_until_due(&self, window: UsageWindow) {
         loop {
-            let book = &self.gateway.duty_book;
+            let book = &self.gateway.usage_tracker;
             let is_complete =
                 book.with_collection(|now, collection| collection.is_complete(now, window));
             let now = self.now();
@@ -104,7 +104,7 @@
     /// Stores the usage of a window, then submits it. A window without requests isn't submitted: if
     /// all daemons were lost, its requests are unknown.
     async fn submit_window(&self, window: UsageWindow) -> Result<(), SessionEnd> {
-        let book = &self.gateway.duty_book;
+        let book = &self.gateway.usage_tracker;
         let collected = book.with_collection(|now, collection| {
             let is_complete = collection.is_complete(now, window);
             let counts = collection.total(window);
@@ -142,7 +142,7 @@
         for _ in 0..MAX_FAILURES {
             self.session.wait_until_may_act().await;
             let credentials = self.session.credentials();
-            let submitting = self.platform.tell_usage(&credentials, usage);
+            let submitting = self.platform.submit_usage(&credentials, usage);
             let submitted = timeout(DUTY_CALL_TIMEOUT.as_std(), submitting).await;
             let Err(error) = submitted.unwrap_or(Err(DutyCallError::NoAnswer)) else {
                 return Ok(());
--- a/crates/gateway/src/endpoints/endpoint.rs
+++ b/crates/gateway/src/endpoints/endpoint.rs
@@ -27,7 +27,7 @@
     pub id: EndpointId,
     /// When its process started, by the clock of its own VM: it may start again with the same id,
     /// and then has no state of its predecessor. `None` if not reported.
-    pub born: Option<WallTimeMs>,
+    pub started_at: Option<WallTimeMs>,
     /// The number of records that its process has written; `None` if not reported.
     pub sequence: Option<u64>,
     /// Its service.
@@ -81,7 +81,7 @@
     pub fn new(index: EndpointIx, record: EndpointRecord) -> Self {
         Self {
             index,
-            hash: EndpointHash::of_life(&record.id, record.born),
+            hash: EndpointHash::of_incarnation(&record.id, record.started_at),
             record: ArcSwap::from_pointee(record),
             load: EndpointLoad::default(),
             health: EndpointHealth::default(),
@@ -97,7 +97,7 @@
 
     /// Records that it announced in an answer that it is leaving; returns false if that was known.
     /// An incarnation never returns to service.
-    pub(crate) fn leave(&self) -> bool {
+    pub(crate) fn mark_leaving(&self) -> bool {
         let is_new = !self.is_leaving.swap(true, Ordering::AcqRel);
         if is_new {
             // Open connections carry no new request.
@@ -108,31 +108,31 @@
 
     /// Returns whether it has announced that it is leaving, in an answer or in its record.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.has_said_it_leaves() || self.record.load().is_draining
+        self.has_announced_leaving() || self.record.load().is_draining
     }
 
     /// Returns whether it has announced in an answer that it is leaving.
-    pub(crate) fn has_said_it_leaves(&self) -> bool {
+    pub(crate) fn has_announced_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Acquire)
     }
 
     /// Returns the identity of this incarnation.
-    pub(crate) fn life(&self) -> EndpointIncarnation {
+    pub(crate) fn incarnation(&self) -> EndpointIncarnation {
         let record = self.record.load();
         EndpointIncarnation {
             id: record.id.clone(),
-            born: record.born,
+            started_at: record.started_at,
         }
     }
 
     /// Returns whether an endpoint of the directory may still be used: its record has not expired,
     /// and it has not announced in an answer that it is leaving.
     pub(crate) fn is_usable(&self, now: TimeMs) -> bool {
-        !self.has_expired(now) && !self.has_said_it_leaves()
+        !self.has_expired(now) && !self.has_announced_leaving()
     }
 
     /// Starts a back-off of the length that it asked for; returns false if there already was one.
-    pub(crate) fn rest(&self, now: TimeMs, duration: DurationMs) -> bool {
+    pub(crate) fn start_backoff(&self, now: TimeMs, duration: DurationMs) -> bool {
         let was_backing_off = self.backoff_remaining(now).is_some();
         self.backoff_until.set_if_later(now + duration);
         !was_backing_off
--- a/crates/gateway/src/endpoints/load.rs
+++ b/crates/gateway/src/endpoints/load.rs
@@ -86,18 +86,18 @@
     }
 
     /// Records that bytes arrived from the endpoint, for any request.
-    pub fn on_heard(&self, now: TimeMs) {
+    pub fn on_activity(&self, now: TimeMs) {
         self.last_activity_at.set(now);
     }
 
     /// Returns when bytes last arrived from the endpoint.
-    pub(crate) fn heard_at(&self) -> Option<TimeMs> {
+    pub(crate) fn last_activity_at(&self) -> Option<TimeMs> {
         self.last_activity_at.get()
     }
 
     /// Returns whether bytes arrived from the endpoint after `moment`.
-    pub(crate) fn was_heard_after(&self, moment: TimeMs) -> bool {
-        self.heard_at()
+    pub(crate) fn was_active_after(&self, moment: TimeMs) -> bool {
+        self.last_activity_at()
             .is_some_and(|activity_at| activity_at > moment)
     }
 
@@ -113,7 +113,12 @@
         let longest_waiting = delay.longest_waiting(now);
         QueueSnapshot {
             expected_ms: delay.expected_ms(now),
-            is_silent: silence::is_silent(now, longest_waiting, self.heard_at(), max_silence_ms),
+            is_silent: silence::is_silent(
+                now,
+                longest_waiting,
+                self.last_activity_at(),
+                max_silence_ms,
+            ),
         }
     }
 
--- a/crates/gateway/src/endpoints/lost_requests.rs
+++ b/crates/gateway/src/endpoints/lost_requests.rs
@@ -47,7 +47,7 @@
     }
 
     /// Records that the result was processed, and wakes the requests that wait for it.
-    pub(crate) fn release(&self) {
+    pub(crate) fn mark_checked(&self) {
         let state = self.state();
         if !state.is_checking {
             self.is_pending.send_replace(false);
@@ -55,7 +55,7 @@
     }
 
     /// Waits until the result for all of them is known.
-    pub(crate) async fn checked(&self) {
+    pub(crate) async fn wait_until_checked(&self) {
         let mut is_pending = self.is_pending.subscribe();
         // The sender is a field of `self`, so it lives as long as this call.
         let _ = is_pending.wait_for(|is_pending| !is_pending).await;
--- a/crates/gateway/src/endpoints/rate_limit.rs
+++ b/crates/gateway/src/endpoints/rate_limit.rs
@@ -4,7 +4,7 @@
 //! [`crate::decisions::eligibility::rate_limit`].
 
 use crate::decisions::eligibility::rate_limit::{
-    END_REPORT_MS, LimitObservation, NamedLimit, PacedPermits, daemon_rate,
+    AnnouncedLimit, END_REPORT_MS, LimitObservation, PacedPermits, daemon_rate,
 };
 use bridgevane_types::{DurationMs, RequestsPerSecond, TimeMs};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -79,22 +79,22 @@
         &self,
         now: TimeMs,
         sent_at: TimeMs,
-        named: NamedLimit,
+        named: AnnouncedLimit,
         draw: impl FnOnce() -> f64,
     ) -> Option<Option<RequestsPerSecond>> {
-        if named == NamedLimit::None && !self.is_known() {
+        if named == AnnouncedLimit::None && !self.is_known() {
             return None;
         }
         self.change(now, |state| match named {
-            NamedLimit::Of(limit) => state.apply_limit(now, limit, now, draw),
-            NamedLimit::None => state.end_limit(sent_at),
-            NamedLimit::Unreadable => {}
+            AnnouncedLimit::Limit(limit) => state.apply_limit(now, limit, now, draw),
+            AnnouncedLimit::None => state.end_limit(sent_at),
+            AnnouncedLimit::Unreadable => {}
         })
     }
 
     /// Records the observation of another daemon. Returns the limit that now applies, if it is to
     /// be reported.
-    pub fn on_told(
+    pub fn on_peer_observation(
         &self,
         now: TimeMs,
         observed: LimitObservation,
--- a/crates/gateway/src/endpoints/selection.rs
+++ b/crates/gateway/src/endpoints/selection.rs
@@ -35,7 +35,7 @@
     /// The endpoints that the request was sent to before.
     pub tried: &'a [Arc<Endpoint>],
     /// The data centres in which the request has found an endpoint lost.
-    pub lost_in: &'a [DataCentreId],
+    pub data_centres_with_lost_endpoints: &'a [DataCentreId],
     /// The regions in which the request may be served.
     pub region_limits: RegionLimits<'a>,
     /// The number of daemons; `None` if this daemon doesn't know it.
@@ -106,14 +106,14 @@
 
 /// Returns the time after which a request that is refused now may be accepted; `None` if waiting
 /// alone doesn't help.
-pub fn earliest_use(
+pub fn time_until_available(
     request: &SelectionRequest<'_>,
     service: &ServiceEndpoints,
 ) -> Option<DurationMs> {
     let allowed = service.all.iter();
     let allowed = allowed
         .filter(|endpoint| endpoint.is_usable(request.now) && request.may_serve_at(endpoint));
-    rest::earliest_use(allowed.map(|endpoint| EndpointWait {
+    rest::time_until_available(allowed.map(|endpoint| EndpointWait {
         backoff: endpoint.backoff_remaining(request.now),
         permit: endpoint.rate_limit.wait_time(request.now, request.daemons),
     }))
@@ -231,6 +231,8 @@
         observed_queue_ms: queue.expected_ms,
         health: endpoint.health.snapshot(request.now),
         is_silent: queue.is_silent,
-        is_near_lost_endpoint: request.lost_in.contains(&record.data_centre),
+        is_near_lost_endpoint: request
+            .data_centres_with_lost_endpoints
+            .contains(&record.data_centre),
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -5,7 +5,7 @@
 //! | [`ControlState`] | routes, customers, endpoints, and how recent they are |
 //! | [`Fleet`] | what is known about the other daemons |
 //! | [`PromptLocations`] | which engines have read which prompts |
-//! | [`DutyBook`] | this daemon's part in the duties |
+//! | [`UsageTracker`] | this daemon's part in the duties |
 //! | [`Quarantine`] | the requests that crash the endpoints that run them |
 //! | [`RetryBudgets`] | this daemon's requests and retries of the last two windows |
 //! | [`Shutdown`] | the progress of a planned stop |
@@ -20,7 +20,7 @@
 use crate::decisions::eligibility::cold_start::ColdQuota;
 use crate::decisions::endpoint::idle_connections;
 use crate::decisions::resend::retry_budget::RetryRounding;
-use crate::duties::book::DutyBook;
+use crate::duties::book::UsageTracker;
 use crate::endpoints::endpoint::Endpoint;
 use crate::endpoints::prompt_locations::PromptLocations;
 use crate::header_names::HeaderNames;
@@ -59,7 +59,7 @@
     /// The packed full state that starting daemons receive.
     pub(crate) packed_state: PackedState,
     /// This daemon's part in the duties.
-    pub duty_book: DutyBook,
+    pub usage_tracker: UsageTracker,
     pub(crate) prompt_locations: PromptLocations,
     /// The requests that crash the endpoints that run them.
     pub quarantine: Quarantine,
@@ -87,7 +87,7 @@
         Arc::new(Self {
             control: ControlState::new(clock, &settings),
             fleet: Fleet::new(clock, &settings),
-            duty_book: DutyBook::new(clock, &settings),
+            usage_tracker: UsageTracker::new(clock, &settings),
             quarantine: Quarantine::new(clock),
             retry_budgets: RetryBudgets::new(clock.now(), &settings, RetryRounding::draw()),
             vm_hash: xxh3_64(settings.vm.as_str().as_bytes()),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -31,7 +31,7 @@
 
 // The tasks of the daemon, which the command starts.
 pub use duties::holder::run as hold_duties;
-pub use duties::reporter::{report_last as report_last_usage, run as report_usage};
+pub use duties::reporter::{report_final as report_final_usage, run as report_usage};
 pub use gateway::Gateway;
 pub use header_names::HeaderNames;
 pub use lifecycle::readiness::run as serve_readiness;
@@ -63,9 +63,9 @@
 // State that tests and benchmarks of the rules set up.
 pub use clock::{Clock, ClockScript};
 pub use control::patch::{Patch, PatchDoesNotFit};
-pub use control::replica::{RecordOutcome, Replica, Update};
+pub use control::replica::{ChangedValue, Replica, ReplicaUpdate};
 pub use decisions::resend::retry_budget::RetryRounding;
-pub use duties::book::DutyBook;
+pub use duties::book::UsageTracker;
 pub use endpoints::directory::ServiceEndpoints;
 pub use endpoints::endpoint::Endpoint;
 pub use endpoints::health::EndpointHealth;
@@ -74,7 +74,7 @@
 pub use endpoints::rate_limit::RateLimitState;
 pub use endpoints::selection::{Selected, SelectionRequest, select_endpoint};
 pub use prompt::{Prompt, PromptPart};
-pub use replication::message::{MessageError, put_update, take_update, update_parts};
+pub use replication::message::{MessageError, decode_update, encode_update, encode_update_parts};
 pub use replication::work_reports::WorkReports;
 pub use requests::quarantine::Quarantine;
 pub use requests::retry_budgets::RetryBudgets;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -185,7 +185,8 @@
                         KeyValue::new("kind", kind.to_string()),
                         KeyValue::new("state", state),
                     ];
-                    self.engines.record(u64::from(counts.of(kind)), &labels);
+                    self.engines
+                        .record(u64::from(counts.count_of(kind)), &labels);
                 }
             }
         }
--- a/crates/gateway/src/replication/client.rs
+++ b/crates/gateway/src/replication/client.rs
@@ -3,7 +3,7 @@
 //! Owns one connection, to the daemon that is currently asked. Retries and the choice of the daemon
 //! belong to [`super::follow`].
 
-use crate::control::replica::Update;
+use crate::control::replica::ReplicaUpdate;
 use crate::control::source::Revision;
 use crate::decisions::replication::source_path::SourcePath;
 use crate::gateway::Gateway;
@@ -11,8 +11,8 @@
 use crate::replication::endpoint_notices;
 use crate::replication::fleet::own_work;
 use crate::replication::message::{
-    CLOCK_RESOLUTION_MS, MAX_UNPACKED_BYTES, MessageError, decode_path, decode_work, encode_work,
-    parse_addresses, take_update,
+    CLOCK_RESOLUTION_MS, MAX_UNPACKED_BYTES, MessageError, decode_path, decode_update, decode_work,
+    encode_work, parse_addresses,
 };
 use crate::replication::peer_error::PeerError;
 use crate::sockets::set_options;
@@ -57,7 +57,7 @@
     /// actual time.
     pub(crate) proved_at: Option<TimeMs>,
     /// The records that this daemon lacks.
-    pub(crate) update: Update,
+    pub(crate) update: ReplicaUpdate,
     /// The other daemon's data centre.
     pub(crate) data_centre: DataCentreId,
     /// The other daemon's path to the source.
@@ -312,7 +312,7 @@
     mut parts: Vec<RecordsAnswer>,
     own_work: &WorkByEndpoint,
 ) -> Result<PeerAnswer, PeerError> {
-    let update = take_update(&mut parts).map_err(PeerError::BadRecords)?;
+    let update = decode_update(&mut parts).map_err(PeerError::BadRecords)?;
     // The last message holds everything except earlier records.
     let answer = parts.pop().ok_or(PeerError::Unreadable)?;
     let total_work = decode_work(&answer.work);
--- a/crates/gateway/src/replication/endpoint_notices.rs
+++ b/crates/gateway/src/replication/endpoint_notices.rs
@@ -52,7 +52,7 @@
             continue;
         };
         let draw = || rand::rng().random();
-        let changed = endpoint.rate_limit.on_told(now, observed, draw);
+        let changed = endpoint.rate_limit.on_peer_observation(now, observed, draw);
         if let Some(limit) = changed {
             on_limit_heard(
                 endpoint,
@@ -78,7 +78,7 @@
 fn decode(now: TimeMs, message: &EndpointNotice) -> Option<LimitObservation> {
     let at = TimeMs(now.0.checked_sub(u64::from(message.age_ms))?);
     let limit = match message.requests_per_s {
-        Some(per_s) => Some(rate_limit::checked(RequestsPerSecond(per_s))?),
+        Some(per_s) => Some(rate_limit::valid_limit(RequestsPerSecond(per_s))?),
         None => None,
     };
     Some(LimitObservation { limit, at })
--- a/crates/gateway/src/replication/fleet.rs
+++ b/crates/gateway/src/replication/fleet.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Clock;
 use crate::decisions::replication::fleet_size::FleetSize;
-use crate::decisions::replication::followers::{Follower, FollowerPlacement, Followers, Tree};
+use crate::decisions::replication::followers::{Follower, FollowerPlacement, Followers, Subtree};
 use crate::decisions::replication::source_path::SourcePath;
 use crate::endpoints::directory::Directory;
 use crate::replication::work_reports::WorkReports;
@@ -194,14 +194,15 @@
     /// Returns this daemon's subtree as it is reported to `asked`, without what `asked` reported
     /// itself. Seeds exchange their subtrees among themselves, so a seed that follows this one for a
     /// while isn't counted.
-    pub(crate) fn own_subtree(&self, directory: &Directory, asked: Option<SocketAddr>) -> Tree {
+    pub(crate) fn own_subtree(&self, directory: &Directory, asked: Option<SocketAddr>) -> Subtree {
         let is_seed = self.is_seed();
         let is_counted = |follower: &Follower| {
             let is_other_seed = is_seed && self.seed_addresses.contains(&follower.address);
             Some(follower.address) != asked && !is_other_seed
         };
         let now = self.clock.now();
-        self.followers().tree(now, own_work(directory), is_counted)
+        self.followers()
+            .subtree(now, own_work(directory), is_counted)
     }
 
     /// Returns the work of all daemons, as far as this one knows.
--- a/crates/gateway/src/replication/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -6,7 +6,7 @@
 //! [`crate::decisions::replication::upstream`]; this module asks it, applies the answer and stores
 //! the proof.
 
-use crate::control::replica::Update;
+use crate::control::replica::ReplicaUpdate;
 use crate::control::source::{
     Changes, ControlSource, FullState, ReadProgress, Revision, SourceError,
 };
@@ -119,7 +119,7 @@
         self.gateway.fleet.set_path(path);
         self.gateway.control.drop_expired_endpoints();
         self.log_freshness();
-        if self.upstreams.take_pause() {
+        if self.upstreams.take_pause_request() {
             sleep(self.pause).await;
             self.pause = (self.pause * 2).min(MAX_PAUSE);
         } else {
@@ -232,7 +232,10 @@
             self.gateway.control.replica().revision()
         };
         let now = self.gateway.clock.now();
-        let until_slot = self.upstreams.source_turn(now).map(|slot| slot.since(now));
+        let until_slot = self
+            .upstreams
+            .source_slot_at(now)
+            .map(|slot| slot.since(now));
         let gateway = self.gateway.clone();
         let asked = tokio::select! {
             asked = self.parent_client.ask(&gateway, peer, after) => asked,
@@ -250,7 +253,7 @@
             }
             Err(PeerError::Cycle) => {
                 let now = self.gateway.clock.now();
-                self.upstreams.on_circle(now, peer);
+                self.upstreams.on_cycle(now, peer);
                 event!(Event::CircleLeft, peer = peer);
             }
             Err(error) => self.on_peer_failed(peer, error),
@@ -285,7 +288,7 @@
     /// Applies another daemon's answer, and stores its proof.
     fn apply_answer(&mut self, answer: PeerAnswer) -> Result<PeerReport, PeerError> {
         // Checked first: the proof in such an answer is this daemon's own.
-        if self.upstreams.leads_back(&answer.path) {
+        if self.upstreams.is_in_path(&answer.path) {
             return Err(PeerError::Cycle);
         }
         let now = self.gateway.clock.now();
@@ -311,10 +314,10 @@
         Ok(report)
     }
 
-    fn apply_records(&mut self, at: Revision, update: Update) -> Result<(), PeerError> {
+    fn apply_records(&mut self, at: Revision, update: ReplicaUpdate) -> Result<(), PeerError> {
         let (is_whole, changes) = match update {
-            Update::Full(changes) => (true, changes),
-            Update::Changes(changes) => (false, changes),
+            ReplicaUpdate::Full(changes) => (true, changes),
+            ReplicaUpdate::Changes(changes) => (false, changes),
         };
         let resolved = self.gateway.control.replica().resolve(changes);
         let Ok(records) = resolved else {
--- a/crates/gateway/src/replication/message.rs
+++ b/crates/gateway/src/replication/message.rs
@@ -3,7 +3,7 @@
 //! The messages are defined in `bridgevane-protocol`; their field numbers never change.
 
 use crate::control::patch::Patch;
-use crate::control::replica::{RecordChange, RecordOutcome, Update};
+use crate::control::replica::{ChangedValue, RecordChange, ReplicaUpdate};
 use crate::control::source::Revision;
 use crate::decisions::replication::source_path::SourcePath;
 use crate::work_by_endpoint::{EndpointHash, Work, WorkByEndpoint};
@@ -60,7 +60,7 @@
 }
 
 /// Encodes an update into one answer.
-pub fn put_update(answer: &mut RecordsAnswer, update: Update) {
+pub fn encode_update(answer: &mut RecordsAnswer, update: ReplicaUpdate) {
     let (is_whole, changes) = into_changes(update);
     answer.is_whole = is_whole;
     answer.records = changes.into_iter().map(encode_change).collect();
@@ -68,7 +68,7 @@
 }
 
 /// Encodes an update as one or more answers, of which all but the last say that more follow.
-pub fn update_parts(update: Update) -> Vec<RecordsAnswer> {
+pub fn encode_update_parts(update: ReplicaUpdate) -> Vec<RecordsAnswer> {
     let (is_whole, changes) = into_changes(update);
     let mut parts = vec![RecordsAnswer::default()];
     let mut part_bytes = 0;
@@ -92,10 +92,10 @@
     parts
 }
 
-fn into_changes(update: Update) -> (bool, Vec<RecordChange>) {
+fn into_changes(update: ReplicaUpdate) -> (bool, Vec<RecordChange>) {
     match update {
-        Update::Full(changes) => (true, changes),
-        Update::Changes(changes) => (false, changes),
+        ReplicaUpdate::Full(changes) => (true, changes),
+        ReplicaUpdate::Changes(changes) => (false, changes),
     }
 }
 
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 /// [`MessageError`] when a part of it can't be used.
-pub fn take_update(parts: &mut [RecordsAnswer]) -> Result<Update, MessageError> {
+pub fn decode_update(parts: &mut [RecordsAnswer]) -> Result<ReplicaUpdate, MessageError> {
     let mut changes: Vec<RecordChange> = Vec::new();
     let mut left_bytes = MAX_UNPACKED_BYTES;
     for part in &mut *parts {
@@ -114,17 +114,17 @@
     }
     let is_whole = parts.last().is_some_and(|last| last.is_whole);
     Ok(if is_whole {
-        Update::Full(changes)
+        ReplicaUpdate::Full(changes)
     } else {
-        Update::Changes(changes)
+        ReplicaUpdate::Changes(changes)
     })
 }
 
 fn encode_change(change: RecordChange) -> RecordChangeMessage {
     let outcome = match change.outcome {
-        RecordOutcome::Removed => Change::Gone(true),
-        RecordOutcome::Whole(value) => Change::Whole(value),
-        RecordOutcome::Patched { base, patch } => Change::Patch(RecordPatch {
+        ChangedValue::Removed => Change::Gone(true),
+        ChangedValue::Whole(value) => Change::Whole(value),
+        ChangedValue::Patched { base, patch } => Change::Patch(RecordPatch {
             base_revision: base.0,
             kept_head: patch.kept_head as u64,
             kept_tail: patch.kept_tail as u64,
@@ -140,9 +140,9 @@
 
 fn decode_change(message: RecordChangeMessage) -> Result<RecordChange, MessageError> {
     let outcome = match message.change.ok_or(MessageError::UnknownChange)? {
-        Change::Gone(_) => RecordOutcome::Removed,
-        Change::Whole(value) => RecordOutcome::Whole(value),
-        Change::Patch(patch) => RecordOutcome::Patched {
+        Change::Gone(_) => ChangedValue::Removed,
+        Change::Whole(value) => ChangedValue::Whole(value),
+        Change::Patch(patch) => ChangedValue::Patched {
             base: Revision(patch.base_revision),
             patch: Patch {
                 kept_head: patch.kept_head as usize,
--- a/crates/gateway/src/replication/packed_state.rs
+++ b/crates/gateway/src/replication/packed_state.rs
@@ -5,9 +5,9 @@
 //! (`fleet_state`, benches). The messages are dropped when the revision changes, so that they take
 //! memory only while states are requested.
 
-use crate::control::replica::{Replica, Update};
+use crate::control::replica::{Replica, ReplicaUpdate};
 use crate::control::source::Revision;
-use crate::replication::message::{put_update, update_parts};
+use crate::replication::message::{encode_update, encode_update_parts};
 use bridgevane_protocol::RecordsAnswer;
 use std::sync::{Mutex, MutexGuard};
 
@@ -38,7 +38,7 @@
         replica: &Replica,
         after: Revision,
         takes_parts: bool,
-    ) -> Option<Update> {
+    ) -> Option<ReplicaUpdate> {
         if self.at != replica.revision() {
             *self = Self::default();
         }
@@ -51,7 +51,7 @@
     pub(crate) fn parts(
         &mut self,
         at: Revision,
-        update: Option<Update>,
+        update: Option<ReplicaUpdate>,
         takes_parts: bool,
     ) -> Vec<RecordsAnswer> {
         let Some(update) = update else {
@@ -59,11 +59,11 @@
         };
         if !takes_parts {
             let mut answer = RecordsAnswer::default();
-            put_update(&mut answer, update);
+            encode_update(&mut answer, update);
             return vec![answer];
         }
-        let is_whole = matches!(update, Update::Full(_));
-        let parts = update_parts(update);
+        let is_whole = matches!(update, ReplicaUpdate::Full(_));
+        let parts = encode_update_parts(update);
         if is_whole {
             self.at = at;
             self.parts = parts.clone();
--- a/crates/gateway/src/replication/server.rs
+++ b/crates/gateway/src/replication/server.rs
@@ -7,8 +7,8 @@
 
 use crate::control::source::Revision;
 use crate::counter::Counter;
-use crate::decisions::replication::followers::{Follower, FollowerPlacement, Tree};
-use crate::decisions::replication::hold::hold;
+use crate::decisions::replication::followers::{Follower, FollowerPlacement, Subtree};
+use crate::decisions::replication::hold::max_hold;
 use crate::duties::codec::decode_report;
 use crate::gateway::Gateway;
 use crate::replication::crash_news::{self, SentCrashObservations};
@@ -75,7 +75,7 @@
         let question = match frame?.body {
             Some(Body::RecordsWanted(question)) => question,
             Some(Body::UsageReported(report)) => {
-                let is_holder = gateway.duty_book.on_report(decode_report(report));
+                let is_holder = gateway.usage_tracker.on_report(decode_report(report));
                 let body = Some(Body::UsageHeard(UsageHeard { is_holder }));
                 frames.send(Frame { body }).await?;
                 continue;
@@ -95,7 +95,7 @@
                 crash_news: sent_observations.take_unsent(gateway),
                 ..probe_answer(gateway)
             },
-            Some(FollowerPlacement::Circle) => cycle_answer(gateway, &question),
+            Some(FollowerPlacement::Cycle) => cycle_answer(gateway, &question),
             Some(FollowerPlacement::Redirect(address)) => redirect_answer(gateway, address),
             Some(FollowerPlacement::Here) => {
                 let asked_at = gateway.clock.now();
@@ -206,7 +206,7 @@
         vm: VmId::from(question.vm.as_str()),
         data_centre: DataCentreId::from(question.data_centre.as_str()),
         address,
-        tree: Tree {
+        subtree: Subtree {
             size: question.tree_size,
             depth: question.tree_depth,
             work: decode_work(&question.tree_work),
@@ -233,9 +233,9 @@
         || !total_work().is_small()
         || gateway.quarantine.has_fresh_news();
     let limits = gateway.settings.proof_limits();
-    let hold = hold(is_busy, gateway.control.proof_age(), limits).as_std();
+    let max_hold = max_hold(is_busy, gateway.control.proof_age(), limits).as_std();
     // An answer without changes shows that this daemon is alive.
-    let _ = timeout_at(asked + hold, async {
+    let _ = timeout_at(asked + max_hold, async {
         tokio::select! {
             _ = async { waiting.await.is_ok() } => {}
             () = sent_observations.wait_for_unsent(gateway) => sleep(CRASH_OBSERVATION_DELAY).await,
--- a/crates/gateway/src/requests/attempt.rs
+++ b/crates/gateway/src/requests/attempt.rs
@@ -126,7 +126,7 @@
         let (connection, response) = self.send(request, hedge).await?;
         let (head, body) = response.into_parts();
         let headers = self.unreadable.reader(Sender::Endpoint, &head.headers);
-        endpoint.load.on_heard(self.clock.now());
+        endpoint.load.on_activity(self.clock.now());
         if let Some(reported) = response_head::reported_load(self.names, &headers) {
             endpoint.load.on_report(self.clock.now(), reported);
         }
@@ -192,9 +192,9 @@
     /// Returns an idle connection if the request may reuse one, else a new one.
     async fn connection(&self, idle_tries: usize) -> Result<Connection, AttemptError> {
         let endpoint = &self.selected.endpoint;
-        let heard_at = endpoint.load.heard_at();
+        let last_activity_at = endpoint.load.last_activity_at();
         let may_run_again = self.inbound.route.may_run_again();
-        let may_reuse = may_reuse(may_run_again, self.clock.now(), heard_at);
+        let may_reuse = may_reuse(may_run_again, self.clock.now(), last_activity_at);
         if may_reuse
             && idle_tries < MAX_IDLE_TRIES
             && let Some(connection) = endpoint.idle_connections.take(self.clock.now())
--- a/crates/gateway/src/requests/crash_check.rs
+++ b/crates/gateway/src/requests/crash_check.rs
@@ -37,7 +37,7 @@
 /// Waits until the running check has ended.
 pub(crate) async fn wait_until_finished(endpoint: &Endpoint) {
     // The timeout is ignored: a check that takes longer proves nothing.
-    let _ = timeout(CHECK_TIMEOUT, endpoint.lost_requests().checked()).await;
+    let _ = timeout(CHECK_TIMEOUT, endpoint.lost_requests().wait_until_checked()).await;
 }
 
 /// Opens a connection that stays open for [`MIN_OPEN_TIME`].
@@ -75,5 +75,5 @@
             }
         }
     }
-    endpoint.lost_requests().release();
+    endpoint.lost_requests().mark_checked();
 }
--- a/crates/gateway/src/requests/endpoint_signals.rs
+++ b/crates/gateway/src/requests/endpoint_signals.rs
@@ -5,7 +5,7 @@
 //! Owns nothing. Only answers to the request that was sent count: an answer to another request, or
 //! from another endpoint at the same address, says nothing about this endpoint.
 
-use crate::decisions::eligibility::rate_limit::NamedLimit;
+use crate::decisions::eligibility::rate_limit::AnnouncedLimit;
 use crate::endpoints::endpoint::Endpoint;
 use crate::header_names::HeaderNames;
 use crate::metrics::GatewayMetrics;
@@ -30,7 +30,7 @@
 /// The signals of one answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct EndpointSignals {
-    limit: NamedLimit,
+    limit: AnnouncedLimit,
     is_leaving: bool,
     backoff: Option<DurationMs>,
 }
@@ -99,7 +99,7 @@
 }
 
 fn on_leaving(origin: &AnswerOrigin<'_>) {
-    if origin.endpoint.leave() {
+    if origin.endpoint.mark_leaving() {
         let record = origin.endpoint.record.load();
         event!(
             Event::EndpointLeaves,
@@ -111,7 +111,7 @@
 }
 
 fn on_backoff(origin: &AnswerOrigin<'_>, backoff: DurationMs) {
-    if !origin.endpoint.rest(origin.now, backoff) {
+    if !origin.endpoint.start_backoff(origin.now, backoff) {
         return;
     }
     let record = origin.endpoint.record.load();
--- a/crates/gateway/src/requests/exchange/mod.rs
+++ b/crates/gateway/src/requests/exchange/mod.rs
@@ -12,11 +12,13 @@
 pub(crate) use resending::resend_text;
 
 use crate::decisions::admission::load_shedding::{self, QueuedRequest};
-use crate::decisions::admission::refusal::{NoneSelected, Refusal, RefusalReason};
+use crate::decisions::admission::refusal::{NoEndpointLeft, Refusal, RefusalReason};
 use crate::decisions::eligibility::region_limits::RegionLimits;
 use crate::decisions::resend::{self, AttemptError, Failure, hedging};
 use crate::endpoints::endpoint::Endpoint;
-use crate::endpoints::selection::{Selected, SelectionRequest, earliest_use, select_endpoint};
+use crate::endpoints::selection::{
+    Selected, SelectionRequest, select_endpoint, time_until_available,
+};
 use crate::gateway::Gateway;
 use crate::requests::attempt::{Attempt, EndpointAnswer, Hedge};
 use crate::requests::crash_check;
@@ -49,7 +51,7 @@
     pub(crate) inbound: InboundRequest,
     tried: Vec<Arc<Endpoint>>,
     /// The data centres in which the request found an endpoint unreachable or replaced.
-    lost_in: Vec<DataCentreId>,
+    data_centres_with_lost_endpoints: Vec<DataCentreId>,
     /// The number of attempts that ran, or may have run.
     runs: u32,
     /// Whether the request was counted as its customer's usage.
@@ -62,7 +64,7 @@
             gateway,
             inbound,
             tried: Vec::new(),
-            lost_in: Vec::new(),
+            data_centres_with_lost_endpoints: Vec::new(),
             runs: 0,
             is_usage_counted: false,
         }
@@ -138,7 +140,7 @@
             return Err(RefusalReason::out_of_time(self.runs));
         }
         if !self.gateway.control.freshness().may_serve() {
-            return Err(RefusalReason::NotReady.unless_run(self.runs));
+            return Err(RefusalReason::NotReady.or_unknown_if_run(self.runs));
         }
         Ok(())
     }
@@ -148,14 +150,14 @@
         self.check_may_send()?;
         let directory = self.gateway.control.directory();
         let service = directory.service(&self.inbound.service);
-        let service = service.ok_or(RefusalReason::NoEndpoint.unless_run(self.runs))?;
+        let service = service.ok_or(RefusalReason::NoEndpoint.or_unknown_if_run(self.runs))?;
         let request = self.selection_request();
         let selected = select_endpoint(&self.gateway.prompt_locations, request, service);
         selected.ok_or_else(|| {
-            Refusal::none_selected(NoneSelected {
+            Refusal::no_endpoint_left(NoEndpointLeft {
                 was_tried: !self.tried.is_empty(),
                 may_be_cold: request.cold.is_some(),
-                earliest_use: earliest_use(&request, service),
+                time_until_available: time_until_available(&request, service),
                 runs: self.runs,
             })
         })
@@ -168,7 +170,7 @@
             data_centre: &self.gateway.settings.data_centre,
             prompt: &self.inbound.prompt,
             tried: &self.tried,
-            lost_in: &self.lost_in,
+            data_centres_with_lost_endpoints: &self.data_centres_with_lost_endpoints,
             region_limits: self.region_limits(),
             daemons: self.gateway.fleet_size(),
             cold: self.gateway.cold_quota(&self.inbound.service),
@@ -177,10 +179,10 @@
 
     /// Returns the time until an endpoint may get the request when the client retries it; `None` if
     /// one may get it now, or there is no endpoint.
-    fn earliest_use(&self) -> Option<DurationMs> {
+    fn time_until_available(&self) -> Option<DurationMs> {
         let directory = self.gateway.control.directory();
         let service = directory.service(&self.inbound.service)?;
-        earliest_use(&self.selection_request(), service)
+        time_until_available(&self.selection_request(), service)
     }
 
     /// Returns the regions in which the request may be served.
@@ -259,7 +261,7 @@
         let route = &self.inbound.route;
         let is_stream = route.stream.is_some();
         let is_allowed = move || {
-            let was_heard = endpoint.load.was_heard_after(sent_at);
+            let was_heard = endpoint.load.was_active_after(sent_at);
             hedging::is_silent(is_stream, was_heard)
                 && self.may_resend(Failure::StillWaiting).is_ok()
         };
--- a/crates/gateway/src/requests/exchange/outcome.rs
+++ b/crates/gateway/src/requests/exchange/outcome.rs
@@ -1,7 +1,7 @@
 //! Records the outcome of attempts and requests: endpoint health, customer usage, metrics and logs.
 
 use super::Exchange;
-use crate::decisions::duties::usage_start::{self, Began, FailedRun, Run};
+use crate::decisions::duties::usage_start::{self, FailedRun, RunResult, UsageStart};
 use crate::decisions::endpoint::queue_delay::prefill_ms;
 use crate::decisions::resend::AttemptError;
 use crate::endpoints::selection::Selected;
@@ -28,7 +28,7 @@
 impl Exchange {
     pub(super) fn on_answered(&mut self, answer: &EndpointAnswer, sent_at: TimeMs) {
         self.runs += 1;
-        self.count_run(Run::Answered(answer.head.status), sent_at);
+        self.count_run(RunResult::Answered(answer.head.status), sent_at);
         if answer.head.status.is_server_error() {
             answer.endpoint().health.on_failed(self.gateway.clock.now());
         }
@@ -50,10 +50,10 @@
                 elapsed_ms: now.since(sent_at).0 as f64,
                 expected_ms: estimate.queue_ms + prefill_ms(estimate.prefill_tokens as f64),
             };
-            self.count_run(Run::Failed(failed), sent_at);
+            self.count_run(RunResult::Failed(failed), sent_at);
             endpoint.health.on_failed(now);
         }
-        let was_heard = endpoint.load.was_heard_after(sent_at);
+        let was_heard = endpoint.load.was_active_after(sent_at);
         let is_lost = match error {
             AttemptError::NotSent(_) | AttemptError::Misdirected => true,
             AttemptError::TimedOut => !was_heard,
@@ -66,19 +66,23 @@
         if endpoint.health.on_lost(now) {
             event!(Event::EndpointEjected, endpoint = record.id);
         }
-        if !self.lost_in.contains(&record.data_centre) {
-            self.lost_in.push(record.data_centre.clone());
+        if !self
+            .data_centres_with_lost_endpoints
+            .contains(&record.data_centre)
+        {
+            self.data_centres_with_lost_endpoints
+                .push(record.data_centre.clone());
         }
     }
 
     /// Counts a run as its customer's usage if it began. A successful run with a prompt is counted at
     /// its first token instead ([`crate::requests::relay`]).
-    pub(super) fn count_run(&mut self, run: Run, sent_at: TimeMs) {
+    pub(super) fn count_run(&mut self, run: RunResult, sent_at: TimeMs) {
         let is_plain = self.inbound.prompt.is_empty();
-        if let Some(began) = usage_start::began(is_plain, run) {
-            let at = match began {
-                Began::WhenSent => sent_at,
-                Began::Now => self.gateway.clock.now(),
+        if let Some(usage_start) = usage_start::usage_start(is_plain, run) {
+            let at = match usage_start {
+                UsageStart::WhenSent => sent_at,
+                UsageStart::Now => self.gateway.clock.now(),
             };
             self.count_usage(at);
         }
@@ -90,7 +94,7 @@
             return;
         }
         if let Some(customer) = &self.inbound.customer {
-            let book = &self.gateway.duty_book;
+            let book = &self.gateway.usage_tracker;
             book.on_request_began(began_at, &customer.id);
         }
     }
--- a/crates/gateway/src/requests/exchange/resending.rs
+++ b/crates/gateway/src/requests/exchange/resending.rs
@@ -34,7 +34,7 @@
             left_ms = self.inbound.remaining().as_millis(),
             resend = resend_text(resend)
         );
-        resend.map_err(|_| Refusal::after_failure(error, self.runs, self.earliest_use()))
+        resend.map_err(|_| Refusal::after_failure(error, self.runs, self.time_until_available()))
     }
 
     /// Like [`Self::after_failed_attempt`], for an answer whose body broke off or wasn't complete in
@@ -63,7 +63,7 @@
             runs = self.runs,
             resend = resend_text(resend)
         );
-        resend.map_err(|_| Refusal::after_failure(error, self.runs, self.earliest_use()))
+        resend.map_err(|_| Refusal::after_failure(error, self.runs, self.time_until_available()))
     }
 
     /// Checks whether the request may be sent again after a failure; takes a retry from the budget
@@ -82,7 +82,7 @@
     fn withdraw_retry(&self) -> bool {
         let now = self.gateway.clock.now();
         let service = &self.inbound.service;
-        let decision = self.gateway.retry_budgets.take(now, service);
+        let decision = self.gateway.retry_budgets.withdraw(now, service);
         self.gateway
             .metrics
             .retry_decided(service, decision.is_granted);
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -117,7 +117,7 @@
         };
         let gateway = &self.exchange.gateway;
         let inbound = &self.exchange.inbound;
-        answer.endpoint().load.on_heard(gateway.clock.now());
+        answer.endpoint().load.on_activity(gateway.clock.now());
         self.timing.on_chunk(inbound.arrived.elapsed());
         if std::mem::replace(&mut self.has_first_chunk, true) {
             return;
--- a/crates/gateway/src/requests/response_head.rs
+++ b/crates/gateway/src/requests/response_head.rs
@@ -3,7 +3,7 @@
 //!
 //! Owns nothing. A header that can't be decoded counts as absent, and is logged.
 
-use crate::decisions::eligibility::rate_limit::{self, NamedLimit};
+use crate::decisions::eligibility::rate_limit::{self, AnnouncedLimit};
 use crate::decisions::endpoint::idle_connections;
 use crate::decisions::endpoint::load_report::ReportedLoad;
 use crate::decisions::resend::AttemptError;
@@ -110,15 +110,15 @@
 }
 
 /// Returns the rate limit in the endpoint's answer.
-pub(crate) fn announced_limit(names: &HeaderNames, headers: &HeaderReader<'_>) -> NamedLimit {
+pub(crate) fn announced_limit(names: &HeaderNames, headers: &HeaderReader<'_>) -> AnnouncedLimit {
     if !headers.has(&names.rate_limit) {
-        return NamedLimit::None;
+        return AnnouncedLimit::None;
     }
     let rate = headers.parsed(&names.rate_limit).and_then(|rate: f64| {
-        let limit = rate_limit::checked(RequestsPerSecond(rate));
+        let limit = rate_limit::valid_limit(RequestsPerSecond(rate));
         headers.decoded(&names.rate_limit, limit.ok_or(InvalidRateLimit))
     });
-    rate.map_or(NamedLimit::Unreadable, NamedLimit::Of)
+    rate.map_or(AnnouncedLimit::Unreadable, AnnouncedLimit::Limit)
 }
 
 /// Returns whether only the end of the connection marks the end of the body.
--- a/crates/gateway/src/requests/retry_budgets.rs
+++ b/crates/gateway/src/requests/retry_budgets.rs
@@ -75,13 +75,13 @@
     }
 
     /// Takes one retry of a service's budget if one is left.
-    pub fn take(&self, now: TimeMs, service: &ServiceName) -> RetryDecision {
+    pub fn withdraw(&self, now: TimeMs, service: &ServiceName) -> RetryDecision {
         let budget = &self.fleet_budget;
         let parts = self.parts.load(Ordering::Relaxed);
         let parts = (parts != UNKNOWN_PARTS).then_some(parts);
         let slack_share = retry_budget::slack_share(budget, parts, now, self.slack_from);
         self.with_history(service, |history| {
-            history.take(now, budget, slack_share, self.rounding)
+            history.withdraw(now, budget, slack_share, self.rounding)
         })
     }
 }
--- a/crates/gateway/src/work_by_endpoint.rs
+++ b/crates/gateway/src/work_by_endpoint.rs
@@ -21,10 +21,10 @@
 pub struct EndpointHash(pub u32);
 
 impl EndpointHash {
-    /// Returns the hash of one incarnation of an endpoint, which started at `born`.
-    pub(crate) fn of_life(endpoint: &EndpointId, born: Option<WallTimeMs>) -> Self {
+    /// Returns the hash of one incarnation of an endpoint, which started at `started_at`.
+    pub(crate) fn of_incarnation(endpoint: &EndpointId, started_at: Option<WallTimeMs>) -> Self {
         // Without a start time the hash covers only the id.
-        let seed = born.map_or(0, |born| born.0);
+        let seed = started_at.map_or(0, |started_at| started_at.0);
         let hash = xxh3_64_with_seed(endpoint.as_str().as_bytes(), seed);
         Self((hash >> 32) as u32)
     }
--- a/crates/gateway/tests/cold_start.rs
+++ b/crates/gateway/tests/cold_start.rs
@@ -115,15 +115,18 @@
     records::service(6, 16, |at| format!("dc-{}", at / 3))
 }
 
-/// Returns the data centre that a request goes to which has found endpoints lost in `lost_in`.
-fn placed_after_loss(lost_in: &[DataCentreId], tried: &[Arc<Endpoint>]) -> DataCentreId {
+/// Returns the data centre that a request goes to which has found endpoints lost in `data_centres_with_lost_endpoints`.
+fn placed_after_loss(
+    data_centres_with_lost_endpoints: &[DataCentreId],
+    tried: &[Arc<Endpoint>],
+) -> DataCentreId {
     let request = SelectionRequest {
         now: NOW,
         daemon: 1,
         data_centre: &DataCentreId::from("dc-0"),
         prompt: &Prompt::default(),
         tried,
-        lost_in,
+        data_centres_with_lost_endpoints,
         region_limits: RegionLimits::EVERYWHERE,
         daemons: Some(1),
         cold: None,
@@ -143,8 +146,11 @@
         "the nearest one"
     );
     let tried = [service().all[0].clone()];
-    let lost_in = [DataCentreId::from("dc-0")];
-    assert_eq!(placed_after_loss(&lost_in, &tried).as_str(), "dc-1");
+    let data_centres_with_lost_endpoints = [DataCentreId::from("dc-0")];
+    assert_eq!(
+        placed_after_loss(&data_centres_with_lost_endpoints, &tried).as_str(),
+        "dc-1"
+    );
     let both = ["dc-0", "dc-1"].map(DataCentreId::from);
     assert_eq!(placed_after_loss(&both, &tried).as_str(), "dc-0");
 }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -56,7 +56,7 @@
         data_centre: &DataCentreId::from(data_centre),
         prompt,
         tried: &[],
-        lost_in: &[],
+        data_centres_with_lost_endpoints: &[],
         region_limits: RegionLimits::EVERYWHERE,
         daemons: Some(1),
         cold: None,
@@ -139,11 +139,11 @@
     let load = |index: EndpointIx| &service.all[index.at()].load;
     load(first).queue_delay().on_sent(busy);
     // It is busy, not unreachable: other requests get their tokens.
-    load(first).on_heard(NOW);
+    load(first).on_activity(NOW);
     let second = place(&service, &prompt, "dc-0");
     assert_ne!(first, second);
     load(second).queue_delay().on_sent(busy);
-    load(second).on_heard(NOW);
+    load(second).on_activity(NOW);
     assert!([first, second].contains(&place(&service, &prompt, "dc-0")));
     service.all[first.at()].health.on_lost(NOW);
     service.all[second.at()].health.on_lost(NOW);
@@ -168,7 +168,7 @@
     load.queue_delay().on_sent(waiting(NOW.0 - 600));
     assert!(is_silent());
     assert_ne!(place(&service, &prompt, "dc-0"), first);
-    load.on_heard(TimeMs(NOW.0 - 10));
+    load.on_activity(TimeMs(NOW.0 - 10));
     assert!(!is_silent(), "other requests get their tokens");
 }
 
@@ -221,7 +221,7 @@
     let service = ServiceName::from("s");
     let grants = |at: u64| {
         (0..100)
-            .filter(|_| budgets.take(TimeMs(at), &service).is_granted)
+            .filter(|_| budgets.withdraw(TimeMs(at), &service).is_granted)
             .count()
     };
     assert_eq!(grants(0), 2, "a twelfth of the slack");
@@ -258,7 +258,7 @@
     let service = ServiceName::from("s");
     let grants = |budgets: &RetryBudgets, at: u64| {
         (0..100)
-            .filter(|_| budgets.take(TimeMs(at), &service).is_granted)
+            .filter(|_| budgets.withdraw(TimeMs(at), &service).is_granted)
             .count()
     };
     let start = || RetryBudgets::new(TimeMs(0), &budget_settings(200, &seeds), ROUNDED_DOWN);
--- a/crates/gateway/tests/duties_engines.rs
+++ b/crates/gateway/tests/duties_engines.rs
@@ -1,6 +1,6 @@
 //! Tests of engines: how many are needed, planned and ordered.
 
-use bridgevane_gateway::decisions::duties::engine_need::{EngineNeed, Need};
+use bridgevane_gateway::decisions::duties::engine_need::{NeedEstimate, NeedEstimator};
 use bridgevane_gateway::decisions::duties::engine_orders::{
     EngineOrder, OrderBook, OrderInputs, OrderKey, OrderOutcome,
 };
@@ -126,8 +126,8 @@
     assert_eq!(planned["curepipe"].reclaimable, 13);
 }
 
-fn need(engines: u32, is_settled: bool) -> Need {
-    Need {
+fn need(engines: u32, is_settled: bool) -> NeedEstimate {
+    NeedEstimate {
         engines,
         is_settled,
     }
@@ -137,7 +137,7 @@
 /// came to 3, and all other engines were given up.
 #[test]
 fn the_need_is_settled_once_the_engine_count_is_stable() {
-    let mut estimator = EngineNeed::default();
+    let mut estimator = NeedEstimator::default();
     assert_eq!(estimator.observe(START, 0, 0), need(0, false));
     let later = START + DurationMs(9_000);
     assert_eq!(estimator.observe(later, 0, 0), need(0, false));
@@ -152,7 +152,10 @@
     let after = last + DurationMs(1_500);
     assert_eq!(estimator.observe(after, 0, 60), need(60, true));
     // A successor knows the need, even if few engines run.
-    assert_eq!(EngineNeed::default().observe(START, 60, 3), need(60, true));
+    assert_eq!(
+        NeedEstimator::default().observe(START, 60, 3),
+        need(60, true)
+    );
 }
 
 /// Returns the inputs of an order for a fleet that works, whose need is settled.
@@ -208,7 +211,7 @@
             }
             let others = counts.permanent;
             assert!(order.key.kind == EngineKind::Permanent || order.count + others <= 40);
-            book.on_answered(now, &order, OrderOutcome::Taken);
+            book.on_answered(now, &order, OrderOutcome::Accepted);
             starting.push((now + scaling.boot_ms, order));
         }
         fewest = fewest.min(running.values().map(EngineCounts::total).sum());
@@ -255,7 +258,7 @@
         };
         while let Some(order) = book.next(&inputs) {
             assert_eq!(order.key.kind, EngineKind::Reclaimable, "{order:?}");
-            book.on_answered(START, &order, OrderOutcome::Taken);
+            book.on_answered(START, &order, OrderOutcome::Accepted);
         }
     }
 }
@@ -275,7 +278,7 @@
     let mut book = OrderBook::default();
     for name in DATA_CENTRES {
         for (kind, count) in [(EngineKind::Permanent, 1), (EngineKind::Reclaimable, 39)] {
-            book.on_answered(START, &order(name, kind, count), OrderOutcome::Taken);
+            book.on_answered(START, &order(name, kind, count), OrderOutcome::Accepted);
         }
     }
     book
@@ -343,6 +346,6 @@
         book.next(&inputs(later, &plan, &running, &scaling)),
         Some(refused.clone())
     );
-    book.on_answered(later, &refused, OrderOutcome::Taken);
+    book.on_answered(later, &refused, OrderOutcome::Accepted);
     assert!(book.without_reclaimable().is_empty());
 }
--- a/crates/gateway/tests/duties_tenure.rs
+++ b/crates/gateway/tests/duties_tenure.rs
@@ -1,7 +1,7 @@
 //! Tests of the tenure: which daemon may hold the duties, and until when the holder may act.
 
 use bridgevane_gateway::decisions::duties::tenure::{
-    Accession, Predecessor, StandingPlace, Tenure, stands_at,
+    CandidateRank, Predecessor, Tenure, TenureStart, candidacy_starts_at,
 };
 use bridgevane_types::{DurationMs, FenceToken, TimeMs};
 
@@ -9,9 +9,9 @@
 const CALL: DurationMs = DurationMs(1_000);
 
 fn tenure(predecessor: Predecessor) -> Tenure {
-    Tenure::begin(Accession {
+    Tenure::begin(TenureStart {
         fence: FenceToken(7),
-        lease_asked_at: TimeMs(10_000),
+        lease_requested_at: TimeMs(10_000),
         known_at: TimeMs(10_050),
         lease_ms: LEASE,
         predecessor,
@@ -21,7 +21,7 @@
 /// No other holder can still act in these cases, so a wait would only delay usage.
 #[test]
 fn a_first_or_returning_holder_acts_at_once() {
-    for predecessor in [Predecessor::Nobody, Predecessor::Itself] {
+    for predecessor in [Predecessor::None, Predecessor::Itself] {
         assert!(tenure(predecessor).may_act(TimeMs(10_050), CALL));
     }
 }
@@ -34,7 +34,7 @@
     assert!(!successor.may_act(TimeMs(13_049), CALL));
     assert!(successor.may_act(TimeMs(13_050), CALL));
     // The latest possible renewal of an earlier holder is just before the successor's grant.
-    let mut earlier = tenure(Predecessor::Nobody);
+    let mut earlier = tenure(Predecessor::None);
     earlier.on_renewed(TimeMs(10_050));
     assert!(!earlier.may_act(TimeMs(13_050), DurationMs(0)));
 }
@@ -42,7 +42,7 @@
 /// The store may have granted the lease at any time after the call was sent.
 #[test]
 fn a_lease_counts_from_the_sent_call_and_no_call_may_outlast_it() {
-    let mut holder = tenure(Predecessor::Nobody);
+    let mut holder = tenure(Predecessor::None);
     // Nine tenths of the lease, from the time when it was requested.
     assert!(holder.may_act(TimeMs(11_700), CALL));
     assert!(!holder.may_act(TimeMs(11_701), CALL));
@@ -55,7 +55,7 @@
 /// A holder that gives up its lease must not act until the lease's own end.
 #[test]
 fn an_ended_tenure_allows_no_calls() {
-    let mut holder = tenure(Predecessor::Nobody);
+    let mut holder = tenure(Predecessor::None);
     holder.end();
     assert!(!holder.may_act(TimeMs(10_100), DurationMs(0)));
     assert!(holder.is_over());
@@ -65,14 +65,14 @@
 #[test]
 fn candidates_start_in_the_order_last_holder_seeds_others() {
     let places = [
-        StandingPlace::LastHolder,
-        StandingPlace::Seed(0),
-        StandingPlace::Seed(1),
-        StandingPlace::Seed(2),
-        StandingPlace::Other { spread: 0.0 },
-        StandingPlace::Other { spread: 1.0 },
+        CandidateRank::LastHolder,
+        CandidateRank::Seed(0),
+        CandidateRank::Seed(1),
+        CandidateRank::Seed(2),
+        CandidateRank::Other { spread: 0.0 },
+        CandidateRank::Other { spread: 1.0 },
     ];
-    let at = places.map(|place| stands_at(TimeMs(5_000), place));
+    let at = places.map(|place| candidacy_starts_at(TimeMs(5_000), place));
     assert_eq!(at[0], TimeMs(5_000));
     assert!(at.is_sorted_by(|earlier, later| earlier < later), "{at:?}");
     // The last candidate starts while a window's usage can still be submitted in time.
--- a/crates/gateway/tests/duties_usage.rs
+++ b/crates/gateway/tests/duties_usage.rs
@@ -2,11 +2,13 @@
 
 use bridgevane_gateway::decisions::duties::duty_state::{DutyState, WindowUsage};
 use bridgevane_gateway::decisions::duties::usage_collection::{
-    DaemonLife, UsageCollection, UsageReport,
+    DaemonIncarnation, UsageCollection, UsageReport,
 };
 use bridgevane_gateway::decisions::duties::usage_counts::UsageCounts;
 use bridgevane_gateway::decisions::duties::usage_ledger::UsageLedger;
-use bridgevane_gateway::decisions::duties::usage_start::{Began, FailedRun, Run, began};
+use bridgevane_gateway::decisions::duties::usage_start::{
+    FailedRun, RunResult, UsageStart, usage_start,
+};
 use bridgevane_gateway::decisions::duties::usage_window::{UsageCalendar, UsageDue, UsageWindow};
 use bridgevane_gateway::decisions::resend::AttemptError;
 use bridgevane_types::{CustomerId, DurationMs, Incarnation, TimeMs, WallTimeMs};
@@ -30,14 +32,14 @@
         .collect()
 }
 
-fn daemon_process(vm: &str, incarnation: u64) -> DaemonLife {
-    DaemonLife {
+fn daemon_process(vm: &str, incarnation: u64) -> DaemonIncarnation {
+    DaemonIncarnation {
         vm: vm.into(),
         incarnation: Incarnation(incarnation),
     }
 }
 
-fn report(daemon: DaemonLife, first_open: u64, entries: &[(&str, u32)]) -> UsageReport {
+fn report(daemon: DaemonIncarnation, first_open: u64, entries: &[(&str, u32)]) -> UsageReport {
     UsageReport {
         daemon,
         first_open: UsageWindow(first_open),
@@ -195,7 +197,7 @@
 /// A successor repeats the newest windows and awaits as many daemons as its predecessor.
 #[test]
 fn a_successor_inherits_the_newest_windows_and_the_daemon_count() {
-    let mut state = DutyState::first(daemon_process("vm-1", 1));
+    let mut state = DutyState::initial(daemon_process("vm-1", 1));
     for window in 0..10 {
         let usage = WindowUsage {
             window: UsageWindow(window),
@@ -203,15 +205,15 @@
         };
         state = state.with_window(usage, 88);
     }
-    let state = state.taken_over(daemon_process("vm-2", 5));
+    let state = state.with_holder(daemon_process("vm-2", 5));
     assert_eq!(state.holder, daemon_process("vm-2", 5));
     assert_eq!(state.newest_window(), Some(UsageWindow(9)));
-    assert_eq!((state.told.len(), state.daemons), (4, 88));
+    assert_eq!((state.submitted_windows.len(), state.daemons), (4, 88));
 }
 
 /// Returns a failed run of a prompt whose first token was expected after 100 ms.
-fn failed_run(error: AttemptError, elapsed_ms: f64) -> Run {
-    Run::Failed(FailedRun {
+fn failed_run(error: AttemptError, elapsed_ms: f64) -> RunResult {
+    RunResult::Failed(FailedRun {
         error,
         elapsed_ms,
         expected_ms: 100.0,
@@ -222,26 +224,33 @@
 #[test]
 fn a_plain_request_counts_from_when_it_was_sent_with_any_result() {
     for run in [
-        Run::Answered(StatusCode::OK),
-        Run::Answered(StatusCode::INTERNAL_SERVER_ERROR),
+        RunResult::Answered(StatusCode::OK),
+        RunResult::Answered(StatusCode::INTERNAL_SERVER_ERROR),
         failed_run(AttemptError::Broken, 1.0),
         failed_run(AttemptError::TimedOut, 800.0),
     ] {
-        assert_eq!(began(true, run), Some(Began::WhenSent), "{run:?}");
+        assert_eq!(
+            usage_start(true, run),
+            Some(UsageStart::WhenSent),
+            "{run:?}"
+        );
     }
 }
 
 /// A successful status alone doesn't show that the prompt has its first token.
 #[test]
 fn a_prompt_counts_with_its_first_token_not_its_response_head() {
-    assert_eq!(began(false, Run::Answered(StatusCode::OK)), None);
+    assert_eq!(
+        usage_start(false, RunResult::Answered(StatusCode::OK)),
+        None
+    );
 }
 
 /// Where engines failed 0.45 of their requests, windows were 0.27 too low without these.
 #[test]
 fn a_prompt_answered_with_a_server_error_has_started() {
-    let run = Run::Answered(StatusCode::INTERNAL_SERVER_ERROR);
-    assert_eq!(began(false, run), Some(Began::Now));
+    let run = RunResult::Answered(StatusCode::INTERNAL_SERVER_ERROR);
+    assert_eq!(usage_start(false, run), Some(UsageStart::Now));
 }
 
 /// Engines that go down and up break connections at once: windows were 0.37 too high. Engines whose
@@ -254,11 +263,19 @@
         AttemptError::TimedOut,
         AttemptError::Silent,
     ] {
-        assert_eq!(began(false, failed_run(error, 2.0)), None, "{error:?}");
-        assert_eq!(began(false, failed_run(error, 59.0)), None, "{error:?}");
+        assert_eq!(
+            usage_start(false, failed_run(error, 2.0)),
+            None,
+            "{error:?}"
+        );
+        assert_eq!(
+            usage_start(false, failed_run(error, 59.0)),
+            None,
+            "{error:?}"
+        );
         let late = failed_run(error, 60.0);
-        assert_eq!(began(false, late), Some(Began::Now), "{error:?}");
+        assert_eq!(usage_start(false, late), Some(UsageStart::Now), "{error:?}");
     }
     let crossed = failed_run(AttemptError::Crossed, 3_000.0);
-    assert_eq!(began(false, crossed), None);
+    assert_eq!(usage_start(false, crossed), None);
 }
--- a/crates/gateway/tests/endpoint_leaving.rs
+++ b/crates/gateway/tests/endpoint_leaving.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 use support::client::{Client, Got, request};
 use support::endpoint::{Act, Endpoint, answer};
-use support::source::{KEY, Life, ScriptedSource, plain_route};
+use support::source::{IncarnationRecord, KEY, ScriptedSource, plain_route};
 use support::{Running, start};
 
 const STARTED_AT: u64 = 1_780_000_000_000;
 
-fn incarnation(born: u64, sequence: u64) -> Life {
-    Life {
-        born: Some(born),
+fn incarnation(started_at: u64, sequence: u64) -> IncarnationRecord {
+    IncarnationRecord {
+        started_at: Some(started_at),
         sequence,
         is_draining: false,
     }
--- a/crates/gateway/tests/endpoint_limits.rs
+++ b/crates/gateway/tests/endpoint_limits.rs
@@ -5,7 +5,7 @@
 
 use bridgevane_gateway::RateLimitState;
 use bridgevane_gateway::Repeatability::AtMostOnce;
-use bridgevane_gateway::decisions::eligibility::rate_limit::{LimitObservation, NamedLimit};
+use bridgevane_gateway::decisions::eligibility::rate_limit::{AnnouncedLimit, LimitObservation};
 use bridgevane_types::{RequestsPerSecond, TimeMs};
 use futures_util::future::join_all;
 use std::time::Duration;
@@ -171,7 +171,7 @@
 fn observation_after(reported: &[LimitObservation]) -> Option<LimitObservation> {
     let state = RateLimitState::default();
     for reported in reported {
-        state.on_told(TimeMs(20_000), *reported, || 0.5);
+        state.on_peer_observation(TimeMs(20_000), *reported, || 0.5);
     }
     state.observation(TimeMs(20_000))
 }
@@ -213,8 +213,8 @@
 #[test]
 fn the_end_of_a_limit_expires() {
     let state = RateLimitState::default();
-    state.on_told(TimeMs(10_000), observation(Some(1.0), 10_000), || 0.5);
-    state.on_answer(TimeMs(12_000), TimeMs(11_900), NamedLimit::None, || 0.5);
+    state.on_peer_observation(TimeMs(10_000), observation(Some(1.0), 10_000), || 0.5);
+    state.on_answer(TimeMs(12_000), TimeMs(11_900), AnnouncedLimit::None, || 0.5);
     assert!(!state.is_limited());
     assert_eq!(
         state.observation(TimeMs(41_000)),
--- a/crates/gateway/tests/endpoint_lives.rs
+++ b/crates/gateway/tests/endpoint_lives.rs
@@ -8,20 +8,20 @@
 use std::time::Duration;
 use support::client::{Client, request};
 use support::endpoint::{Act, Endpoint, answer};
-use support::source::{KEY, Life, ScriptedSource, plain_route};
+use support::source::{IncarnationRecord, KEY, ScriptedSource, plain_route};
 use support::{Running, start};
 
 const STARTED_AT: u64 = 1_780_000_000_000;
 
-fn incarnation(born: u64, sequence: u64) -> Life {
-    Life {
-        born: Some(born),
+fn incarnation(started_at: u64, sequence: u64) -> IncarnationRecord {
+    IncarnationRecord {
+        started_at: Some(started_at),
         sequence,
         is_draining: false,
     }
 }
 
-async fn start_gateway(first: Life) -> (Running, Endpoint) {
+async fn start_gateway(first: IncarnationRecord) -> (Running, Endpoint) {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("often", Idempotent, 1)], &[KEY]);
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
@@ -84,7 +84,7 @@
 async fn a_late_record_of_an_earlier_incarnation_changes_nothing() {
     let (running, second) = start_gateway(incarnation(STARTED_AT + 4_000, 3)).await;
     let gone = Endpoint::start(|_| vec![Act::Hang]).await;
-    let leaving = Life {
+    let leaving = IncarnationRecord {
         is_draining: true,
         ..incarnation(STARTED_AT, 1_000)
     };
@@ -118,7 +118,7 @@
         Arc::ptr_eq(&before, &after),
         "the same endpoints may get requests"
     );
-    let leaving = Life {
+    let leaving = IncarnationRecord {
         is_draining: true,
         ..incarnation(STARTED_AT, 3)
     };
@@ -133,8 +133,8 @@
 /// Guards against a new endpoint for each record if endpoints don't report when they started.
 #[tokio::test]
 async fn without_a_start_time_a_record_updates_the_same_endpoint() {
-    let without_start_time = |sequence| Life {
-        born: None,
+    let without_start_time = |sequence| IncarnationRecord {
+        started_at: None,
         sequence,
         is_draining: false,
     };
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -164,8 +164,17 @@
     assert!(!evacuations.end(&data_centre, Revision(4)));
     assert!(evacuations.contains(&data_centre));
     let no_records = HashSet::new();
-    assert!(evacuations.unlisted(&no_records, Revision(4)).is_empty());
-    assert_eq!(evacuations.unlisted(&no_records, Revision(5)).len(), 1);
+    assert!(
+        evacuations
+            .ended_in_full_state(&no_records, Revision(4))
+            .is_empty()
+    );
+    assert_eq!(
+        evacuations
+            .ended_in_full_state(&no_records, Revision(5))
+            .len(),
+        1
+    );
     assert!(evacuations.end(&data_centre, Revision(6)));
     assert!(!evacuations.begin(&data_centre, Revision(5)));
     assert!(!evacuations.contains(&data_centre));
--- a/crates/gateway/tests/region_limits.rs
+++ b/crates/gateway/tests/region_limits.rs
@@ -47,7 +47,7 @@
             data_centre: &DataCentreId::from("dc-2"),
             prompt,
             tried: &tried,
-            lost_in: &[],
+            data_centres_with_lost_endpoints: &[],
             region_limits: RegionLimits {
                 regions: &regions,
                 route,
--- a/crates/gateway/tests/replica.rs
+++ b/crates/gateway/tests/replica.rs
@@ -1,8 +1,8 @@
 //! Updates between replicas: patches, removals, full states and their messages.
 
 use bridgevane_gateway::{
-    Changes, FullState, MessageError, Patch, PatchDoesNotFit, RecordOutcome, Replica, Revision,
-    SourceRecord, Update, put_update, take_update, update_parts,
+    ChangedValue, Changes, FullState, MessageError, Patch, PatchDoesNotFit, Replica, ReplicaUpdate,
+    Revision, SourceRecord, decode_update, encode_update, encode_update_parts,
 };
 use bridgevane_protocol::{MAX_FRAME_BYTES, RecordsAnswer};
 use bytes::Bytes;
@@ -43,13 +43,13 @@
 /// Brings a replica up to date from another one; returns false if its update was too old.
 fn follow(upstream: &Replica, downstream: &mut Replica) -> bool {
     match upstream.update_since(downstream.revision()) {
-        Update::Full(all) => {
+        ReplicaUpdate::Full(all) => {
             let records = downstream
                 .resolve(all)
                 .expect("whole values always resolve");
             downstream.replace(&full_state(upstream.revision().0, records))
         }
-        Update::Changes(newer) => {
+        ReplicaUpdate::Changes(newer) => {
             let records = downstream.resolve(newer).expect("the patches fit");
             downstream.apply(changes(upstream.revision().0, records));
             true
@@ -57,7 +57,7 @@
     }
 }
 
-fn full_update(replica: &Replica) -> Update {
+fn full_update(replica: &Replica) -> ReplicaUpdate {
     replica.update_since(Revision(0))
 }
 
@@ -104,10 +104,10 @@
         record("worker", 8, Some("here")),
     ];
     upstream.apply(changes(9, new_records));
-    let Update::Changes(newer) = upstream.update_since(downstream.revision()) else {
+    let ReplicaUpdate::Changes(newer) = upstream.update_since(downstream.revision()) else {
         panic!("a follower slightly behind gets changes");
     };
-    let is_patch = |at: usize| matches!(newer[at].outcome, RecordOutcome::Patched { .. });
+    let is_patch = |at: usize| matches!(newer[at].outcome, ChangedValue::Patched { .. });
     assert!(is_patch(0) && is_patch(1), "both changes are patches");
     assert!(follow(&upstream, &mut downstream));
     assert_eq!(downstream.revision(), Revision(9));
@@ -128,7 +128,7 @@
         upstream.apply(changes(revision, new_records));
     }
     upstream.apply(changes(2_000, vec![record("worker", 2_000, None)]));
-    let Update::Changes(missing) = upstream.update_since(downstream.revision()) else {
+    let ReplicaUpdate::Changes(missing) = upstream.update_since(downstream.revision()) else {
         panic!("the removal is remembered");
     };
     let keys: Vec<&str> = missing.iter().map(|change| change.key.as_str()).collect();
@@ -160,7 +160,7 @@
     }
     assert!(matches!(
         upstream.update_since(downstream.revision()),
-        Update::Full(_)
+        ReplicaUpdate::Full(_)
     ));
     assert!(follow(&upstream, &mut downstream));
     assert_eq!(full_update(&downstream), full_update(&upstream));
@@ -191,7 +191,7 @@
         revision += 3;
         upstream.apply(changes(revision, new_records));
     }
-    let Update::Changes(missing) = upstream.update_since(downstream.revision()) else {
+    let ReplicaUpdate::Changes(missing) = upstream.update_since(downstream.revision()) else {
         panic!("the full state has {ENDPOINTS} records");
     };
     assert_eq!(missing.len() as u64, 2 * RELEASED);
@@ -215,7 +215,7 @@
         9,
         vec![here("a", 1), here("c", 8), here("d", 7)],
     ));
-    let Update::Changes(missing) = upstream.update_since(downstream.revision()) else {
+    let ReplicaUpdate::Changes(missing) = upstream.update_since(downstream.revision()) else {
         panic!("the follower had the state before");
     };
     let keys: Vec<&str> = missing.iter().map(|change| change.key.as_str()).collect();
@@ -225,7 +225,7 @@
     // A follower between the two states may hold records that upstream never saw.
     assert!(matches!(
         upstream.update_since(Revision(5)),
-        Update::Full(_)
+        ReplicaUpdate::Full(_)
     ));
 }
 
@@ -281,10 +281,10 @@
 /// Follows as daemons do: requests the full state if a patch doesn't fit, because the replica holds
 /// a record that is newer than its revision.
 fn follow_or_resync(upstream: &Replica, downstream: &mut Replica) {
-    if let Update::Changes(newer) = upstream.update_since(downstream.revision())
+    if let ReplicaUpdate::Changes(newer) = upstream.update_since(downstream.revision())
         && downstream.resolve(newer).is_err()
     {
-        let Update::Full(all) = full_update(upstream) else {
+        let ReplicaUpdate::Full(all) = full_update(upstream) else {
             panic!("the full state was requested");
         };
         let records = downstream
@@ -332,7 +332,7 @@
     let mut own = Replica::default();
     own.replace(&full_state(5, vec![record("worker", 4, Some("here"))]));
     own.apply(changes(6, vec![record("worker", 6, None)]));
-    let Update::Full(all) = full_update(&old) else {
+    let ReplicaUpdate::Full(all) = full_update(&old) else {
         panic!("the full state was requested");
     };
     let records = own.resolve(all).expect("whole values always resolve");
@@ -342,7 +342,7 @@
     );
     assert!(own.apply(changes(5, records)).is_empty(), "older changes");
     assert_eq!(own.revision(), Revision(6));
-    assert_eq!(full_update(&own), Update::Full(vec![]));
+    assert_eq!(full_update(&own), ReplicaUpdate::Full(vec![]));
 }
 
 /// Guards against packed updates that lose records, and against packing small ones.
@@ -355,10 +355,10 @@
     for (after, is_packed) in [(0, true), (200, false)] {
         let update = upstream.update_since(Revision(after));
         let mut answer = RecordsAnswer::default();
-        put_update(&mut answer, update.clone());
+        encode_update(&mut answer, update.clone());
         assert_eq!(!answer.packed_records.is_empty(), is_packed);
         assert!(answer.packed_records.len() < 6_000);
-        assert_eq!(take_update(&mut [answer]), Ok(update));
+        assert_eq!(decode_update(&mut [answer]), Ok(update));
     }
 }
 
@@ -371,7 +371,7 @@
         packed_records: packed.into(),
         ..Default::default()
     };
-    assert_eq!(take_update(&mut [answer]), Err(MessageError::TooLarge));
+    assert_eq!(decode_update(&mut [answer]), Err(MessageError::TooLarge));
 }
 
 /// Guards against a full state that exceeds a frame: 40,000 endpoints, with records that pack
@@ -389,20 +389,20 @@
     upstream.replace(&full_state(40_000, endpoints.collect()));
     let update = full_update(&upstream);
     let mut whole = RecordsAnswer::default();
-    put_update(&mut whole, update.clone());
+    encode_update(&mut whole, update.clone());
     assert!(whole.encoded_len() > MAX_FRAME_BYTES, "larger than a frame");
-    let mut parts = update_parts(update.clone());
+    let mut parts = encode_update_parts(update.clone());
     for (at, part) in parts.iter().enumerate() {
         assert!(part.encoded_len() < 300_000, "part {at}");
         assert_eq!(part.has_more, at + 1 < parts.len());
     }
-    assert_eq!(take_update(&mut parts), Ok(update));
+    assert_eq!(decode_update(&mut parts), Ok(update));
 }
 
 /// Guards against an update without records that sends no message at all.
 #[test]
 fn an_update_without_records_is_one_message() {
-    let parts = update_parts(Update::Changes(Vec::new()));
+    let parts = encode_update_parts(ReplicaUpdate::Changes(Vec::new()));
     assert_eq!(parts.len(), 1);
     assert!(!parts[0].has_more);
 }
@@ -415,10 +415,10 @@
         let records = (1..=20).map(|at| record(&format!("worker-{at}"), at, Some(&value)));
         let mut replica = Replica::default();
         replica.replace(&full_state(20, records.collect()));
-        update_parts(full_update(&replica))
+        encode_update_parts(full_update(&replica))
     };
     let mut parts: Vec<RecordsAnswer> = (0..5).flat_map(|_| update()).collect();
-    assert_eq!(take_update(&mut parts), Err(MessageError::TooLarge));
+    assert_eq!(decode_update(&mut parts), Err(MessageError::TooLarge));
 }
 
 /// Guards against a corrupt value from a patch that was made for another revision.
@@ -430,7 +430,7 @@
         vec![record("document", 5, Some(&document(1)))],
     ));
     upstream.apply(changes(6, vec![record("document", 6, Some(&document(2)))]));
-    let Update::Changes(newer) = upstream.update_since(Revision(5)) else {
+    let ReplicaUpdate::Changes(newer) = upstream.update_since(Revision(5)) else {
         panic!("a follower slightly behind gets changes");
     };
     let mut other = Replica::default();
--- a/crates/gateway/tests/resend.rs
+++ b/crates/gateway/tests/resend.rs
@@ -224,8 +224,8 @@
         RefusalReason::NoEndpoint,
         RefusalReason::Overloaded,
     ] {
-        assert_eq!(reason.unless_run(0), reason);
-        assert_eq!(reason.unless_run(1), RefusalReason::OutcomeUnknown);
+        assert_eq!(reason.or_unknown_if_run(0), reason);
+        assert_eq!(reason.or_unknown_if_run(1), RefusalReason::OutcomeUnknown);
     }
     assert_eq!(RefusalReason::out_of_time(0), RefusalReason::Expired);
     assert_eq!(RefusalReason::out_of_time(1), RefusalReason::TimedOut);
--- a/crates/gateway/tests/support/duty_sim/daemon.rs
+++ b/crates/gateway/tests/support/duty_sim/daemon.rs
@@ -72,7 +72,9 @@
                 loop {
                     sleep(interval).await;
                     let now = counting_gateway.clock.now();
-                    counting_gateway.duty_book.on_request_began(now, &customer);
+                    counting_gateway
+                        .usage_tracker
+                        .on_request_began(now, &customer);
                 }
             }),
         ];
--- a/crates/gateway/tests/support/duty_sim/store.rs
+++ b/crates/gateway/tests/support/duty_sim/store.rs
@@ -131,7 +131,7 @@
             .into_iter()
             .any(|lease| !self.leases.contains_key(&lease.0))
         {
-            return TransactionOutcome::NoLease;
+            return TransactionOutcome::LeaseEnded;
         }
         self.revision += 1;
         for put in &transaction.puts {
@@ -276,7 +276,7 @@
                 *ends_at = Instant::now() + super::LEASE;
                 LeaseRenewal::Renewed
             }
-            None => LeaseRenewal::Gone,
+            None => LeaseRenewal::Ended,
         })
         .await
     }
@@ -314,7 +314,7 @@
 }
 
 impl DutyPlatform for PlatformClient {
-    async fn tell_usage(
+    async fn submit_usage(
         &self,
         credentials: &Credentials,
         usage: &WindowUsage,
@@ -365,7 +365,7 @@
 /// Returns the service's only engine.
 fn engine() -> EndpointRecord {
     EndpointRecord {
-        born: None,
+        started_at: None,
         sequence: None,
         id: "e-1".into(),
         service: "model".into(),
@@ -435,7 +435,7 @@
         }
         Some(match &record.value {
             Some(value) => Change::DutyHolder(HolderRecord::decode(value).ok()?),
-            None => Change::DutyHolderGone,
+            None => Change::DutyHolderRemoved,
         })
     }
 }
--- a/crates/gateway/tests/support/records.rs
+++ b/crates/gateway/tests/support/records.rs
@@ -8,7 +8,7 @@
 /// Returns the record of endpoint number `at` with the given number of slots.
 pub fn record(at: u32, data_centre: &str, slots: u32) -> EndpointRecord {
     EndpointRecord {
-        born: None,
+        started_at: None,
         sequence: None,
         id: format!("e-{at}").as_str().into(),
         service: "model".into(),
--- a/crates/gateway/tests/support/retry_fleet.rs
+++ b/crates/gateway/tests/support/retry_fleet.rs
@@ -256,7 +256,7 @@
                 budgets.on_request(now, &self.service);
             }
             if is_retrying {
-                let granted = |_: &usize| budgets.take(now, &self.service).is_granted;
+                let granted = |_: &usize| budgets.withdraw(now, &self.service).is_granted;
                 retries += (0..MAX_RETRIES_PER_STEP).take_while(granted).count() as u64;
             }
         }
--- a/crates/gateway/tests/support/source.rs
+++ b/crates/gateway/tests/support/source.rs
@@ -27,8 +27,8 @@
 
 /// The fields of an endpoint's record that differ between its incarnations.
 #[derive(Clone, Copy, Debug)]
-pub struct Life {
-    pub born: Option<u64>,
+pub struct IncarnationRecord {
+    pub started_at: Option<u64>,
     pub sequence: u64,
     pub is_draining: bool,
 }
@@ -79,15 +79,15 @@
         let (key, is_gone) = match &change {
             Change::Routing(_) | Change::Unreadable(_) => (CONFIG.to_owned(), false),
             Change::DutyHolder(_) => (DUTY_HOLDER.to_owned(), false),
-            Change::DutyHolderGone => (DUTY_HOLDER.to_owned(), true),
+            Change::DutyHolderRemoved => (DUTY_HOLDER.to_owned(), true),
             Change::Quarantined(request) => (format!("quarantine/{request}"), false),
-            Change::QuarantineOver(request) => (format!("quarantine/{request}"), true),
+            Change::QuarantineEnded(request) => (format!("quarantine/{request}"), true),
             Change::Endpoint(record) => (record.id.to_string(), false),
-            Change::EndpointGone(id) => (id.to_string(), true),
-            Change::NoEndpoint(id, _) => (id.to_string(), false),
-            Change::Evacuated(data_centre) => (evacuation_key(data_centre), false),
-            Change::NoEvacuation(data_centre) => (evacuation_key(data_centre), false),
-            Change::EvacuationOver(data_centre) => (evacuation_key(data_centre), true),
+            Change::EndpointRemoved(id) => (id.to_string(), true),
+            Change::InvalidEndpoint(id, _) => (id.to_string(), false),
+            Change::EvacuationStarted(data_centre) => (evacuation_key(data_centre), false),
+            Change::InvalidEvacuation(data_centre) => (evacuation_key(data_centre), false),
+            Change::EvacuationEnded(data_centre) => (evacuation_key(data_centre), true),
         };
         // The value is the position of the change in the log.
         let value = (!is_gone).then(|| revision.0.to_string().into());
@@ -144,17 +144,17 @@
 
     /// Starts the evacuation of a data centre.
     pub fn evacuate(&self, data_centre: &str) {
-        self.put(Change::Evacuated(data_centre.into()));
+        self.put(Change::EvacuationStarted(data_centre.into()));
     }
 
     /// Ends the evacuation of a data centre.
     pub fn take_back(&self, data_centre: &str) {
-        self.put(Change::EvacuationOver(data_centre.into()));
+        self.put(Change::EvacuationEnded(data_centre.into()));
     }
 
     /// Makes the record of an evacuation unreadable.
     pub fn spoil_evacuation(&self, data_centre: &str) {
-        self.put(Change::NoEvacuation(data_centre.into()));
+        self.put(Change::InvalidEvacuation(data_centre.into()));
     }
 
     /// Drops the history of changes: the next wait fails, and the daemon reads the full state.
@@ -164,9 +164,9 @@
     }
 
     /// Publishes the record of one incarnation of an endpoint.
-    pub fn life(&self, id: &str, service: &str, address: SocketAddr, life: Life) {
+    pub fn life(&self, id: &str, service: &str, address: SocketAddr, life: IncarnationRecord) {
         self.put(Change::Endpoint(EndpointRecord {
-            born: life.born.map(WallTimeMs),
+            started_at: life.started_at.map(WallTimeMs),
             sequence: Some(life.sequence),
             ..record(id, service, address, life.is_draining)
         }));
@@ -179,7 +179,7 @@
 
     /// Removes an endpoint's record.
     pub fn gone(&self, id: &str) {
-        self.put(Change::EndpointGone(EndpointId::from(id)));
+        self.put(Change::EndpointRemoved(EndpointId::from(id)));
     }
 
     /// Makes all calls fail with this error from now on; none: they succeed.
@@ -237,7 +237,7 @@
 
 fn record(id: &str, service: &str, address: SocketAddr, is_draining: bool) -> EndpointRecord {
     EndpointRecord {
-        born: None,
+        started_at: None,
         sequence: None,
         id: EndpointId::from(id),
         service: service.into(),
@@ -265,7 +265,7 @@
         };
         for _ in 0..parts {
             tokio::time::sleep(duration / parts).await;
-            progress.on_part();
+            progress.count_part();
         }
         let state = self.state.lock().unwrap();
         let mut newest: HashMap<String, SourceRecord> = HashMap::new();
@@ -302,8 +302,8 @@
     fn decode(&self, record: &SourceRecord) -> Option<Change> {
         let Some(value) = &record.value else {
             return Some(match record.key.strip_prefix(EVACUATION_PREFIX) {
-                Some(data_centre) => Change::EvacuationOver(data_centre.into()),
-                None => Change::EndpointGone(EndpointId::from(record.key.as_str())),
+                Some(data_centre) => Change::EvacuationEnded(data_centre.into()),
+                None => Change::EndpointRemoved(EndpointId::from(record.key.as_str())),
             });
         };
         let revision: usize = std::str::from_utf8(value).ok()?.parse().ok()?;
--- a/crates/gateway/tests/support/tree_sim/mod.rs
+++ b/crates/gateway/tests/support/tree_sim/mod.rs
@@ -11,9 +11,9 @@
 mod views;
 
 use bridgevane_gateway::decisions::replication::followers::{
-    Follower, FollowerPlacement, Followers, Tree,
+    Follower, FollowerPlacement, Followers, Subtree,
 };
-use bridgevane_gateway::decisions::replication::hold::hold;
+use bridgevane_gateway::decisions::replication::hold::max_hold;
 use bridgevane_gateway::decisions::replication::proof_limits::ProofLimits;
 use bridgevane_gateway::decisions::replication::source_pacing::{SourceCaller, watch_wait};
 use bridgevane_gateway::decisions::replication::source_path::SourcePath;
@@ -462,7 +462,7 @@
                     // The parent changed, so this is a new connection.
                     self.daemons[parent].sent_proofs.remove(&at);
                 }
-                if let Some(turn) = self.daemons[at].selector.source_turn(now) {
+                if let Some(turn) = self.daemons[at].selector.source_slot_at(now) {
                     let event = Event::SourceSlot {
                         daemon: at,
                         incarnation,
@@ -479,7 +479,7 @@
     fn end_step(&mut self, at: usize, incarnation: u32) {
         let daemon = &mut self.daemons[at];
         daemon.is_polling = false;
-        let delay = if daemon.selector.take_pause() {
+        let delay = if daemon.selector.take_pause_request() {
             let pause = daemon.pause_ms;
             daemon.pause_ms = (pause * 2).min(MAX_PAUSE_MS);
             pause
--- a/crates/gateway/tests/support/tree_sim/peers.rs
+++ b/crates/gateway/tests/support/tree_sim/peers.rs
@@ -89,23 +89,23 @@
             let answer = Answer::Position(self.report(to, None));
             return self.send(to, from, incarnation, poll, answer, true);
         }
-        let tree = self.daemons[from]
+        let subtree = self.daemons[from]
             .followers
-            .tree(now, Default::default(), |_| true);
+            .subtree(now, Default::default(), |_| true);
         let follower = Follower {
             vm: self.daemons[from].vm.clone(),
             data_centre: self.daemons[from].data_centre.clone(),
             address: asking,
-            tree: Tree {
-                size: tree.size,
-                depth: tree.depth,
+            subtree: Subtree {
+                size: subtree.size,
+                depth: subtree.depth,
                 work: Default::default(),
             },
         };
         let answering = &mut self.daemons[to];
         let path = answering.selector.path();
         match answering.followers.place(now, follower, &path) {
-            FollowerPlacement::Circle => {
+            FollowerPlacement::Cycle => {
                 let answer = Answer::Position(self.report(to, None));
                 self.send(to, from, incarnation, poll, answer, false);
             }
@@ -128,14 +128,14 @@
                 } else {
                     let incarnation = answering.incarnation;
                     let proof_age = answering.proved_at.map(|proved_at| now.since(proved_at));
-                    let hold = hold(false, proof_age, self.limits);
+                    let max_hold = max_hold(false, proof_age, self.limits);
                     let event = Event::HoldEnds {
                         daemon: to,
                         incarnation,
                         from,
                         poll,
                     };
-                    self.schedule(hold.0, event);
+                    self.schedule(max_hold.0, event);
                 }
             }
         }
@@ -324,9 +324,9 @@
             }
             Answer::Position(report) if is_probe => daemon.selector.on_probed(now, peer, &report),
             Answer::Position(report) | Answer::Records { report, .. }
-                if daemon.selector.leads_back(&report.path) =>
+                if daemon.selector.is_in_path(&report.path) =>
             {
-                daemon.selector.on_circle(now, peer);
+                daemon.selector.on_cycle(now, peer);
                 daemon.parent = None;
                 self.cycles_left += 1;
             }
--- a/crates/gateway/tests/tie_break.rs
+++ b/crates/gateway/tests/tie_break.rs
@@ -49,7 +49,7 @@
             data_centre: &DataCentreId::from("dc-0"),
             prompt,
             tried: &[],
-            lost_in: &[],
+            data_centres_with_lost_endpoints: &[],
             region_limits: RegionLimits::EVERYWHERE,
             daemons: Some(1),
             cold: None,
--- a/crates/gateway/tests/upstream.rs
+++ b/crates/gateway/tests/upstream.rs
@@ -1,9 +1,9 @@
 //! Selection of the upstream: seeds, parents, probes, the source, and followers.
 
 use bridgevane_gateway::decisions::replication::followers::{
-    Follower, FollowerPlacement, Followers, Tree,
+    Follower, FollowerPlacement, Followers, Subtree,
 };
-use bridgevane_gateway::decisions::replication::hold::hold;
+use bridgevane_gateway::decisions::replication::hold::max_hold;
 use bridgevane_gateway::decisions::replication::proof_limits::ProofLimits;
 use bridgevane_gateway::decisions::replication::source_pacing::{SourceCaller, watch_wait};
 use bridgevane_gateway::decisions::replication::source_path::{SourcePath, needed_depth};
@@ -94,7 +94,7 @@
             Upstream::Probe(address) => {
                 failed.push(address);
                 selector.on_peer_failed(now, address);
-                if selector.take_pause() {
+                if selector.take_pause_request() {
                     return (failed, selector.select(now));
                 }
             }
@@ -197,7 +197,7 @@
     selector.on_peer_answered(LATER, address(20), &report("dc-1", FRESH));
     assert_eq!(selector.select(LATER), Upstream::Peer(address(20)));
     selector.on_peer_failed(LATER, address(20));
-    assert!(!selector.take_pause(), "no pause");
+    assert!(!selector.take_pause_request(), "no pause");
     assert_eq!(
         adopt_fresh_seed(&mut selector, LATER),
         first,
@@ -383,8 +383,8 @@
     let (mut selector, parent) = with_fresh_parent(9, LATER);
     let mut descendant = report("dc-1", FRESH);
     descendant.path = path(&[20, 9, 1]);
-    assert!(selector.leads_back(&descendant.path));
-    selector.on_circle(LATER, parent);
+    assert!(selector.is_in_path(&descendant.path));
+    selector.on_cycle(LATER, parent);
     let next = expect_probe(selector.select(LATER));
     selector.on_probed(LATER, next, &descendant);
     assert_ne!(
@@ -403,8 +403,8 @@
         redirecting.redirect = Some(address(20));
         selector.on_peer_answered(LATER, seed, &redirecting);
         assert_eq!(selector.select(LATER), Upstream::Peer(address(20)));
-        selector.on_circle(LATER, address(20));
-        assert!(selector.take_pause(), "a pause is due");
+        selector.on_cycle(LATER, address(20));
+        assert!(selector.take_pause_request(), "a pause is due");
         let (probed, _) = fail_probes(&mut selector, LATER + DurationMs(waits_ms));
         assert!(!probed.is_empty());
         assert_eq!(probed.contains(&seed), is_asked, "after {waits_ms} ms");
@@ -454,7 +454,7 @@
             }
             other => return other,
         }
-        if selector.take_pause() {
+        if selector.take_pause_request() {
             break;
         }
     }
@@ -493,28 +493,28 @@
 #[test]
 fn a_poll_of_a_stale_parent_ends_at_the_slot_at_the_source() {
     let (mut selector, parent) = with_fresh_parent(9, LATER);
-    assert_eq!(selector.source_turn(LATER), None, "the parent is fresh");
+    assert_eq!(selector.source_slot_at(LATER), None, "the parent is fresh");
     let stale = LATER + DurationMs(limits().leave_from.0);
     assert_eq!(
-        selector.source_turn(stale),
+        selector.source_slot_at(stale),
         None,
         "no search has failed yet"
     );
     let mut now = stale;
-    while selector.source_turn(now).is_none() {
+    while selector.source_slot_at(now).is_none() {
         let upstream = selector.select(now);
         answer_stale(&mut selector, now, upstream);
         now = now + DurationMs(10);
         assert!(now < stale + DurationMs(1_000), "it gets no slot");
     }
-    let slot = selector.source_turn(now).expect("a slot");
+    let slot = selector.source_slot_at(now).expect("a slot");
     assert_eq!(
         selector.select(now),
         Upstream::Peer(parent),
         "the parent is polled before the slot"
     );
     assert_eq!(selector.select(slot), Upstream::Source);
-    assert_eq!(selector.source_turn(slot), None, "the slot is due");
+    assert_eq!(selector.source_slot_at(slot), None, "the slot is due");
 }
 
 /// A daemon deeper than the fleet needs has nothing to gain from its own parent's place.
@@ -664,7 +664,7 @@
 #[test]
 fn a_poll_is_held_no_longer_than_the_proof_lasts() {
     let limits = limits();
-    let aged = |age: u64| hold(false, Some(DurationMs(age)), limits).0;
+    let aged = |age: u64| max_hold(false, Some(DurationMs(age)), limits).0;
     assert_eq!(aged(0), 600);
     assert_eq!(aged(limits.leave_from.0 - 600), 600);
     assert_eq!(aged(limits.leave_from.0 - 50), 50);
@@ -673,8 +673,8 @@
         600,
         "its followers are already searching"
     );
-    assert_eq!(hold(true, Some(DurationMs(0)), limits), DurationMs(200));
-    assert_eq!(hold(false, None, limits), DurationMs(600));
+    assert_eq!(max_hold(true, Some(DurationMs(0)), limits), DurationMs(200));
+    assert_eq!(max_hold(false, None, limits), DurationMs(600));
 }
 
 /// What changed in an outage must soon be in force after it, also on daemons that kept serving.
@@ -704,7 +704,7 @@
         vm: vm.into(),
         data_centre: data_centre.into(),
         address: address(at),
-        tree: Tree {
+        subtree: Subtree {
             size: 3,
             depth: 2,
             work: work(3_000),
@@ -712,8 +712,8 @@
     }
 }
 
-fn subtree(followers: &Followers, now: TimeMs) -> Tree {
-    followers.tree(now, WorkByEndpoint::default(), |_| true)
+fn subtree(followers: &Followers, now: TimeMs) -> Subtree {
+    followers.subtree(now, WorkByEndpoint::default(), |_| true)
 }
 
 /// The size, depth and work of a subtree must include each follower's own subtree, and no expired
@@ -754,25 +754,25 @@
         work.add(EndpointHash(7), at_endpoint);
         work
     };
-    let follower_with = |at: u16, tree: Tree| Follower {
-        tree,
+    let follower_with = |at: u16, subtree: Subtree| Follower {
+        subtree,
         ..follower(&format!("vm-{at}"), "dc-1", at)
     };
     let mut one = Followers::new("dc-1".into());
     let mut two = Followers::new("dc-1".into());
     for _ in 0..50 {
-        let reported = one.tree(LATER, own(2), |follower| follower.address != address(2));
+        let reported = one.subtree(LATER, own(2), |follower| follower.address != address(2));
         two.place(LATER, follower_with(1, reported), &SourcePath::direct());
-        let reported = two.tree(LATER, own(3), |follower| follower.address != address(1));
+        let reported = two.subtree(LATER, own(3), |follower| follower.address != address(1));
         one.place(LATER, follower_with(2, reported), &SourcePath::direct());
     }
-    assert_eq!(one.tree(LATER, own(2), |_| true).work, own(5));
+    assert_eq!(one.subtree(LATER, own(2), |_| true).work, own(5));
     // A cycle of three: each daemon leaves out only the reports of the daemon that it reports to.
     let mut daemons = [(); 3].map(|()| Followers::new("dc-1".into()));
     for round in 0..150_u16 {
         let (from, to) = (round % 3, (round + 1) % 3);
         let reported = daemons[usize::from(from)]
-            .tree(LATER, own(1), |follower| follower.address != address(to));
+            .subtree(LATER, own(1), |follower| follower.address != address(to));
         daemons[usize::from(to)].place(LATER, follower_with(from, reported), &SourcePath::direct());
     }
     for followers in &daemons {
@@ -836,7 +836,7 @@
     let above = follower("vm-7", "dc-1", 7);
     let own_path = path(&[5, 7, 1]);
     let placed = followers.place(LATER, above, &own_path);
-    assert_eq!(placed, FollowerPlacement::Circle);
+    assert_eq!(placed, FollowerPlacement::Cycle);
     assert!(followers.is_empty());
 }
 
@@ -857,7 +857,7 @@
     let mut followers = Followers::new("dc-1".into());
     for at in 0..8 {
         let mut known = follower(&format!("vm-{at}"), "dc-1", at);
-        known.tree.size = if at == 5 { 2 } else { 7 };
+        known.subtree.size = if at == 5 { 2 } else { 7 };
         followers.place(LATER, known, &SourcePath::direct());
     }
     let placed = followers.place(LATER, follower("vm-9", "dc-1", 9), &SourcePath::direct());
--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -15,7 +15,7 @@
 use argh::FromArgs;
 use bridgevane_events::{Event, event};
 use bridgevane_gateway::{
-    Gateway, GatewaySettings, follow_control_source, hold_duties, report_last_usage, report_usage,
+    Gateway, GatewaySettings, follow_control_source, hold_duties, report_final_usage, report_usage,
     serve_clients, serve_peers, serve_readiness, stop_gracefully, store_quarantine,
     watch_suspension,
 };
@@ -225,6 +225,6 @@
     tokio::spawn(serve_clients(gateway.clone(), clients));
     signals::wait_for_stop_through_hang_ups().await?;
     stop_gracefully(gateway.clone()).await;
-    report_last_usage(gateway).await;
+    report_final_usage(gateway).await;
     Ok(())
 }
