--- a/crates/decisions/benches/decision.rs
+++ b/crates/decisions/benches/decision.rs
@@ -6,7 +6,7 @@
 
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, ClassIx, CustomerIx, Effect, KindIx, NoLog, Offer, Policy, Pool, PoolContext,
+    AttemptEnd, ClassIx, CustomerIx, Effect, KindIx, NoLog, Offer, Pool, PoolContext, Scheduler,
 };
 use bridgevane_types::{AttemptNumber, RequestId, TimeMs, Tokens};
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -84,7 +84,7 @@
         self.offer_next();
         if let Some((request, attempt)) = self.running.pop_front() {
             let end = AttemptEnd::Done(Tokens(150));
-            self.decide(|pool, context| pool.finished(context, request, attempt, end));
+            self.decide(|pool, context| pool.attempt_ended(context, request, attempt, end));
         }
     }
 }
--- a/crates/decisions/benches/memory.rs
+++ b/crates/decisions/benches/memory.rs
@@ -7,8 +7,8 @@
 
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, ClassIx, CustomerIx, Effect, EndpointIx, KindIx, NoLog, Offer, Policy, Pool,
-    PoolContext,
+    AttemptEnd, ClassIx, CustomerIx, Effect, EndpointIx, KindIx, NoLog, Offer, Pool, PoolContext,
+    Scheduler,
 };
 use bridgevane_types::{RequestId, TimeMs, Tokens};
 use sized_policy::{CUSTOMERS, TIERS, policy};
@@ -73,7 +73,7 @@
             } = effect
             {
                 let end = AttemptEnd::Done(Tokens(100));
-                self.decide(|pool, context| pool.finished(context, request, attempt, end));
+                self.decide(|pool, context| pool.attempt_ended(context, request, attempt, end));
             }
         }
     }
--- a/crates/decisions/benches/policies/main.rs
+++ b/crates/decisions/benches/policies/main.rs
@@ -6,7 +6,7 @@
 #[path = "../../tests/support/mod.rs"]
 mod support;
 
-use bridgevane_decisions::{Policy, Pool};
+use bridgevane_decisions::{Pool, Scheduler};
 use comfy_table::{Table, presets};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -59,7 +59,7 @@
     drive(setup, schedulers)
 }
 
-fn drive<P: Policy>(setup: Setup, schedulers: Vec<P>) -> RunResult {
+fn drive<P: Scheduler>(setup: Setup, schedulers: Vec<P>) -> RunResult {
     Driver::new(setup, schedulers).run()
 }
 
--- a/crates/decisions/src/crash_count.rs
+++ b/crates/decisions/src/crash_count.rs
@@ -1,13 +1,13 @@
 //! Crash count: which requests crash the endpoints that run them and must no longer be sent?
 //!
-//! Inputs: observations of this daemon and, in the gateway, of all other daemons ([`CrashNews`]):
+//! Inputs: observations of this daemon and, in the gateway, of all other daemons ([`CrashObservation`]):
 //! a request was running at an endpoint when the endpoint crashed; a request was answered
 //! successfully; a request is under quarantine. Each observation has a time by this daemon's clock
 //! (ms).
 //!
 //! Rules:
 //! - A request under which [`CRASHES_TO_QUARANTINE`] endpoints have crashed is put under quarantine
-//!   for [`QUARANTINE`]. A crash counts once per request and endpoint, however many daemons report
+//!   for [`QUARANTINE_DURATION`]. A crash counts once per request and endpoint, however many daemons report
 //!   it and however often: retries, hedges, resumed streams and repeated requests of the client all
 //!   count as one.
 //! - Crashes within [`SAME_CRASH_WINDOW`] count as one, unless the later run began after the
@@ -48,7 +48,7 @@
 /// The duration of a quarantine, and the time for which a crash counts. It is the longest lease of
 /// the users' store, under which a quarantine survives the restart of all daemons. A longer one
 /// would keep out requests that the engines may handle by then.
-pub const QUARANTINE: DurationMs = DurationMs(600_000);
+pub const QUARANTINE_DURATION: DurationMs = DurationMs(600_000);
 /// The maximum number of suspects, which have crashes and aren't under quarantine. Those with the
 /// fewest crashes are evicted first, then the oldest. Sixteen engines of 64 slots can crash at once
 /// with all of their requests. Takes 0.2 MB.
@@ -65,13 +65,13 @@
 
 /// One observation about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CrashNews<E> {
+pub struct CrashObservation<E> {
     /// The fingerprint of the request.
     pub request: RequestFingerprint,
     /// The time of the observation by this daemon's clock.
     pub at: TimeMs,
     /// The time at which the observed run of the request began; `None` if unknown.
-    pub began_at: Option<TimeMs>,
+    pub started_at: Option<TimeMs>,
     /// The observed fact.
     pub fact: CrashFact<E>,
 }
@@ -89,31 +89,31 @@
 
 /// The result of recording an observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NewsOutcome {
+pub enum ObservationOutcome {
     /// The observation changes nothing.
-    Known,
+    Ignored,
     /// The observation was recorded.
-    New,
+    Recorded,
     /// The observation put the request under quarantine.
-    Quarantines,
+    NewlyQuarantined,
 }
 
 /// The position up to which observations have been sent to another daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct NewsCursor(u64);
+pub struct ObservationCursor(u64);
 
 #[derive(Clone, Copy, Debug)]
 struct CountedCrash<E> {
     endpoint: E,
-    began_at: Option<TimeMs>,
+    started_at: Option<TimeMs>,
     at: TimeMs,
-    cursor: NewsCursor,
+    cursor: ObservationCursor,
 }
 
 #[derive(Clone, Debug)]
 struct Suspect<E> {
     crashes: Vec<CountedCrash<E>>,
-    served: Option<(TimeMs, NewsCursor)>,
+    served: Option<(TimeMs, ObservationCursor)>,
 }
 
 impl<E> Default for Suspect<E> {
@@ -146,7 +146,7 @@
         let mut distinct_crashes = 0;
         for crash in crashes {
             let is_later = last.is_none_or(|last| crash.at > last + SAME_CRASH_WINDOW);
-            let began_later = last.is_some() && crash.began_at >= last;
+            let began_later = last.is_some() && crash.started_at >= last;
             if is_later || began_later {
                 last = Some(crash.at);
                 distinct_crashes += 1;
@@ -163,14 +163,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Quarantined {
     since: TimeMs,
-    cursor: NewsCursor,
+    cursor: ObservationCursor,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct AttributedCrash {
     quarantined_request: RequestFingerprint,
     at: TimeMs,
-    cursor: NewsCursor,
+    cursor: ObservationCursor,
 }
 
 /// The crash counts of all requests; `E` identifies one incarnation of an endpoint.
@@ -179,7 +179,7 @@
     suspects: HashMap<RequestFingerprint, Suspect<E>>,
     quarantined: HashMap<RequestFingerprint, Quarantined>,
     attributed: HashMap<E, AttributedCrash>,
-    newest: NewsCursor,
+    newest: ObservationCursor,
 }
 
 impl<E> Default for CrashCount<E> {
@@ -188,16 +188,16 @@
             suspects: HashMap::new(),
             quarantined: HashMap::new(),
             attributed: HashMap::new(),
-            newest: NewsCursor::default(),
+            newest: ObservationCursor::default(),
         }
     }
 }
 
 impl<E: Copy + Eq + Hash> CrashCount<E> {
     /// Records an observation.
-    pub fn take(&mut self, now: TimeMs, observation: CrashNews<E>) -> NewsOutcome {
+    pub fn record(&mut self, now: TimeMs, observation: CrashObservation<E>) -> ObservationOutcome {
         if is_expired(now, observation.at) {
-            return NewsOutcome::Known;
+            return ObservationOutcome::Ignored;
         }
         match observation.fact {
             CrashFact::Crashed(endpoint) => self.on_crashed(observation, endpoint),
@@ -206,28 +206,28 @@
         }
     }
 
-    fn on_crashed(&mut self, observation: CrashNews<E>, endpoint: E) -> NewsOutcome {
+    fn on_crashed(&mut self, observation: CrashObservation<E>, endpoint: E) -> ObservationOutcome {
         if self.attributed.contains_key(&endpoint) {
-            return NewsOutcome::Known;
+            return ObservationOutcome::Ignored;
         }
         if let Some(quarantined) = self.quarantined.get(&observation.request) {
             // The crashes that led to the quarantine count for other requests, too: any of them may
             // be the cause.
             if observation.at <= quarantined.since {
-                return NewsOutcome::Known;
+                return ObservationOutcome::Ignored;
             }
             self.attribute_crash(observation, endpoint);
-            return NewsOutcome::New;
+            return ObservationOutcome::Recorded;
         }
         let cursor = self.next_cursor();
         let suspect = self.suspects.entry(observation.request).or_default();
         let is_full = suspect.crashes.len() >= MAX_CRASHES;
         if suspect.is_cleared_at(observation.at) || suspect.has_crash_of(endpoint) || is_full {
-            return NewsOutcome::Known;
+            return ObservationOutcome::Ignored;
         }
         suspect.crashes.push(CountedCrash {
             endpoint,
-            began_at: observation.began_at,
+            started_at: observation.started_at,
             at: observation.at,
             cursor,
         });
@@ -238,11 +238,11 @@
         evict_lowest_ranked(&mut self.suspects, MAX_SUSPECTS, |suspect| {
             (suspect.crashes.len(), suspect.last_observed_at())
         });
-        NewsOutcome::New
+        ObservationOutcome::Recorded
     }
 
     /// Attributes a crash to a request under quarantine, so that it counts for no other request.
-    fn attribute_crash(&mut self, observation: CrashNews<E>, endpoint: E) {
+    fn attribute_crash(&mut self, observation: CrashObservation<E>, endpoint: E) {
         let attributed = AttributedCrash {
             quarantined_request: observation.request,
             at: observation.at,
@@ -255,32 +255,32 @@
         }
     }
 
-    fn on_served(&mut self, observation: CrashNews<E>) -> NewsOutcome {
+    fn on_served(&mut self, observation: CrashObservation<E>) -> ObservationOutcome {
         let cursor = self.next_cursor();
         let Some(suspect) = self.suspects.get_mut(&observation.request) else {
-            return NewsOutcome::Known;
+            return ObservationOutcome::Ignored;
         };
         if suspect.is_cleared_at(observation.at) {
-            return NewsOutcome::Known;
+            return ObservationOutcome::Ignored;
         }
         suspect.served = Some((observation.at, cursor));
         suspect.crashes.retain(|crash| crash.at > observation.at);
-        NewsOutcome::New
+        ObservationOutcome::Recorded
     }
 
-    fn quarantine(&mut self, request: RequestFingerprint, since: TimeMs) -> NewsOutcome {
+    fn quarantine(&mut self, request: RequestFingerprint, since: TimeMs) -> ObservationOutcome {
         if self.quarantined.contains_key(&request) {
-            return NewsOutcome::Known;
+            return ObservationOutcome::Ignored;
         }
         self.suspects.remove(&request);
         let cursor = self.next_cursor();
         let quarantined = Quarantined { since, cursor };
         self.quarantined.insert(request, quarantined);
         evict_lowest_ranked(&mut self.quarantined, MAX_QUARANTINED, |known| known.since);
-        NewsOutcome::Quarantines
+        ObservationOutcome::NewlyQuarantined
     }
 
-    fn next_cursor(&mut self) -> NewsCursor {
+    fn next_cursor(&mut self) -> ObservationCursor {
         self.newest.0 += 1;
         self.newest
     }
@@ -321,16 +321,21 @@
     }
 
     /// Returns the position of the newest observation.
-    pub fn newest(&self) -> NewsCursor {
+    pub fn newest_cursor(&self) -> ObservationCursor {
         self.newest
     }
 
     /// Returns the oldest `max` observations after `cursor`, and the position that they reach.
-    pub fn news_after(&self, cursor: NewsCursor, max: usize) -> (Vec<CrashNews<E>>, NewsCursor) {
+    pub fn observations_after(
+        &self,
+        cursor: ObservationCursor,
+        max: usize,
+    ) -> (Vec<CrashObservation<E>>, ObservationCursor) {
         if cursor == self.newest {
             return (Vec::new(), cursor);
         }
-        let mut observations: Vec<(NewsCursor, CrashNews<E>)> = self.all_observations().collect();
+        let mut observations: Vec<(ObservationCursor, CrashObservation<E>)> =
+            self.all_observations().collect();
         observations.retain(|(at, _)| *at > cursor);
         observations.sort_unstable_by_key(|(at, _)| *at);
         let is_cut = observations.len() > max;
@@ -346,16 +351,16 @@
         )
     }
 
-    fn all_observations(&self) -> impl Iterator<Item = (NewsCursor, CrashNews<E>)> {
+    fn all_observations(&self) -> impl Iterator<Item = (ObservationCursor, CrashObservation<E>)> {
         let crashes = self.suspects.iter().flat_map(|(request, suspect)| {
             let crashes = suspect.crashes.iter().map(|crash| {
                 let fact = CrashFact::Crashed(crash.endpoint);
                 let observation = new_observation(*request, crash.at, fact);
-                let began_at = crash.began_at;
+                let started_at = crash.started_at;
                 (
                     crash.cursor,
-                    CrashNews {
-                        began_at,
+                    CrashObservation {
+                        started_at,
                         ..observation
                     },
                 )
@@ -380,17 +385,21 @@
     }
 }
 
-fn new_observation<E>(request: RequestFingerprint, at: TimeMs, fact: CrashFact<E>) -> CrashNews<E> {
-    CrashNews {
+fn new_observation<E>(
+    request: RequestFingerprint,
+    at: TimeMs,
+    fact: CrashFact<E>,
+) -> CrashObservation<E> {
+    CrashObservation {
         request,
         at,
-        began_at: None,
+        started_at: None,
         fact,
     }
 }
 
 fn is_expired(now: TimeMs, at: TimeMs) -> bool {
-    now.since(at) >= QUARANTINE
+    now.since(at) >= QUARANTINE_DURATION
 }
 
 /// Evicts the lowest-ranked entries of a map that exceeds `max`, an eighth of `max` at once, so
--- a/crates/decisions/src/decision_log.rs
+++ b/crates/decisions/src/decision_log.rs
@@ -166,7 +166,7 @@
     }
 
     /// Returns the records about `request`, oldest first.
-    pub fn about(&self, request: RequestId) -> Vec<DecisionRecord> {
+    pub fn for_request(&self, request: RequestId) -> Vec<DecisionRecord> {
         self.records()
             .filter(|record| record.decision.request() == Some(request))
             .copied()
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -49,7 +49,7 @@
         delivered: Tokens,
     },
     /// The attempt broke off, and the engine refuses connections: its process has crashed.
-    EngineEnded {
+    EngineCrashed {
         /// The number of tokens that reached the caller.
         delivered: Tokens,
     },
@@ -59,7 +59,7 @@
 
 /// The decisions of a pool. The product's implementation is [`crate::Pool`]; benchmarks compare
 /// it with others.
-pub trait Policy {
+pub trait Scheduler {
     /// Handles a new request.
     fn offer<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer);
 
@@ -83,7 +83,7 @@
     );
 
     /// Handles the end of an attempt.
-    fn finished<L: DecisionLog>(
+    fn attempt_ended<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -19,7 +19,7 @@
 pub use context::PoolContext;
 pub use decision_log::{Decision, DecisionLog, DecisionRecord, NoLog, Recorder};
 pub use effect::{CancelCause, Effect};
-pub use event::{AttemptEnd, Offer, Policy};
+pub use event::{AttemptEnd, Offer, Scheduler};
 pub use index::{ClassIx, CustomerIx, EndpointIx, KindIx};
 pub use modules::engine_health::HealthState;
 pub use modules::prefix_cache::{Holders, PrefixCache};
--- a/crates/decisions/src/modules/mod.rs
+++ b/crates/decisions/src/modules/mod.rs
@@ -9,6 +9,6 @@
 pub(crate) mod fair_queue;
 pub(crate) mod guaranteed_share;
 pub(crate) mod prefix_cache;
-pub(crate) mod request_life;
+pub(crate) mod request_lifecycle;
 pub(crate) mod retry_budget;
 pub(crate) mod victims;
--- a/crates/decisions/src/modules/prefix_cache.rs
+++ b/crates/decisions/src/modules/prefix_cache.rs
@@ -31,7 +31,13 @@
 
 impl PrefixCache {
     /// Records that `engine` holds `block`.
-    pub fn stored(&mut self, now: TimeMs, block: u64, engine: EndpointIx, max_blocks: usize) {
+    pub fn record_stored(
+        &mut self,
+        now: TimeMs,
+        block: u64,
+        engine: EndpointIx,
+        max_blocks: usize,
+    ) {
         let holder = Holder {
             engine,
             seen_at: now,
--- a/crates/decisions/src/pool/admit.rs
+++ b/crates/decisions/src/pool/admit.rs
@@ -7,7 +7,7 @@
 use crate::effect::Effect;
 use crate::event::Offer;
 use crate::index::{ClassIx, CustomerIx};
-use crate::modules::request_life::{LifecycleEvent, LifecycleState};
+use crate::modules::request_lifecycle::{LifecycleEvent, LifecycleState};
 use bridgevane_types::{DurationMs, Outcome, RefusalCode, RequestId};
 
 /// The `Retry-After` (ms) of a refusal because no engine is usable or the queue is full. A
--- a/crates/decisions/src/pool/attempt.rs
+++ b/crates/decisions/src/pool/attempt.rs
@@ -8,7 +8,7 @@
 use crate::event::AttemptEnd;
 use crate::index::EndpointIx;
 use crate::modules::engine_health::{HealthContext, HealthEvent, HealthState};
-use crate::modules::request_life::{LifecycleEvent, LifecycleState};
+use crate::modules::request_lifecycle::{LifecycleEvent, LifecycleState};
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Tokens};
 
 impl Pool {
@@ -51,7 +51,7 @@
         let blocks = std::mem::take(&mut entry.offer.blocks);
         for block in &blocks {
             self.cache
-                .stored(now, *block, engine_ix, context.settings.routing.max_blocks);
+                .record_stored(now, *block, engine_ix, context.settings.routing.max_blocks);
         }
         if let Some(entry) = self.requests.get_mut(&request) {
             entry.offer.blocks = blocks;
@@ -181,7 +181,7 @@
                 self.on_stream_lost(context, running.engine);
                 self.retry_lost(context, request, attempt, running, delivered);
             }
-            AttemptEnd::EngineEnded { delivered } => {
+            AttemptEnd::EngineCrashed { delivered } => {
                 self.record_crash(context, request, running);
                 self.on_engine_unreachable(context, running.engine);
                 self.retry_lost(context, request, attempt, running, delivered);
--- a/crates/decisions/src/pool/crashes.rs
+++ b/crates/decisions/src/pool/crashes.rs
@@ -3,10 +3,10 @@
 use super::Pool;
 use super::entry::RunningAttempt;
 use crate::context::PoolContext;
-use crate::crash_count::{CrashFact, CrashNews, NewsOutcome};
+use crate::crash_count::{CrashFact, CrashObservation, ObservationOutcome};
 use crate::decision_log::DecisionLog;
 use crate::index::EndpointIx;
-use crate::modules::request_life::LifecycleState;
+use crate::modules::request_lifecycle::LifecycleState;
 use bridgevane_types::{RefusalCode, RequestFingerprint, RequestId, TimeMs};
 
 /// One incarnation of an engine, which may crash and start again.
@@ -39,13 +39,13 @@
             return;
         };
         self.crashes.expire(context.now);
-        let news = CrashNews {
+        let news = CrashObservation {
             request: fingerprint,
             at: context.now,
-            began_at: Some(running.started_at),
+            started_at: Some(running.started_at),
             fact: CrashFact::Crashed(incarnation),
         };
-        if self.crashes.take(context.now, news) == NewsOutcome::Quarantines {
+        if self.crashes.record(context.now, news) == ObservationOutcome::NewlyQuarantined {
             self.refuse_identical(context, fingerprint);
         }
     }
@@ -59,13 +59,13 @@
     pub(super) fn record_served(&mut self, now: TimeMs, fingerprint: Option<RequestFingerprint>) {
         let suspect = fingerprint.filter(|request| self.crashes.is_suspect(*request));
         if let Some(request) = suspect {
-            let news = CrashNews {
+            let news = CrashObservation {
                 request,
                 at: now,
-                began_at: None,
+                started_at: None,
                 fact: CrashFact::Served,
             };
-            self.crashes.take(now, news);
+            self.crashes.record(now, news);
         }
     }
 
--- a/crates/decisions/src/pool/dispatch.rs
+++ b/crates/decisions/src/pool/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::event::Offer;
 use crate::index::{ClassIx, EndpointIx};
 use crate::modules::engine_health::HealthState;
-use crate::modules::request_life::LifecycleEvent;
+use crate::modules::request_lifecycle::LifecycleEvent;
 use bridgevane_types::{AttemptNumber, RequestId, Tier, TimeMs, Tokens};
 use rand::RngExt;
 
--- a/crates/decisions/src/pool/entry.rs
+++ b/crates/decisions/src/pool/entry.rs
@@ -2,7 +2,7 @@
 
 use crate::event::Offer;
 use crate::index::EndpointIx;
-use crate::modules::request_life::{LifecycleEvent, RequestLifecycle};
+use crate::modules::request_lifecycle::{LifecycleEvent, RequestLifecycle};
 use bridgevane_types::TimeMs;
 
 /// A running attempt.
--- a/crates/decisions/src/pool/maintain.rs
+++ b/crates/decisions/src/pool/maintain.rs
@@ -7,7 +7,7 @@
 use crate::effect::CancelCause;
 use crate::index::{ClassIx, EndpointIx};
 use crate::modules::engine_health::{HealthContext, HealthEvent, HealthState};
-use crate::modules::request_life::LifecycleState;
+use crate::modules::request_lifecycle::LifecycleState;
 use bridgevane_types::{DurationMs, RefusalCode, RequestId};
 
 impl Pool {
--- a/crates/decisions/src/pool/mod.rs
+++ b/crates/decisions/src/pool/mod.rs
@@ -6,8 +6,8 @@
 mod dispatch;
 mod entry;
 mod maintain;
+mod preemption;
 mod recover;
-mod room;
 mod view;
 
 pub use view::{ClassView, EngineView, RequestView};
@@ -16,7 +16,7 @@
 use crate::context::PoolContext;
 use crate::crash_count::CrashCount;
 use crate::decision_log::DecisionLog;
-use crate::event::{AttemptEnd, Offer, Policy};
+use crate::event::{AttemptEnd, Offer, Scheduler};
 use crate::index::{ClassIx, CustomerIx, EndpointIx};
 use crate::modules::concurrency::ConcurrencyLimit;
 use crate::modules::customer_limits::CustomerLimits;
@@ -188,7 +188,7 @@
         block: u64,
     ) {
         self.cache
-            .stored(now, block, engine, settings.routing.max_blocks);
+            .record_stored(now, block, engine, settings.routing.max_blocks);
     }
 
     /// Records that `engine` evicted `block` from its prefix cache.
@@ -269,7 +269,7 @@
     }
 }
 
-impl Policy for Pool {
+impl Scheduler for Pool {
     fn offer<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer) {
         self.admit(context, offer);
     }
@@ -294,7 +294,7 @@
         self.on_progress(context, request, attempt, delivered, gap_ms);
     }
 
-    fn finished<L: DecisionLog>(
+    fn attempt_ended<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
--- a/crates/decisions/src/pool/recover.rs
+++ b/crates/decisions/src/pool/recover.rs
@@ -7,7 +7,7 @@
 use crate::effect::CancelCause;
 use crate::index::EndpointIx;
 use crate::modules::engine_health::{HealthContext, HealthEvent};
-use crate::modules::request_life::LifecycleState;
+use crate::modules::request_lifecycle::LifecycleState;
 use bridgevane_types::{AttemptNumber, RefusalCode, RequestId, Tokens};
 
 /// The `Retry-After` (ms) of a refusal after the retries ran out. Engines that failed a request
--- a/crates/decisions/src/pool/view.rs
+++ b/crates/decisions/src/pool/view.rs
@@ -6,7 +6,7 @@
 use crate::event::Offer;
 use crate::index::EndpointIx;
 use crate::modules::engine_health::HealthState;
-use crate::modules::request_life::{LifecycleState, RequestLifecycle};
+use crate::modules::request_lifecycle::{LifecycleState, RequestLifecycle};
 use bridgevane_types::{
     AttemptNumber, ClassName, CustomerId, DurationMs, EndpointId, RequestId, Slots, Tier, TimeMs,
     Tokens,
@@ -32,7 +32,7 @@
     /// The number of delivered tokens.
     pub delivered: Tokens,
     /// The expected number of remaining tokens.
-    pub expected_rest: Tokens,
+    pub expected_remaining_tokens: Tokens,
 }
 
 /// A view of an engine for operators.
@@ -81,7 +81,9 @@
             age_ms: now.since(entry.arrived_at),
             attempts: entry.lifecycle.attempts(),
             delivered: Tokens(entry.delivered),
-            expected_rest: Tokens(self.expected_remaining_tokens(entry, settings) as u64),
+            expected_remaining_tokens: Tokens(
+                self.expected_remaining_tokens(entry, settings) as u64
+            ),
         };
         self.requests.iter().map(view).collect()
     }
--- a/crates/decisions/tests/crash_count.rs
+++ b/crates/decisions/tests/crash_count.rs
@@ -1,14 +1,15 @@
 //! The rule that tells requests that crash endpoints from those that merely ran there.
 
 use bridgevane_decisions::crash_count::{
-    CrashCount as Count, CrashFact, CrashNews as News, NewsCursor, NewsOutcome, QUARANTINE,
+    CrashCount as Count, CrashFact, CrashObservation as Observation, ObservationCursor,
+    ObservationOutcome, QUARANTINE_DURATION,
 };
 use bridgevane_types::{RequestFingerprint, TimeMs};
 use proptest::prelude::*;
 
 /// Endpoint incarnations are plain numbers in these tests.
 type CrashCount = Count<u32>;
-type CrashNews = News<u32>;
+type CrashObservation = Observation<u32>;
 
 const CRASHING: RequestFingerprint = request(1);
 const BYSTANDER: RequestFingerprint = request(2);
@@ -24,28 +25,31 @@
     TimeMs(1_000_000_000 + second * 1_000)
 }
 
-fn crashed(request: RequestFingerprint, endpoint: u32, second: u64) -> CrashNews {
-    CrashNews {
+fn crashed(request: RequestFingerprint, endpoint: u32, second: u64) -> CrashObservation {
+    CrashObservation {
         request,
         at: at(second),
-        began_at: None,
+        started_at: None,
         fact: CrashFact::Crashed(endpoint),
     }
 }
 
-fn served(request: RequestFingerprint, second: u64) -> CrashNews {
-    CrashNews {
+fn served(request: RequestFingerprint, second: u64) -> CrashObservation {
+    CrashObservation {
         request,
         at: at(second),
-        began_at: None,
+        started_at: None,
         fact: CrashFact::Served,
     }
 }
 
-fn record_all(count: &mut CrashCount, observations: &[CrashNews]) -> Vec<NewsOutcome> {
+fn record_all(
+    count: &mut CrashCount,
+    observations: &[CrashObservation],
+) -> Vec<ObservationOutcome> {
     let outcomes = observations
         .iter()
-        .map(|observation| count.take(observation.at, *observation));
+        .map(|observation| count.record(observation.at, *observation));
     outcomes.collect()
 }
 
@@ -58,7 +62,7 @@
 // Retries and several daemons report the same crash more than once.
 #[test]
 fn a_request_is_quarantined_at_the_third_crash_and_duplicates_do_not_count() {
-    use NewsOutcome::{Known, New, Quarantines};
+    use ObservationOutcome::{Ignored, NewlyQuarantined, Recorded};
     let mut count = CrashCount::default();
     let observations = [
         crashed(CRASHING, 1, 0),
@@ -70,7 +74,17 @@
         crashed(CRASHING, 3, 3),
     ];
     let outcomes = record_all(&mut count, &observations);
-    assert_eq!(outcomes, [New, Known, New, Known, Quarantines, Known]);
+    assert_eq!(
+        outcomes,
+        [
+            Recorded,
+            Ignored,
+            Recorded,
+            Ignored,
+            NewlyQuarantined,
+            Ignored
+        ]
+    );
     assert_eq!(quarantined(&count), [CRASHING]);
 }
 
@@ -142,7 +156,7 @@
 #[test]
 fn crashes_within_one_window_count_once() {
     let mut count = CrashCount::default();
-    let observation = |endpoint: u32, ms: u64| CrashNews {
+    let observation = |endpoint: u32, ms: u64| CrashObservation {
         at: TimeMs(at(0).0 + ms),
         ..crashed(BYSTANDER, endpoint, 0)
     };
@@ -165,9 +179,9 @@
     let mut count = CrashCount::default();
     for endpoint in 0..3u32 {
         let end = TimeMs(at(0).0 + 2 * u64::from(endpoint + 1));
-        let observation = CrashNews {
+        let observation = CrashObservation {
             at: end,
-            began_at: Some(TimeMs(end.0 - 2)),
+            started_at: Some(TimeMs(end.0 - 2)),
             ..crashed(CRASHING, endpoint, 0)
         };
         record_all(&mut count, &[observation]);
@@ -181,13 +195,13 @@
     let mut count = CrashCount::default();
     let observations = [1, 2, 3].map(|endpoint| crashed(CRASHING, endpoint, u64::from(endpoint)));
     record_all(&mut count, &observations);
-    let expires_at = at(3) + QUARANTINE;
+    let expires_at = at(3) + QUARANTINE_DURATION;
     count.expire(TimeMs(expires_at.0 - 1));
     assert_eq!(quarantined(&count), [CRASHING]);
     count.expire(expires_at);
     assert_eq!(quarantined(&count), []);
     let late = crashed(CRASHING, 9, 3);
-    assert_eq!(count.take(expires_at, late), NewsOutcome::Known);
+    assert_eq!(count.record(expires_at, late), ObservationOutcome::Ignored);
 }
 
 // Hundreds of different requests per second each crash an engine: the state must stay bounded, and
@@ -205,11 +219,11 @@
         record_all(&mut count, &[crashed(other, 10 + n, second)]);
     }
     assert!(count.suspects().count() <= 1_024);
-    let (observations, _) = count.news_after(NewsCursor::default(), usize::MAX);
+    let (observations, _) = count.observations_after(ObservationCursor::default(), usize::MAX);
     assert!(observations.len() <= 1_100, "{}", observations.len());
     assert_eq!(
         record_all(&mut count, &[crashed(CRASHING, 3, 50)]),
-        [NewsOutcome::Quarantines]
+        [ObservationOutcome::NewlyQuarantined]
     );
     for n in 0..15_000u32 {
         let other = request(1_000_000 + u64::from(n / 3));
@@ -226,16 +240,16 @@
     for n in 0..10 {
         record_all(&mut count, &[crashed(request(n), n as u32, n)]);
     }
-    let (first, cursor) = count.news_after(NewsCursor::default(), 6);
-    let (second, cursor) = count.news_after(cursor, 6);
+    let (first, cursor) = count.observations_after(ObservationCursor::default(), 6);
+    let (second, cursor) = count.observations_after(cursor, 6);
     assert_eq!((first.len(), second.len()), (6, 4));
-    assert_eq!(count.news_after(cursor, 6), (Vec::new(), cursor));
+    assert_eq!(count.observations_after(cursor, 6), (Vec::new(), cursor));
     record_all(&mut count, &[crashed(request(0), 99, 11)]);
-    let (third, _) = count.news_after(cursor, 6);
+    let (third, _) = count.observations_after(cursor, 6);
     assert_eq!(third, [crashed(request(0), 99, 11)]);
 }
 
-fn arbitrary_crash() -> impl Strategy<Value = CrashNews> {
+fn arbitrary_crash() -> impl Strategy<Value = CrashObservation> {
     // Each crash has its own time. There is none after the third one, so that no crash is
     // attributed to a request under quarantine: which ones are attributed depends on the order.
     (0..3u64, 0..3u32)
@@ -255,8 +269,8 @@
         record_all(&mut daemons[0], &crashes[..split]);
         record_all(&mut daemons[1], &crashes[split..]);
         for _ in 0..2 {
-            let (from_first, _) = daemons[0].news_after(NewsCursor::default(), usize::MAX);
-            let (from_second, _) = daemons[1].news_after(NewsCursor::default(), usize::MAX);
+            let (from_first, _) = daemons[0].observations_after(ObservationCursor::default(), usize::MAX);
+            let (from_second, _) = daemons[1].observations_after(ObservationCursor::default(), usize::MAX);
             record_all(&mut daemons[0], &from_second);
             record_all(&mut daemons[1], &from_first);
         }
--- a/crates/decisions/tests/crashing_requests.rs
+++ b/crates/decisions/tests/crashing_requests.rs
@@ -5,8 +5,8 @@
 
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, ClassIx, CustomerIx, Effect, EndpointIx, KindIx, NoLog, Offer, Policy, Pool,
-    PoolContext,
+    AttemptEnd, ClassIx, CustomerIx, Effect, EndpointIx, KindIx, NoLog, Offer, Pool, PoolContext,
+    Scheduler,
 };
 use bridgevane_types::{
     AttemptNumber, Outcome, RefusalCode, RequestFingerprint, RequestId, TimeMs, Tokens,
@@ -68,7 +68,7 @@
 
     fn end_attempt(&mut self, sent: Dispatched, end: AttemptEnd) -> Vec<Effect> {
         self.now = TimeMs(self.now.0 + 200);
-        self.decide(|pool, context| pool.finished(context, sent.request, sent.attempt, end))
+        self.decide(|pool, context| pool.attempt_ended(context, sent.request, sent.attempt, end))
     }
 }
 
@@ -96,7 +96,7 @@
     dispatched.collect()
 }
 
-const CRASHED: AttemptEnd = AttemptEnd::EngineEnded {
+const CRASHED: AttemptEnd = AttemptEnd::EngineCrashed {
     delivered: Tokens(0),
 };
 
--- a/crates/decisions/tests/pool_sequences.rs
+++ b/crates/decisions/tests/pool_sequences.rs
@@ -3,7 +3,7 @@
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
     AttemptEnd, ClassIx, ClassPolicy, CustomerIx, CustomerPolicy, Effect, EndpointIx, EnginePolicy,
-    KindIx, Offer, Policy, Pool, PoolContext, PoolPolicy, Recorder,
+    KindIx, Offer, Pool, PoolContext, PoolPolicy, Recorder, Scheduler,
 };
 use bridgevane_standins::check_promises;
 use bridgevane_types::{
@@ -66,7 +66,7 @@
         pick: usize,
     },
     /// The attempt is lost because the engine crashed.
-    EngineEnded {
+    EngineCrashed {
         pick: usize,
     },
     NotReached {
@@ -104,7 +104,7 @@
         3 => (pick(), 1..40u64).prop_map(|(pick, tokens)| Step::Progress { pick, tokens }),
         4 => pick().prop_map(|pick| Step::Done { pick }),
         2 => pick().prop_map(|pick| Step::Lost { pick }),
-        2 => pick().prop_map(|pick| Step::EngineEnded { pick }),
+        2 => pick().prop_map(|pick| Step::EngineCrashed { pick }),
         1 => pick().prop_map(|pick| Step::NotReached { pick }),
         1 => pick().prop_map(|pick| Step::Unavailable { pick }),
         1 => pick().prop_map(|pick| Step::Rejected { pick }),
@@ -234,7 +234,7 @@
             self.running
                 .insert(request, (attempt, EndpointIx(ENGINES), 0));
         }
-        self.decide(|pool, context| pool.finished(context, request, attempt, end));
+        self.decide(|pool, context| pool.attempt_ended(context, request, attempt, end));
     }
 
     fn apply(&mut self, step: Step) {
@@ -256,9 +256,9 @@
                 let delivered = Tokens(0);
                 self.end_attempt(pick, AttemptEnd::Lost { delivered });
             }
-            Step::EngineEnded { pick } => {
+            Step::EngineCrashed { pick } => {
                 let delivered = Tokens(0);
-                self.end_attempt(pick, AttemptEnd::EngineEnded { delivered });
+                self.end_attempt(pick, AttemptEnd::EngineCrashed { delivered });
             }
             Step::NotReached { pick } => self.end_attempt(pick, AttemptEnd::NotReached),
             Step::Unavailable { pick } => self.end_attempt(pick, AttemptEnd::Unavailable),
@@ -327,7 +327,7 @@
         self.decide(|pool, context| {
             pool.first_token(context, request, attempt);
             pool.progress(context, request, attempt, Tokens(50), DurationMs(30));
-            pool.finished(context, request, attempt, AttemptEnd::NotReached);
+            pool.attempt_ended(context, request, attempt, AttemptEnd::NotReached);
         });
         assert_eq!(self.running, before);
     }
--- a/crates/decisions/tests/support/baselines.rs
+++ b/crates/decisions/tests/support/baselines.rs
@@ -2,7 +2,7 @@
 //! engine.
 
 use bridgevane_decisions::{
-    AttemptEnd, DecisionLog, Effect, EndpointIx, Offer, Policy, PoolContext,
+    AttemptEnd, DecisionLog, Effect, EndpointIx, Offer, PoolContext, Scheduler,
 };
 use bridgevane_types::{AttemptNumber, DurationMs, RequestId, Tier, Tokens};
 use rand::{RngExt, SeedableRng};
@@ -110,7 +110,7 @@
     }
 }
 
-impl Policy for Baseline {
+impl Scheduler for Baseline {
     fn offer<L: DecisionLog>(&mut self, context: &mut PoolContext<'_, L>, offer: Offer) {
         self.queue.push_back(offer.request);
         self.dispatch(context);
@@ -137,7 +137,7 @@
         }
     }
 
-    fn finished<L: DecisionLog>(
+    fn attempt_ended<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
         request: RequestId,
--- a/crates/decisions/tests/support/driver.rs
+++ b/crates/decisions/tests/support/driver.rs
@@ -5,7 +5,7 @@
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
     AttemptEnd, CancelCause, ClassIx, CustomerIx, Decision, Effect, EndpointIx, KindIx, Offer,
-    Policy, PoolContext, Recorder,
+    PoolContext, Recorder, Scheduler,
 };
 use bridgevane_standins::{
     BrokenPromise, EngineModel, EngineSpec, Job, ModelEvent, check_promises,
@@ -189,7 +189,7 @@
     wasted_tokens: u64,
 }
 
-impl<P: Policy> Driver<P> {
+impl<P: Scheduler> Driver<P> {
     /// Creates a run. One scheduler acts as the home daemon; several decide independently.
     pub fn new(setup: Setup, schedulers: Vec<P>) -> Self {
         let arrivals = setup.arrivals();
@@ -429,7 +429,7 @@
             return;
         };
         self.decide(scheduler, |policy, context| {
-            policy.finished(context, request, attempt, end);
+            policy.attempt_ended(context, request, attempt, end);
         });
     }
 
@@ -536,7 +536,7 @@
         self.result.classes[class].offered -= 1;
         let end = AttemptEnd::CallerGone;
         self.decide(scheduler, |policy, context| {
-            policy.finished(context, request, attempt, end);
+            policy.attempt_ended(context, request, attempt, end);
         });
     }
 
@@ -553,7 +553,7 @@
         self.count_answer(index, delivered, in_time, first_ms.unwrap_or(now_ms));
         let end = AttemptEnd::Done(Tokens(delivered));
         self.decide(scheduler, |policy, context| {
-            policy.finished(context, request, attempt, end);
+            policy.attempt_ended(context, request, attempt, end);
         });
     }
 
@@ -642,7 +642,7 @@
                 delivered: Tokens(state.delivered),
             };
             self.decide(scheduler, |policy, context| {
-                policy.finished(context, request, attempt.number, end);
+                policy.attempt_ended(context, request, attempt.number, end);
             });
         }
     }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -52,12 +52,12 @@
     }
 
     /// Simulates the end of a suspension during which no time passed for the runtime.
-    pub fn wake_after(&self, suspended: DurationMs) {
+    pub fn add_suspension(&self, suspended: DurationMs) {
         self.ahead_ms.fetch_add(suspended.0, Ordering::SeqCst);
     }
 
     /// Simulates a suspension during which this much time passes for the runtime.
-    pub fn stand_still(&self, suspended: DurationMs) {
+    pub fn mark_suspended(&self, suspended: DurationMs) {
         self.behind_ms.fetch_add(suspended.0, Ordering::SeqCst);
     }
 }
@@ -127,7 +127,7 @@
     }
 
     /// Returns the time of day at a moment, based on the time of day at the daemon's start.
-    pub(crate) fn wall(&self, at: TimeMs) -> WallTimeMs {
+    pub(crate) fn wall_time_at(&self, at: TimeMs) -> WallTimeMs {
         self.started_wall + at.since(START)
     }
 }
@@ -182,7 +182,7 @@
         );
     }
 
-    pub(crate) fn unset(&self) {
+    pub(crate) fn clear(&self) {
         self.millis_plus_one.store(0, Ordering::Release);
     }
 }
--- a/crates/gateway/src/duties/book.rs
+++ b/crates/gateway/src/duties/book.rs
@@ -57,14 +57,14 @@
     pub fn on_request_began(&self, at: TimeMs, customer: &CustomerId) {
         if let Some(ledger) = &self.ledger {
             let mut ledger = ledger.lock().expect("no panic under this lock");
-            ledger.count(self.clock.wall(at), customer);
+            ledger.count(self.clock.wall_time_at(at), customer);
         }
     }
 
     /// Returns this daemon's counts of the newest windows; none if the fleet doesn't submit usage.
     pub(crate) fn own_report(&self) -> Option<UsageReport> {
         let calendar = self.calendar?;
-        let now = self.clock.wall(self.clock.now());
+        let now = self.clock.wall_time_at(self.clock.now());
         let first_open = calendar.first_open_at(now);
         // Older windows can't be submitted in time any more, and were reported to an earlier
         // holder.
--- a/crates/gateway/src/duties/engines.rs
+++ b/crates/gateway/src/duties/engines.rs
@@ -130,7 +130,7 @@
             return false;
         };
         let clock = &self.gateway.clock;
-        let before = calendar.window_at(clock.wall(clock.now())).minus(1);
+        let before = calendar.window_at(clock.wall_time_at(clock.now())).minus(1);
         let is_idle = book.with_collection(|_, collection| collection.is_idle_since(before));
         let directory = self.gateway.control.directory();
         let work = self.gateway.fleet.total_work(&directory);
--- a/crates/gateway/src/duties/reporter.rs
+++ b/crates/gateway/src/duties/reporter.rs
@@ -84,7 +84,7 @@
     /// that have just been closed are reported soon.
     fn until_next_report(&self, phase_ms: u64) -> Duration {
         let clock = &self.gateway.clock;
-        let now_ms = clock.wall(clock.now()).0;
+        let now_ms = clock.wall_time_at(clock.now()).0;
         let since_last_ms = (now_ms + REPORT_INTERVAL_MS - phase_ms) % REPORT_INTERVAL_MS;
         Duration::from_millis(REPORT_INTERVAL_MS - since_last_ms)
     }
--- a/crates/gateway/src/duties/usage.rs
+++ b/crates/gateway/src/duties/usage.rs
@@ -62,7 +62,7 @@
 
     fn now(&self) -> WallTimeMs {
         let clock = &self.gateway.clock;
-        clock.wall(clock.now())
+        clock.wall_time_at(clock.now())
     }
 
     /// Returns the oldest window that daemons still remember.
@@ -133,7 +133,7 @@
             complete = is_complete,
             after_end_ms = after_end
         );
-        self.gateway.metrics.usage_told(is_complete);
+        self.gateway.metrics.usage_submitted(is_complete);
         Ok(())
     }
 
--- a/crates/gateway/src/endpoints/endpoint.rs
+++ b/crates/gateway/src/endpoints/endpoint.rs
@@ -157,7 +157,7 @@
 
     /// Records that its record has returned.
     pub(crate) fn renew(&self) {
-        self.expires_at.unset();
+        self.expires_at.clear();
     }
 
     /// Returns whether its record was removed and did not return in time.
--- a/crates/gateway/src/endpoints/prompt_locations.rs
+++ b/crates/gateway/src/endpoints/prompt_locations.rs
@@ -37,7 +37,7 @@
     pub(crate) fn on_read(&self, now: TimeMs, prompt: &Prompt, endpoint: EndpointIx) {
         let mut known = self.parts();
         for part in &prompt.parts {
-            known.stored(now, part.id, endpoint, MAX_PARTS);
+            known.record_stored(now, part.id, endpoint, MAX_PARTS);
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -51,7 +51,7 @@
     /// A hash of the VM's name.
     pub(crate) vm_hash: u64,
     /// Notified after the VM was suspended.
-    pub(crate) woken: Notify,
+    pub(crate) resumed_from_suspension: Notify,
     /// The progress of a planned stop.
     pub shutdown: Shutdown,
     pub(crate) header_names: HeaderNames,
@@ -94,7 +94,7 @@
             settings,
             packed_state: PackedState::default(),
             clock,
-            woken: Notify::new(),
+            resumed_from_suspension: Notify::new(),
             shutdown: Shutdown::new(),
             header_names,
             prompt_locations: PromptLocations::default(),
@@ -124,9 +124,9 @@
     }
 
     /// Shares the retry budget among the daemons of the fleet, if their number is known.
-    pub(crate) fn share_retry_budget(&self, fleet_size: Option<u32>) {
+    pub(crate) fn on_fleet_size(&self, fleet_size: Option<u32>) {
         if let Some(daemons) = fleet_size {
-            self.retry_budgets.share_among(daemons);
+            self.retry_budgets.set_daemon_count(daemons);
         }
     }
 
--- a/crates/gateway/src/lifecycle/suspension.rs
+++ b/crates/gateway/src/lifecycle/suspension.rs
@@ -34,7 +34,7 @@
                 suspended_ms = suspended,
                 proof_age_ms = gateway.control.proof_age().map_or(-1, |age| age.0 as i64)
             );
-            gateway.woken.notify_waiters();
+            gateway.resumed_from_suspension.notify_waiters();
         }
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -152,7 +152,7 @@
     }
 
     /// Counts a poll of another daemon; `None` stands for success.
-    pub(crate) fn peer_asked(&self, error: Option<&PeerError>) {
+    pub(crate) fn peer_polled(&self, error: Option<&PeerError>) {
         let result = error.map_or_else(|| "ok".to_owned(), ToString::to_string);
         self.peer_polls.add(1, &[KeyValue::new("result", result)]);
     }
@@ -164,7 +164,7 @@
 
     /// Counts a window whose usage was submitted; `is_complete` says whether the counts of every
     /// daemon were in it.
-    pub(crate) fn usage_told(&self, is_complete: bool) {
+    pub(crate) fn usage_submitted(&self, is_complete: bool) {
         self.submitted_usage_windows
             .add(1, &[KeyValue::new("complete", is_complete)]);
     }
--- a/crates/gateway/src/replication/client.rs
+++ b/crates/gateway/src/replication/client.rs
@@ -326,7 +326,7 @@
         redirect: answer.redirect.parse().ok(),
         siblings: parse_addresses(&answer.siblings).map_err(PeerError::BadRecords)?,
         fleet_size: answer.fleet_size,
-        others_work: total_work.without(own_work),
+        others_work: total_work.minus(own_work),
         total_work,
         crash_news: answer.crash_news,
         endpoint_notices: answer.endpoint_notices,
--- a/crates/gateway/src/replication/crash_news.rs
+++ b/crates/gateway/src/replication/crash_news.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::Gateway;
 use crate::work_by_endpoint::EndpointHash;
-use bridgevane_decisions::crash_count::{CrashFact, CrashNews, NewsCursor};
+use bridgevane_decisions::crash_count::{CrashFact, CrashObservation, ObservationCursor};
 use bridgevane_protocol::CrashNews as CrashNewsMessage;
 use bridgevane_protocol::crash_news::Fact;
 use bridgevane_types::TimeMs;
@@ -19,13 +19,15 @@
 /// The position up to which observations were sent on one connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentCrashObservations {
-    cursor: NewsCursor,
+    cursor: ObservationCursor,
 }
 
 impl SentCrashObservations {
     /// Returns the next observations for the other side, and advances.
     pub(super) fn take_unsent(&mut self, gateway: &Gateway) -> Vec<CrashNewsMessage> {
-        let (observations, cursor) = gateway.quarantine.news_after(self.cursor, MAX_OBSERVATIONS);
+        let (observations, cursor) = gateway
+            .quarantine
+            .observations_after(self.cursor, MAX_OBSERVATIONS);
         self.cursor = cursor;
         let now = gateway.clock.now();
         observations
@@ -36,7 +38,10 @@
 
     /// Waits until there are unsent observations.
     pub(super) async fn wait_for_unsent(&self, gateway: &Gateway) {
-        gateway.quarantine.news_since(self.cursor).await;
+        gateway
+            .quarantine
+            .wait_for_observations_after(self.cursor)
+            .await;
     }
 }
 
@@ -47,10 +52,10 @@
     }
     let now = gateway.clock.now();
     let observations = messages.iter().filter_map(|message| decode(now, message));
-    gateway.quarantine.on_news(observations);
+    gateway.quarantine.on_observations(observations);
 }
 
-fn encode(now: TimeMs, observation: &CrashNews<EndpointHash>) -> CrashNewsMessage {
+fn encode(now: TimeMs, observation: &CrashObservation<EndpointHash>) -> CrashNewsMessage {
     let fact = match observation.fact {
         CrashFact::Crashed(endpoint) => Fact::CrashedEndpoint(endpoint.0),
         CrashFact::Served => Fact::Served(true),
@@ -65,16 +70,16 @@
 
 /// Returns none for a fact that a later version has added, and for one from before the start of
 /// this daemon's clock.
-fn decode(now: TimeMs, message: &CrashNewsMessage) -> Option<CrashNews<EndpointHash>> {
+fn decode(now: TimeMs, message: &CrashNewsMessage) -> Option<CrashObservation<EndpointHash>> {
     let fact = match message.fact? {
         Fact::CrashedEndpoint(endpoint) => CrashFact::Crashed(EndpointHash(endpoint)),
         Fact::Served(_) => CrashFact::Served,
         Fact::Quarantined(_) => CrashFact::Quarantined,
     };
-    Some(CrashNews {
+    Some(CrashObservation {
         request: message.request?.into(),
         at: TimeMs(now.0.checked_sub(u64::from(message.age_ms))?),
-        began_at: None,
+        started_at: None,
         fact,
     })
 }
--- a/crates/gateway/src/replication/endpoint_notices.rs
+++ b/crates/gateway/src/replication/endpoint_notices.rs
@@ -8,7 +8,7 @@
 use crate::decisions::eligibility::rate_limit::{self, LimitObservation};
 use crate::endpoints::endpoint::Endpoint;
 use crate::gateway::Gateway;
-use crate::requests::endpoint_signals::{LimitHeardBy, on_limit_heard};
+use crate::requests::endpoint_signals::{LimitObserver, on_limit_changed};
 use crate::work_by_endpoint::EndpointHash;
 use bridgevane_protocol::EndpointNotice;
 use bridgevane_types::{RequestsPerSecond, TimeMs};
@@ -54,11 +54,11 @@
         let draw = || rand::rng().random();
         let changed = endpoint.rate_limit.on_peer_observation(now, observed, draw);
         if let Some(limit) = changed {
-            on_limit_heard(
+            on_limit_changed(
                 endpoint,
                 &gateway.metrics,
                 limit,
-                LimitHeardBy::OtherDaemons,
+                LimitObserver::OtherDaemons,
             );
         }
     }
--- a/crates/gateway/src/replication/fleet.rs
+++ b/crates/gateway/src/replication/fleet.rs
@@ -247,7 +247,7 @@
     /// its own.
     pub(crate) fn update_others_work(&self, directory: &Directory) {
         let total = self.total_work(directory);
-        let others = total.without(&own_work(directory));
+        let others = total.minus(&own_work(directory));
         self.set_others_work(directory, &others);
     }
 
--- a/crates/gateway/src/replication/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -137,7 +137,7 @@
             result = self.call_source() => result,
             () = gateway.fleet.wait_for_fresher_daemon() => Err(SourceError::NoAnswer),
             // Repeats a question that was sent before a suspension.
-            () = gateway.woken.notified() => return,
+            () = gateway.resumed_from_suspension.notified() => return,
         };
         self.gateway.metrics.source_called(cause, result);
         match result {
@@ -165,7 +165,7 @@
         let gateway = &self.gateway;
         let directory = gateway.control.directory();
         let fleet_size = gateway.fleet.estimate_size(&directory);
-        gateway.share_retry_budget(fleet_size);
+        gateway.on_fleet_size(fleet_size);
         gateway.fleet.update_others_work(&directory);
         let now = gateway.clock.now();
         self.upstreams.on_source_answered(now, asked_at);
@@ -241,11 +241,11 @@
             asked = self.parent_client.ask(&gateway, peer, after) => asked,
             // The question is dropped with its connection; the parent is kept.
             () = gateway.fleet.wait_for_fresher_daemon() => return,
-            () = gateway.woken.notified() => return,
+            () = gateway.resumed_from_suspension.notified() => return,
             () = wait_for_slot(until_slot) => return,
         };
         let applied = asked.and_then(|answer| self.apply_answer(answer));
-        self.gateway.metrics.peer_asked(applied.as_ref().err());
+        self.gateway.metrics.peer_polled(applied.as_ref().err());
         match applied {
             Ok(report) => {
                 let now = self.gateway.clock.now();
@@ -263,7 +263,7 @@
     /// Asks another daemon for its place in the tree, and reports this daemon's proof to it.
     async fn probe(&mut self, peer: SocketAddr) {
         let probed = self.probe_client.probe(&self.gateway, peer).await;
-        self.gateway.metrics.peer_asked(probed.as_ref().err());
+        self.gateway.metrics.peer_polled(probed.as_ref().err());
         let probed = match probed {
             Ok(probed) => probed,
             Err(error) => return self.on_peer_failed(peer, error),
@@ -303,7 +303,7 @@
         let gateway = &self.gateway;
         let fleet_size = gateway.fleet.on_size_report(answer.fleet_size);
         self.upstreams.on_fleet_size(fleet_size.unwrap_or_default());
-        gateway.share_retry_budget(fleet_size);
+        gateway.on_fleet_size(fleet_size);
         let directory = gateway.control.directory();
         let fleet = &gateway.fleet;
         fleet.on_total_report(&directory, answer.total_work, &answer.others_work);
--- a/crates/gateway/src/replication/quarantine_writer.rs
+++ b/crates/gateway/src/replication/quarantine_writer.rs
@@ -6,7 +6,7 @@
 
 use crate::control::quarantine_store::QuarantineStore;
 use crate::gateway::Gateway;
-use bridgevane_decisions::crash_count::QUARANTINE;
+use bridgevane_decisions::crash_count::QUARANTINE_DURATION;
 use bridgevane_events::{Event, event};
 use bridgevane_types::{DurationMs, RequestFingerprint};
 use std::collections::BTreeSet;
@@ -32,9 +32,9 @@
     let mut due = BTreeSet::new();
     loop {
         wait_for_quarantined(&gateway).await;
-        due.extend(gateway.quarantine.take_to_store());
+        due.extend(gateway.quarantine.take_unstored());
         if gateway.fleet.follows_source() {
-            due.extend(gateway.quarantine.stopped_for(OVERDUE_AFTER));
+            due.extend(gateway.quarantine.quarantined_for(OVERDUE_AFTER));
         }
         due.retain(|request| !gateway.control.is_quarantined(|| *request));
         if !due.is_empty() {
@@ -47,8 +47,8 @@
 /// Waits until there may be something to store. Without quarantined requests there is no periodic
 /// check.
 async fn wait_for_quarantined(gateway: &Gateway) {
-    let stopped = gateway.quarantine.wait_for_stopped();
-    if gateway.quarantine.stops_any() {
+    let stopped = gateway.quarantine.wait_for_quarantined();
+    if gateway.quarantine.has_quarantined() {
         // The timeout is what finds overdue requests.
         let _ = timeout(STORE_INTERVAL, stopped).await;
     } else {
@@ -59,7 +59,11 @@
 /// Stores the first requests, and removes them from `due`.
 async fn store_batch<S: QuarantineStore>(store: &S, due: &mut BTreeSet<RequestFingerprint>) {
     let batch: Vec<RequestFingerprint> = due.iter().copied().take(MAX_REQUESTS_PER_CALL).collect();
-    let storing = timeout(STORE_TIMEOUT, store.store_quarantined(&batch, QUARANTINE)).await;
+    let storing = timeout(
+        STORE_TIMEOUT,
+        store.store_quarantined(&batch, QUARANTINE_DURATION),
+    )
+    .await;
     match storing {
         Ok(Ok(())) => due.retain(|request| !batch.contains(request)),
         Ok(Err(error)) => {
--- a/crates/gateway/src/replication/server.rs
+++ b/crates/gateway/src/replication/server.rs
@@ -230,8 +230,8 @@
     });
     let total_work = || gateway.fleet.total_work(&gateway.control.directory());
     let is_busy = !question.tree_work.is_empty()
-        || !total_work().is_small()
-        || gateway.quarantine.has_fresh_news();
+        || !total_work().has_no_urgent_prefill()
+        || gateway.quarantine.has_recent_observations();
     let limits = gateway.settings.proof_limits();
     let max_hold = max_hold(is_busy, gateway.control.proof_age(), limits).as_std();
     // An answer without changes shows that this daemon is alive.
--- a/crates/gateway/src/requests/endpoint_signals.rs
+++ b/crates/gateway/src/requests/endpoint_signals.rs
@@ -67,13 +67,13 @@
             return;
         };
         let metrics = origin.metrics;
-        on_limit_heard(origin.endpoint, metrics, limit, LimitHeardBy::ThisDaemon);
+        on_limit_changed(origin.endpoint, metrics, limit, LimitObserver::ThisDaemon);
     }
 }
 
 /// The daemon that received an endpoint's rate limit. The text is for logs.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub(crate) enum LimitHeardBy {
+pub(crate) enum LimitObserver {
     #[display("this daemon")]
     ThisDaemon,
     #[display("other daemons")]
@@ -81,11 +81,11 @@
 }
 
 /// Logs and counts a change of an endpoint's rate limit; `None` if the limit was withdrawn.
-pub(crate) fn on_limit_heard(
+pub(crate) fn on_limit_changed(
     endpoint: &Endpoint,
     metrics: &GatewayMetrics,
     limit: Option<RequestsPerSecond>,
-    observer: LimitHeardBy,
+    observer: LimitObserver,
 ) {
     let record = endpoint.record.load();
     metrics.limit_changed(&record.service, limit.is_some());
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -1,6 +1,6 @@
 //! Request handling, in the order in which a request passes through the modules:
 //!
-//! 1. [`front`] accepts a connection, and [`handler`] handles each request on it;
+//! 1. [`client_listener`] accepts a connection, and [`handler`] handles each request on it;
 //! 2. [`admission`] reads and checks the request, and builds an [`inbound`] request from it
 //!    ([`request_headers`] decodes the headers);
 //! 3. [`exchange`] selects endpoints until one answers, [`attempt`] sends the request to one of
@@ -19,10 +19,10 @@
 pub(crate) mod admission;
 pub(crate) mod answer_body;
 pub(crate) mod attempt;
+pub(crate) mod client_listener;
 pub(crate) mod crash_check;
 pub(crate) mod endpoint_signals;
 pub(crate) mod exchange;
-pub(crate) mod front;
 pub(crate) mod handler;
 pub(crate) mod in_flight;
 pub(crate) mod inbound;
--- a/crates/gateway/src/requests/quarantine.rs
+++ b/crates/gateway/src/requests/quarantine.rs
@@ -9,7 +9,8 @@
 use crate::work_by_endpoint::EndpointHash;
 use arc_swap::ArcSwap;
 use bridgevane_decisions::crash_count::{
-    CrashCount, CrashFact, CrashNews, NewsCursor, NewsOutcome, QUARANTINE,
+    CrashCount, CrashFact, CrashObservation, ObservationCursor, ObservationOutcome,
+    QUARANTINE_DURATION,
 };
 use bridgevane_events::{Event, event};
 use bridgevane_types::{DurationMs, RequestFingerprint, TimeMs};
@@ -57,7 +58,7 @@
     /// When the newest observation was recorded.
     recorded_at: AtomicTime,
     /// The cursor of the newest observation for other daemons.
-    newest: watch::Sender<NewsCursor>,
+    newest: watch::Sender<ObservationCursor>,
     /// Wakes the task that stores the quarantine when requests were added to it.
     has_to_store: Notify,
 }
@@ -90,7 +91,7 @@
     }
 
     /// Returns whether any request is under quarantine.
-    pub(crate) fn stops_any(&self) -> bool {
+    pub(crate) fn has_quarantined(&self) -> bool {
         !self.snapshot.load().quarantined.is_empty()
     }
 
@@ -101,7 +102,7 @@
     }
 
     /// Returns whether endpoints have crashed recently, so that more observations are expected.
-    pub(crate) fn has_fresh_news(&self) -> bool {
+    pub(crate) fn has_recent_observations(&self) -> bool {
         let recorded_at = self.recorded_at.get();
         recorded_at.is_some_and(|at| self.clock.now() < at + RECENT_CRASH_PERIOD)
     }
@@ -109,12 +110,12 @@
     /// Records that this daemon saw an endpoint crash while these requests were in flight there.
     pub fn on_crashed(&self, endpoint: EndpointHash, requests: &[RequestFingerprint]) {
         let at = self.clock.now();
-        let observations = requests.iter().map(|request| CrashNews {
+        let observations = requests.iter().map(|request| CrashObservation {
             request: *request,
             at,
             // Not needed: the start matters only for attempts that follow each other within
             // `SAME_MOMENT`, and those are few and made by one daemon.
-            began_at: None,
+            started_at: None,
             fact: CrashFact::Crashed(endpoint),
         });
         let quarantined = self.record(observations, Origin::ThisDaemon);
@@ -128,17 +129,20 @@
             return;
         }
         let request = request();
-        let observation = CrashNews {
+        let observation = CrashObservation {
             request,
             at: self.clock.now(),
-            began_at: None,
+            started_at: None,
             fact: CrashFact::Served,
         };
         self.record([observation], Origin::ThisDaemon);
     }
 
     /// Records the observations of other daemons.
-    pub fn on_news(&self, observations: impl IntoIterator<Item = CrashNews<EndpointHash>>) {
+    pub fn on_observations(
+        &self,
+        observations: impl IntoIterator<Item = CrashObservation<EndpointHash>>,
+    ) {
         let quarantined = self.record(observations, Origin::OtherDaemons);
         log_quarantined(&quarantined, Origin::OtherDaemons);
     }
@@ -146,19 +150,19 @@
     /// Records observations and returns the requests that they put under quarantine.
     fn record(
         &self,
-        observations: impl IntoIterator<Item = CrashNews<EndpointHash>>,
+        observations: impl IntoIterator<Item = CrashObservation<EndpointHash>>,
         origin: Origin,
     ) -> Vec<RequestFingerprint> {
         let now = self.clock.now();
         let mut state = self.state();
-        let before = state.count.newest();
+        let before = state.count.newest_cursor();
         let mut quarantined = Vec::new();
         for observation in observations {
-            if state.count.take(now, observation) == NewsOutcome::Quarantines {
+            if state.count.record(now, observation) == ObservationOutcome::NewlyQuarantined {
                 quarantined.push(observation.request);
             }
         }
-        let newest = state.count.newest();
+        let newest = state.count.newest_cursor();
         if newest != before {
             state.count.expire(now);
             self.snapshot.store(snapshot(&state.count).into());
@@ -175,39 +179,39 @@
     }
 
     /// Returns the oldest `max` observations after `cursor`, and the cursor of the last of them.
-    pub fn news_after(
+    pub fn observations_after(
         &self,
-        cursor: NewsCursor,
+        cursor: ObservationCursor,
         max: usize,
-    ) -> (Vec<CrashNews<EndpointHash>>, NewsCursor) {
-        self.state().count.news_after(cursor, max)
+    ) -> (Vec<CrashObservation<EndpointHash>>, ObservationCursor) {
+        self.state().count.observations_after(cursor, max)
     }
 
     /// Waits until there are observations after `cursor`.
-    pub(crate) async fn news_since(&self, cursor: NewsCursor) {
+    pub(crate) async fn wait_for_observations_after(&self, cursor: ObservationCursor) {
         let mut newest = self.newest.subscribe();
         // This can't fail: `self` owns the sender.
         let _ = newest.wait_for(|newest| *newest > cursor).await;
     }
 
     /// Waits until a request was put under quarantine.
-    pub(crate) async fn wait_for_stopped(&self) {
+    pub(crate) async fn wait_for_quarantined(&self) {
         self.has_to_store.notified().await;
     }
 
     /// Returns the requests that this daemon's own observations put under quarantine since the last
     /// call.
-    pub(crate) fn take_to_store(&self) -> Vec<RequestFingerprint> {
+    pub(crate) fn take_unstored(&self) -> Vec<RequestFingerprint> {
         std::mem::take(&mut self.state().to_store)
     }
 
     /// Returns the requests that have been under quarantine for at least `age`, and still are.
-    pub(crate) fn stopped_for(&self, age: DurationMs) -> Vec<RequestFingerprint> {
+    pub(crate) fn quarantined_for(&self, age: DurationMs) -> Vec<RequestFingerprint> {
         let now = self.clock.now();
         let state = self.state();
         let quarantined = state.count.quarantined();
         let old_enough = quarantined.filter(|(_, since)| *since + age <= now);
-        let not_expired = old_enough.filter(|(_, since)| now < *since + QUARANTINE);
+        let not_expired = old_enough.filter(|(_, since)| now < *since + QUARANTINE_DURATION);
         not_expired.map(|(request, _)| request).collect()
     }
 }
@@ -216,7 +220,7 @@
     Snapshot {
         quarantined: count
             .quarantined()
-            .map(|(request, since)| (request, since + QUARANTINE))
+            .map(|(request, since)| (request, since + QUARANTINE_DURATION))
             .collect(),
         suspects: count.suspects().collect(),
     }
--- a/crates/gateway/src/requests/retry_budgets.rs
+++ b/crates/gateway/src/requests/retry_budgets.rs
@@ -50,7 +50,7 @@
     }
 
     /// Shares the slack among at most this many daemons.
-    pub fn share_among(&self, daemons: u32) {
+    pub fn set_daemon_count(&self, daemons: u32) {
         let parts = retry_budget::parts(daemons);
         self.parts.store(parts, Ordering::Relaxed);
     }
--- a/crates/gateway/src/work_by_endpoint.rs
+++ b/crates/gateway/src/work_by_endpoint.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns this work minus the work of `other`, at least 0 at every endpoint.
-    pub fn without(&self, other: &Self) -> Self {
+    pub fn minus(&self, other: &Self) -> Self {
         let mut rest = Self::default();
         for (endpoint, work) in self.iter() {
             rest.add(endpoint, work.saturating_sub(other.at(endpoint)));
@@ -101,7 +101,7 @@
     }
 
     /// Returns whether no endpoint has enough pending prompt tokens to report them sooner.
-    pub fn is_small(&self) -> bool {
+    pub fn has_no_urgent_prefill(&self) -> bool {
         self.iter()
             .all(|(_, work)| work.prefill_tokens < MIN_URGENT_TOKENS)
     }
--- a/crates/gateway/tests/cache_fetch.rs
+++ b/crates/gateway/tests/cache_fetch.rs
@@ -5,7 +5,7 @@
 use bridgevane_decisions::EndpointIx;
 use bridgevane_gateway::decisions::endpoint::cache_fetch::{CacheFetch, CacheSource, choose};
 use support::client::{Client, request};
-use support::endpoint::{Act, Endpoint};
+use support::endpoint::{Action, Endpoint};
 use support::source::{KEY, ScriptedSource, stream_route};
 use support::start;
 
@@ -40,9 +40,9 @@
     let source = ScriptedSource::new();
     source.configure(3, vec![stream_route("long", false, 1)], &[KEY]);
     let engines = [
-        Endpoint::start(|_| vec![Act::Hang]).await,
-        Endpoint::start(|_| vec![Act::Hang]).await,
-        Endpoint::start(|_| vec![Act::Hang]).await,
+        Endpoint::start(|_| vec![Action::Hang]).await,
+        Endpoint::start(|_| vec![Action::Hang]).await,
+        Endpoint::start(|_| vec![Action::Hang]).await,
     ];
     for (at, engine) in engines.iter().enumerate() {
         source.endpoint(&format!("e-{at}"), "model", engine.address);
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -13,10 +13,10 @@
 use bridgevane_types::RequestFingerprint;
 use std::net::SocketAddr;
 use std::time::Duration;
-use support::client::{Client, Got, request};
+use support::client::{Client, ClientAnswer, request};
 use support::crashing::{CRASHING_BODY, CrashingEngines};
 use support::source::{KEY, ScriptedSource, plain_route};
-use support::{Running, settings, start_with};
+use support::{RunningGateway, settings, start_with};
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 use tokio::time::{Instant, sleep};
@@ -38,7 +38,7 @@
     source
 }
 
-async fn send(address: SocketAddr, id: usize, body: &str) -> Option<Got> {
+async fn send(address: SocketAddr, id: usize, body: &str) -> Option<ClientAnswer> {
     let mut client = Client::connect(address).await;
     let id = format!("a{id}");
     client
@@ -59,7 +59,7 @@
     source: &ScriptedSource,
     listener: TcpListener,
     seeds: &[SocketAddr],
-) -> Running {
+) -> RunningGateway {
     let settings = GatewaySettings {
         vm: vm.into(),
         peer_address: listener.local_addr().ok(),
@@ -72,7 +72,7 @@
 }
 
 /// Starts two seeds, and two followers of each seed.
-async fn fleet(source: &ScriptedSource) -> Vec<Running> {
+async fn fleet(source: &ScriptedSource) -> Vec<RunningGateway> {
     let mut listeners = Vec::new();
     for _ in 0..6 {
         listeners.push(TcpListener::bind("127.0.0.1:0").await.unwrap());
@@ -175,7 +175,7 @@
 }
 
 /// Starts daemons that all know the same three seeds, and form a tree by themselves.
-async fn tree(source: &ScriptedSource, daemons: usize) -> Vec<Running> {
+async fn tree(source: &ScriptedSource, daemons: usize) -> Vec<RunningGateway> {
     let mut listeners = Vec::new();
     for _ in 0..daemons {
         listeners.push(TcpListener::bind("127.0.0.1:0").await.unwrap());
@@ -217,7 +217,7 @@
             sleep(Duration::from_millis(60)).await;
         }
         let observed_at = Instant::now();
-        let knows = |daemon: &&Running| daemon.gateway.quarantine.is_quarantined(|| request);
+        let knows = |daemon: &&RunningGateway| daemon.gateway.quarantine.is_quarantined(|| request);
         while fleet.iter().filter(knows).count() < fleet.len() {
             sleep(Duration::from_millis(5)).await;
             assert!(observed_at.elapsed() < MAX_SPREAD_TIME, "round {round}");
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -269,7 +269,7 @@
     );
     let fleet: Vec<RetryBudgets> = (0..80).map(|_| start()).collect();
     for budgets in &fleet {
-        budgets.share_among(80);
+        budgets.set_daemon_count(80);
         assert_eq!(grants(budgets, 9_999), 0, "its predecessor had a share");
     }
     let all: usize = fleet.iter().map(|budgets| grants(budgets, 20_000)).sum();
--- a/crates/gateway/tests/endpoint_leaving.rs
+++ b/crates/gateway/tests/endpoint_leaving.rs
@@ -5,10 +5,10 @@
 
 use bridgevane_gateway::Repeatability::AtMostOnce;
 use std::time::Duration;
-use support::client::{Client, Got, request};
-use support::endpoint::{Act, Endpoint, answer};
+use support::client::{Client, ClientAnswer, request};
+use support::endpoint::{Action, Endpoint, answer};
 use support::source::{IncarnationRecord, KEY, ScriptedSource, plain_route};
-use support::{Running, start};
+use support::{RunningGateway, start};
 
 const STARTED_AT: u64 = 1_780_000_000_000;
 
@@ -20,23 +20,23 @@
     }
 }
 
-fn leaving() -> Vec<Act> {
-    vec![Act::Send(
+fn leaving() -> Vec<Action> {
+    vec![Action::Send(
         "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-sign: s\r\nx-leaving: 1\r\ncontent-length: 4\r\n\r\nfine".into(),
     )]
 }
 
-fn fine() -> Vec<Act> {
+fn fine() -> Vec<Action> {
     vec![answer("200 OK", "fine")]
 }
 
-fn full() -> Vec<Act> {
+fn full() -> Vec<Action> {
     let head = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-    vec![Act::Send(head.into())]
+    vec![Action::Send(head.into())]
 }
 
 /// Starts a gateway with endpoints of one service, in their first incarnation.
-async fn start_gateway(endpoints: &[&Endpoint]) -> Running {
+async fn start_gateway(endpoints: &[&Endpoint]) -> RunningGateway {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
@@ -46,7 +46,7 @@
     start(source).await
 }
 
-async fn ask(running: &Running) -> Got {
+async fn ask(running: &RunningGateway) -> ClientAnswer {
     let mut client = Client::connect(running.address).await;
     client
         .send(&request("POST", "/once/x", "a1", "x-deadline: 900\r\n", ""))
@@ -59,7 +59,7 @@
 }
 
 /// Starts a gateway whose only endpoint has announced to it that it is leaving.
-async fn start_with_leaving_endpoint() -> (Running, Endpoint) {
+async fn start_with_leaving_endpoint() -> (RunningGateway, Endpoint) {
     let endpoint = Endpoint::start(|_| leaving()).await;
     let running = start_gateway(&[&endpoint]).await;
     assert_eq!(ask(&running).await.status, 200);
--- a/crates/gateway/tests/endpoint_limits.rs
+++ b/crates/gateway/tests/endpoint_limits.rs
@@ -9,18 +9,18 @@
 use bridgevane_types::{RequestsPerSecond, TimeMs};
 use futures_util::future::join_all;
 use std::time::Duration;
-use support::client::{Client, Got, request};
-use support::endpoint::{Act, Endpoint, answer};
+use support::client::{Client, ClientAnswer, request};
+use support::endpoint::{Action, Endpoint, answer};
 use support::source::{KEY, ScriptedSource, plain_route};
-use support::{Running, start};
+use support::{RunningGateway, start};
 
 /// The number of requests that an endpoint may get in 4 s from daemons that know its limit of one a
 /// second: half as many again, and five.
 const MAX_AT_ONE_A_SECOND: usize = 11;
 
 /// Returns a complete answer that announces a limit of requests a second.
-fn limited(requests_per_s: &str) -> Act {
-    Act::Send(format!(
+fn limited(requests_per_s: &str) -> Action {
+    Action::Send(format!(
         "HTTP/1.1 200 OK\r\nx-id: {{id}}\r\nx-sign: s\r\nx-rate-limit: {requests_per_s}\r\n\
          content-length: 4\r\n\r\nfine"
     ))
@@ -40,7 +40,7 @@
 }
 
 /// Starts a gateway with endpoints of one service.
-async fn start_gateway(endpoints: &[&Endpoint]) -> Running {
+async fn start_gateway(endpoints: &[&Endpoint]) -> RunningGateway {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
@@ -49,7 +49,7 @@
     start(source).await
 }
 
-async fn ask(client: &mut Client, at: usize) -> Got {
+async fn ask(client: &mut Client, at: usize) -> ClientAnswer {
     let id = format!("a{at}");
     client
         .send(&request("POST", "/once/x", &id, "x-deadline: 900\r\n", ""))
@@ -58,7 +58,7 @@
 }
 
 /// Sends requests on several connections at once; returns the number of those that were served.
-async fn send_requests(running: &Running, connections: usize, requests: usize) -> usize {
+async fn send_requests(running: &RunningGateway, connections: usize, requests: usize) -> usize {
     let clients = (0..connections).map(|connection| async move {
         let mut client = Client::connect(running.address).await;
         let mut served = 0;
@@ -75,7 +75,7 @@
 /// requests.
 #[tokio::test]
 async fn an_endpoint_gets_no_more_requests_than_its_limit_allows() {
-    let work = || Act::Wait(Duration::from_millis(3));
+    let work = || Action::Wait(Duration::from_millis(3));
     let limited_endpoint = Endpoint::start(move |_| vec![work(), limited("1")]).await;
     let healthy = Endpoint::start(move |_| vec![work(), answer("200 OK", "fine")]).await;
     let running = start_gateway(&[&limited_endpoint, &healthy]).await;
@@ -93,7 +93,7 @@
 async fn retries_count_against_the_limit_of_an_endpoint() {
     let limited_endpoint = Endpoint::start(|_| vec![limited("1")]).await;
     let not_run = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-    let full = Endpoint::start(move |_| vec![Act::Send(not_run.into())]).await;
+    let full = Endpoint::start(move |_| vec![Action::Send(not_run.into())]).await;
     let running = start_gateway(&[&limited_endpoint, &full]).await;
     send_requests(&running, 6, 20).await;
     let arrived = limited_endpoint.count();
--- a/crates/gateway/tests/endpoint_lives.rs
+++ b/crates/gateway/tests/endpoint_lives.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use support::client::{Client, request};
-use support::endpoint::{Act, Endpoint, answer};
+use support::endpoint::{Action, Endpoint, answer};
 use support::source::{IncarnationRecord, KEY, ScriptedSource, plain_route};
-use support::{Running, start};
+use support::{RunningGateway, start};
 
 const STARTED_AT: u64 = 1_780_000_000_000;
 
@@ -21,7 +21,7 @@
     }
 }
 
-async fn start_gateway(first: IncarnationRecord) -> (Running, Endpoint) {
+async fn start_gateway(first: IncarnationRecord) -> (RunningGateway, Endpoint) {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("often", Idempotent, 1)], &[KEY]);
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
@@ -33,14 +33,14 @@
     tokio::time::sleep(Duration::from_millis(350)).await;
 }
 
-fn only_endpoint(running: &Running) -> Arc<bridgevane_gateway::Endpoint> {
+fn only_endpoint(running: &RunningGateway) -> Arc<bridgevane_gateway::Endpoint> {
     let directory = running.gateway.control.directory();
     let service = directory.service(&"plain".into()).expect("the service");
     assert_eq!(service.all.len(), 1);
     service.all[0].clone()
 }
 
-async fn status(running: &Running) -> Option<u16> {
+async fn status(running: &RunningGateway) -> Option<u16> {
     let mut client = Client::connect(running.address).await;
     let text = request("GET", "/often/x", "a1", "x-deadline: 700\r\n", "");
     client.send(&text).await;
@@ -83,7 +83,7 @@
 #[tokio::test]
 async fn a_late_record_of_an_earlier_incarnation_changes_nothing() {
     let (running, second) = start_gateway(incarnation(STARTED_AT + 4_000, 3)).await;
-    let gone = Endpoint::start(|_| vec![Act::Hang]).await;
+    let gone = Endpoint::start(|_| vec![Action::Hang]).await;
     let leaving = IncarnationRecord {
         is_draining: true,
         ..incarnation(STARTED_AT, 1_000)
--- a/crates/gateway/tests/endpoint_rest.rs
+++ b/crates/gateway/tests/endpoint_rest.rs
@@ -7,27 +7,27 @@
 use bridgevane_gateway::Repeatability::AtMostOnce;
 use bridgevane_types::Share;
 use std::time::{Duration, Instant};
-use support::client::{Client, Got, request};
-use support::endpoint::{Act, Endpoint, answer};
+use support::client::{Client, ClientAnswer, request};
+use support::endpoint::{Action, Endpoint, answer};
 use support::source::{KEY, ScriptedSource, plain_route};
-use support::{Running, settings, start, start_with};
+use support::{RunningGateway, settings, start, start_with};
 
 /// The number of requests that may reach an endpoint during its back-off.
 const MAX_DURING_BACKOFF: usize = 2;
 
 /// Returns a rejection that asks for a back-off of `seconds`.
-fn backoff_for(seconds: &str) -> Vec<Act> {
-    vec![Act::Send(format!(
+fn backoff_for(seconds: &str) -> Vec<Action> {
+    vec![Action::Send(format!(
         "HTTP/1.1 503 Full\r\nx-not-run: 1\r\nretry-after: {seconds}\r\ncontent-length: 0\r\n\r\n"
     ))]
 }
 
-fn fine() -> Vec<Act> {
+fn fine() -> Vec<Action> {
     vec![answer("200 OK", "fine")]
 }
 
 /// Starts a gateway with endpoints of one service.
-async fn start_gateway(endpoints: &[&Endpoint]) -> Running {
+async fn start_gateway(endpoints: &[&Endpoint]) -> RunningGateway {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
@@ -36,7 +36,7 @@
     start(source).await
 }
 
-async fn ask(running: &Running) -> Got {
+async fn ask(running: &RunningGateway) -> ClientAnswer {
     let mut client = Client::connect(running.address).await;
     client
         .send(&request("POST", "/once/x", "a1", "x-deadline: 900\r\n", ""))
--- a/crates/gateway/tests/endpoint_signals.rs
+++ b/crates/gateway/tests/endpoint_signals.rs
@@ -7,9 +7,9 @@
 
 use bridgevane_gateway::Repeatability::{AtMostOnce, Idempotent};
 use support::client::{Client, request};
-use support::endpoint::{Act, Endpoint, answer, chunk, event, last_chunk, stream_head};
+use support::endpoint::{Action, Endpoint, answer, chunk, event, last_chunk, stream_head};
 use support::source::{KEY, ScriptedSource, plain_route, stream_route};
-use support::{Running, start};
+use support::{RunningGateway, start};
 
 /// The number of requests of one case. More than one, since a daemon may have a permit for an
 /// endpoint that announces a limit.
@@ -76,22 +76,22 @@
     }
 
     /// Returns what another endpoint does with each request first; `None` if there is no other.
-    fn other_endpoint_acts(self) -> Option<Vec<Act>> {
+    fn other_endpoint_acts(self) -> Option<Vec<Action>> {
         let full = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
         match self {
             Self::FirstAttempt => None,
-            Self::Retry => Some(vec![Act::Send(full.into())]),
-            Self::Hedge => Some(vec![Act::Hang]),
+            Self::Retry => Some(vec![Action::Send(full.into())]),
+            Self::Hedge => Some(vec![Action::Hang]),
             Self::ResumedStream => Some(vec![
                 stream_head(),
                 event(1),
                 chunk("id: 2\nda"),
-                Act::Reset,
+                Action::Reset,
             ]),
         }
     }
 
-    fn whole_answer(self) -> Vec<Act> {
+    fn whole_answer(self) -> Vec<Action> {
         if self.is_stream() {
             vec![stream_head(), event(2), last_chunk()]
         } else {
@@ -108,19 +108,19 @@
     }
 }
 
-fn first_answer(signal: Signal) -> Vec<Act> {
+fn first_answer(signal: Signal) -> Vec<Action> {
     let (headers, is_rejected) = signal.first_answer();
     let status = if is_rejected {
         "503 Full\r\nx-not-run: 1"
     } else {
         "200 OK"
     };
-    vec![Act::Send(format!(
+    vec![Action::Send(format!(
         "HTTP/1.1 {status}\r\nx-id: {{id}}\r\nx-sign: s\r\n{headers}content-length: 0\r\n\r\n"
     ))]
 }
 
-async fn ask(running: &Running, kind: SendKind) {
+async fn ask(running: &RunningGateway, kind: SendKind) {
     let mut client = Client::connect(running.address).await;
     let text = request("POST", kind.path(), "a1", "x-deadline: 600\r\n", "");
     client.send(&text).await;
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -9,10 +9,10 @@
 use bridgevane_types::DataCentreId;
 use std::collections::HashSet;
 use std::time::Duration;
-use support::client::{Client, Got, request};
-use support::endpoint::{Act, Endpoint, answer};
+use support::client::{Client, ClientAnswer, request};
+use support::endpoint::{Action, Endpoint, answer};
 use support::source::{KEY, ScriptedSource, plain_route};
-use support::{Running, start};
+use support::{RunningGateway, start};
 
 /// The number of requests with which the distribution is observed.
 const REQUESTS: usize = 12;
@@ -20,7 +20,7 @@
 const DATA_CENTRES: [&str; 2] = ["dc-1", "dc-2"];
 
 struct Stage {
-    running: Running,
+    running: RunningGateway,
     endpoints: [Endpoint; 2],
 }
 
@@ -38,7 +38,7 @@
         } else {
             Duration::ZERO
         };
-        vec![Act::Wait(pause), answer("200 OK", "fine")]
+        vec![Action::Wait(pause), answer("200 OK", "fine")]
     };
     let endpoints = [Endpoint::start(script).await, Endpoint::start(script).await];
     for (data_centre, endpoint) in DATA_CENTRES.iter().zip(&endpoints) {
@@ -66,7 +66,7 @@
     }
 }
 
-async fn ask(running: &Running, route: &str) -> Got {
+async fn ask(running: &RunningGateway, route: &str) -> ClientAnswer {
     let mut client = Client::connect(running.address).await;
     let path = format!("/{route}/x");
     let text = request("GET", &path, "a1", "x-deadline: 900\r\n", "");
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -4,13 +4,16 @@
 
 use bridgevane_gateway::Repeatability::{AtMostOnce, Idempotent};
 use std::time::Duration;
-use support::client::{Client, Got, request};
-use support::endpoint::{Act, Endpoint, answer, chunk, event, last_chunk, stream_head};
+use support::client::{Client, ClientAnswer, request};
+use support::endpoint::{Action, Endpoint, answer, chunk, event, last_chunk, stream_head};
 use support::source::{KEY, ScriptedSource, plain_route, stream_route};
-use support::{Running, start};
+use support::{RunningGateway, start};
 
 /// Starts a gateway with two plain endpoints and two model endpoints, each kind with one script.
-async fn start_gateway(plain: Vec<Act>, model: fn(usize) -> Vec<Act>) -> (Running, [Endpoint; 4]) {
+async fn start_gateway(
+    plain: Vec<Action>,
+    model: fn(usize) -> Vec<Action>,
+) -> (RunningGateway, [Endpoint; 4]) {
     let source = ScriptedSource::new();
     let routes = vec![
         plain_route("once", AtMostOnce, 1),
@@ -38,7 +41,7 @@
     endpoints.iter().map(Endpoint::count).sum()
 }
 
-async fn send_request(running: &Running, method: &str, path: &str) -> Option<Got> {
+async fn send_request(running: &RunningGateway, method: &str, path: &str) -> Option<ClientAnswer> {
     let mut client = Client::connect(running.address).await;
     client
         .send(&request(method, path, "a1", "x-deadline: 900\r\n", ""))
@@ -46,11 +49,11 @@
     client.answer().await
 }
 
-fn answer_ok() -> Vec<Act> {
+fn answer_ok() -> Vec<Action> {
     vec![answer("200 OK", "fine")]
 }
 
-fn unused_model(_: usize) -> Vec<Act> {
+fn unused_model(_: usize) -> Vec<Action> {
     Vec::new()
 }
 
@@ -65,21 +68,21 @@
     let short = "HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-length: 9\r\n\r\nfine".to_owned();
     let garbage = "SMTP ready\r\n\r\n".to_owned();
     type Outcome = (u16, usize, u16, usize);
-    let cases: Vec<(&str, Vec<Act>, Outcome)> = vec![
+    let cases: Vec<(&str, Vec<Action>, Outcome)> = vec![
         ("answers", answer_ok(), (200, 1, 200, 1)),
         ("fails", vec![answer("500 No", "x")], (500, 1, 500, 2)),
         ("not found", vec![answer("404 No", "x")], (404, 1, 404, 1)),
-        ("is full", vec![Act::Send(not_run)], (503, 2, 503, 2)),
-        ("resets", vec![Act::Reset], (502, 1, 502, 2)),
-        ("closes", vec![Act::Close], (502, 1, 502, 2)),
-        ("crosses", vec![Act::Send(crossed)], (502, 1, 502, 2)),
+        ("is full", vec![Action::Send(not_run)], (503, 2, 503, 2)),
+        ("resets", vec![Action::Reset], (502, 1, 502, 2)),
+        ("closes", vec![Action::Close], (502, 1, 502, 2)),
+        ("crosses", vec![Action::Send(crossed)], (502, 1, 502, 2)),
         (
             "breaks off",
-            vec![Act::Send(short), Act::Close],
+            vec![Action::Send(short), Action::Close],
             (502, 1, 502, 2),
         ),
-        ("is no HTTP", vec![Act::Send(garbage)], (502, 1, 502, 2)),
-        ("is silent", vec![Act::Hang], (504, 1, 504, 2)),
+        ("is no HTTP", vec![Action::Send(garbage)], (502, 1, 502, 2)),
+        ("is silent", vec![Action::Hang], (504, 1, 504, 2)),
     ];
     for (case, actions, (once, once_runs, often, often_runs)) in cases {
         let (running, endpoints) = start_gateway(actions.clone(), unused_model).await;
@@ -245,7 +248,8 @@
 #[tokio::test]
 async fn an_answer_that_ends_with_its_connection_is_forwarded_completely() {
     let unframed = "HTTP/1.1 200 OK\r\nx-id: {id}\r\n\r\nfine".to_owned();
-    let (running, _) = start_gateway(vec![Act::Send(unframed), Act::Close], unused_model).await;
+    let (running, _) =
+        start_gateway(vec![Action::Send(unframed), Action::Close], unused_model).await;
     let got = send_request(&running, "POST", "/once/x")
         .await
         .expect("an answer");
@@ -255,10 +259,10 @@
     );
 }
 
-fn breaks_off_inside_an_event(at: usize) -> Vec<Act> {
+fn breaks_off_inside_an_event(at: usize) -> Vec<Action> {
     let events_from = |first: u64| (first..=4).map(event).chain([last_chunk()]);
     match at {
-        0 => vec![stream_head(), event(1), chunk("id: 2\nda"), Act::Reset],
+        0 => vec![stream_head(), event(1), chunk("id: 2\nda"), Action::Reset],
         _ => [stream_head()].into_iter().chain(events_from(2)).collect(),
     }
 }
@@ -269,7 +273,7 @@
 async fn a_resumable_stream_is_resumed_at_another_endpoint() {
     // The first request of all breaks off; the next one goes to the other endpoint.
     static REQUESTS: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
-    fn script(_: usize) -> Vec<Act> {
+    fn script(_: usize) -> Vec<Action> {
         breaks_off_inside_an_event(REQUESTS.fetch_add(1, std::sync::atomic::Ordering::Relaxed))
     }
     let (running, endpoints) = start_gateway(Vec::new(), script).await;
@@ -306,8 +310,12 @@
 /// gateway notices the disconnect only with the next chunk.
 #[tokio::test]
 async fn a_client_disconnect_closes_the_endpoint_s_connection_of_a_silent_stream() {
-    fn silent(_: usize) -> Vec<Act> {
-        vec![stream_head(), event(1), Act::Wait(Duration::from_secs(9))]
+    fn silent(_: usize) -> Vec<Action> {
+        vec![
+            stream_head(),
+            event(1),
+            Action::Wait(Duration::from_secs(9)),
+        ]
     }
     let (running, endpoints) = start_gateway(Vec::new(), silent).await;
     let mut client = Client::connect(running.address).await;
@@ -335,7 +343,7 @@
 #[tokio::test]
 async fn a_resumable_stream_whose_endpoint_fails_is_asked_for_elsewhere() {
     static REQUESTS: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
-    fn script(_: usize) -> Vec<Act> {
+    fn script(_: usize) -> Vec<Action> {
         match REQUESTS.fetch_add(1, std::sync::atomic::Ordering::Relaxed) {
             0 => vec![answer("500 No", "x")],
             _ => vec![stream_head(), event(1), last_chunk()],
@@ -349,10 +357,10 @@
     assert_eq!(runs(&endpoints), 2);
 }
 
-fn ends_inside_an_event_without_a_length(_: usize) -> Vec<Act> {
+fn ends_inside_an_event_without_a_length(_: usize) -> Vec<Action> {
     let text = "HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-type: text/event-stream\r\n\r\n\
                 id: 1\ndata: piece 1\n\nid: 2\nda";
-    vec![Act::Send(text.into()), Act::Close]
+    vec![Action::Send(text.into()), Action::Close]
 }
 
 /// Guards against a stream that is taken for complete because its body has no length, although its
@@ -382,7 +390,7 @@
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     let misdirected = "HTTP/1.1 421 No\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-    let replaced = Endpoint::start(move |_| vec![Act::Send(misdirected.to_owned())]).await;
+    let replaced = Endpoint::start(move |_| vec![Action::Send(misdirected.to_owned())]).await;
     let healthy = Endpoint::start(|_| answer_ok()).await;
     for at in 0..3 {
         source.endpoint(&format!("old-{at}"), "plain", replaced.address);
--- a/crates/gateway/tests/freshness.rs
+++ b/crates/gateway/tests/freshness.rs
@@ -12,16 +12,16 @@
 use support::client::{Client, request};
 use support::endpoint::{Endpoint, answer};
 use support::source::{KEY, OTHER_KEY, ScriptedSource, plain_route};
-use support::{Running, start, start_with};
+use support::{RunningGateway, start, start_with};
 use tokio::net::TcpListener;
 
 /// Starts a daemon with one endpoint.
-async fn start_gateway() -> (Running, Endpoint) {
+async fn start_gateway() -> (RunningGateway, Endpoint) {
     start_gateway_with(support::settings()).await
 }
 
 /// Starts a daemon with one endpoint and these settings.
-async fn start_gateway_with(settings: GatewaySettings) -> (Running, Endpoint) {
+async fn start_gateway_with(settings: GatewaySettings) -> (RunningGateway, Endpoint) {
     let source = ScriptedSource::new();
     source.configure(
         3,
@@ -33,7 +33,7 @@
     (start_with(source, settings).await, endpoint)
 }
 
-async fn status(running: &Running) -> u16 {
+async fn status(running: &RunningGateway) -> u16 {
     let mut client = Client::connect(running.address).await;
     client.send(&request("GET", "/often/x", "a1", "", "")).await;
     client.answer().await.expect("an answer").status
@@ -104,7 +104,7 @@
 }
 
 /// Returns a daemon after an outage of the source in which the record `removed` was lost.
-async fn gateway_after_outage(removed: &str) -> (Running, Endpoint) {
+async fn gateway_after_outage(removed: &str) -> (RunningGateway, Endpoint) {
     let source = ScriptedSource::new();
     let routes = vec![plain_route("often", Idempotent, 2)];
     source.configure(3, routes, &[KEY]);
@@ -243,11 +243,11 @@
     settings
 }
 
-async fn start_gateway_allowing_stale() -> (Running, Endpoint) {
+async fn start_gateway_allowing_stale() -> (RunningGateway, Endpoint) {
     start_gateway_with(settings_allowing_stale()).await
 }
 
-async fn status_of(running: &Running, path: &str, key: &str) -> u16 {
+async fn status_of(running: &RunningGateway, path: &str, key: &str) -> u16 {
     let mut client = Client::connect(running.address).await;
     let head = request("GET", path, "a1", "", "").replace(KEY, key);
     client.send(&head).await;
@@ -255,7 +255,7 @@
 }
 
 /// Makes the source fail, and waits longer than the lifetime of a proof.
-async fn let_proof_expire(running: &Running) {
+async fn let_proof_expire(running: &RunningGateway) {
     running.source.fail(Some(SourceError::NoAnswer));
     tokio::time::sleep(Duration::from_millis(1_100)).await;
 }
@@ -320,7 +320,7 @@
     let address = listener.local_addr().expect("the address of the listener");
     tokio::spawn(follow_control_source(gateway.clone(), source.clone()));
     tokio::spawn(serve_clients(gateway.clone(), listener));
-    let running = Running {
+    let running = RunningGateway {
         gateway,
         source,
         address,
@@ -351,10 +351,10 @@
     source.endpoint("e-0", "plain", endpoint.address);
     let script = ClockScript::leaked();
     let clock = Clock::scripted(script);
-    let running = support::start_by(clock, source, support::settings()).await;
+    let running = support::start_with_clock(clock, source, support::settings()).await;
     assert_eq!(status(&running).await, 200);
     running.source.fail(Some(SourceError::NoAnswer));
-    script.wake_after(DurationMs(5_000));
+    script.add_suspension(DurationMs(5_000));
     assert!(!running.gateway.is_ready());
     assert_eq!(status(&running).await, 503);
     assert_eq!(endpoint.count(), 1);
--- a/crates/gateway/tests/replication.rs
+++ b/crates/gateway/tests/replication.rs
@@ -9,14 +9,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use support::client::{Client, request};
-use support::endpoint::{Act, Endpoint, answer};
+use support::endpoint::{Action, Endpoint, answer};
 use support::source::{KEY, OTHER_KEY, ScriptedSource, plain_route, stream_route};
-use support::{Running, settings, start_with};
+use support::{RunningGateway, settings, start_with};
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 
 struct Peer {
-    running: Running,
+    running: RunningGateway,
     address: SocketAddr,
 }
 
@@ -112,7 +112,7 @@
 async fn work_is_reported_up_and_down_the_tree_and_between_seeds() {
     let source = ScriptedSource::new();
     source.configure(3, vec![stream_route("long", false, 1)], &[KEY]);
-    let engine = Endpoint::start(|_| vec![Act::Hang]).await;
+    let engine = Endpoint::start(|_| vec![Action::Hang]).await;
     source.endpoint("e-0", "model", engine.address);
     let first_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let second_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -347,7 +347,7 @@
             ""
         };
         let head = "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-sign: s\r\n";
-        vec![Act::Send(format!(
+        vec![Action::Send(format!(
             "{head}{limit}content-length: 4\r\n\r\nfine"
         ))]
     })
--- a/crates/gateway/tests/stopping.rs
+++ b/crates/gateway/tests/stopping.rs
@@ -5,12 +5,12 @@
 use bridgevane_gateway::{Repeatability::AtMostOnce, SourceError, stop_gracefully};
 use std::time::Duration;
 use support::client::{Client, request};
-use support::endpoint::{Act, Endpoint, answer};
+use support::endpoint::{Action, Endpoint, answer};
 use support::source::{KEY, ScriptedSource, plain_route};
-use support::{Running, start};
+use support::{RunningGateway, start};
 
 /// Starts a gateway with one endpoint, which handles every request by `actions`.
-async fn start_gateway(actions: Vec<Act>) -> (Running, Endpoint) {
+async fn start_gateway(actions: Vec<Action>) -> (RunningGateway, Endpoint) {
     let source = ScriptedSource::new();
     source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     let endpoint = Endpoint::start(move |_| actions.clone()).await;
@@ -22,7 +22,7 @@
 #[tokio::test]
 async fn a_request_in_progress_is_answered_before_the_process_exits() {
     let slow = vec![
-        Act::Wait(Duration::from_millis(600)),
+        Action::Wait(Duration::from_millis(600)),
         answer("200 OK", "fine"),
     ];
     let (running, _) = start_gateway(slow).await;
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn a_connection_accepted_during_the_stop_is_served_before_the_process_exits() {
     let slow = vec![
-        Act::Wait(Duration::from_millis(400)),
+        Action::Wait(Duration::from_millis(400)),
         answer("200 OK", "fine"),
     ];
     let (running, _) = start_gateway(slow).await;
@@ -102,7 +102,7 @@
 #[tokio::test]
 async fn a_stop_during_an_outage_of_the_source_answers_accepted_requests() {
     let slow = vec![
-        Act::Wait(Duration::from_millis(900)),
+        Action::Wait(Duration::from_millis(900)),
         answer("200 OK", "fine"),
     ];
     let (running, _) = start_gateway(slow).await;
@@ -139,7 +139,7 @@
 #[tokio::test]
 async fn continuous_new_connections_do_not_delay_the_stop() {
     let slow = vec![
-        Act::Wait(Duration::from_millis(100)),
+        Action::Wait(Duration::from_millis(100)),
         answer("200 OK", "fine"),
     ];
     let (running, _) = start_gateway(slow).await;
--- a/crates/gateway/tests/support/client.rs
+++ b/crates/gateway/tests/support/client.rs
@@ -10,7 +10,7 @@
 
 /// An answer as the client received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Got {
+pub struct ClientAnswer {
     pub status: u16,
     pub head: String,
     pub body: String,
@@ -18,7 +18,7 @@
     pub is_whole: bool,
 }
 
-impl Got {
+impl ClientAnswer {
     pub fn header(&self, name: &str) -> Option<&str> {
         let line = |line: &&str| {
             line.split_once(": ")
@@ -87,13 +87,13 @@
     }
 
     /// Reads one answer; returns `None` if the connection ends before a complete head.
-    pub async fn answer(&mut self) -> Option<Got> {
+    pub async fn answer(&mut self) -> Option<ClientAnswer> {
         timeout(TIMEOUT, self.read_answer())
             .await
             .expect("an answer arrives")
     }
 
-    async fn read_answer(&mut self) -> Option<Got> {
+    async fn read_answer(&mut self) -> Option<ClientAnswer> {
         let end = loop {
             if let Some(end) = self
                 .unparsed
@@ -117,7 +117,7 @@
             Some(length) => self.read_length(length.trim().parse().unwrap()).await,
             None => self.read_chunks().await,
         };
-        Some(Got {
+        Some(ClientAnswer {
             status,
             head,
             body: String::from_utf8_lossy(&body).into_owned(),
--- a/crates/gateway/tests/support/crashing.rs
+++ b/crates/gateway/tests/support/crashing.rs
@@ -1,6 +1,6 @@
 //! Engines of one service that crash when they run a certain request, and restart under new ids.
 
-use super::endpoint::{Act, Endpoint, ReceivedRequest, answer};
+use super::endpoint::{Action, Endpoint, ReceivedRequest, answer};
 use super::source::ScriptedSource;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -77,10 +77,10 @@
     }
 }
 
-fn actions(run_time: Duration, seen: &ReceivedRequest) -> Vec<Act> {
+fn actions(run_time: Duration, seen: &ReceivedRequest) -> Vec<Action> {
     if seen.body == CRASHING_BODY.as_bytes() {
-        vec![Act::Wait(run_time), Act::Crash]
+        vec![Action::Wait(run_time), Action::Crash]
     } else {
-        vec![Act::Wait(run_time), answer("200 OK", "fine")]
+        vec![Action::Wait(run_time), answer("200 OK", "fine")]
     }
 }
--- a/crates/gateway/tests/support/duty_sim/daemon.rs
+++ b/crates/gateway/tests/support/duty_sim/daemon.rs
@@ -94,7 +94,7 @@
         while Instant::now() < end {
             sleep(SUSPENSION_STEP).await;
             self.clock
-                .stand_still(DurationMs(SUSPENSION_STEP.as_millis() as u64));
+                .mark_suspended(DurationMs(SUSPENSION_STEP.as_millis() as u64));
         }
         platform.set_faults(&self.vm, LinkFaults::default());
     }
--- a/crates/gateway/tests/support/endpoint.rs
+++ b/crates/gateway/tests/support/endpoint.rs
@@ -9,7 +9,7 @@
 
 /// One step of the handling of a request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Action {
     /// Sends bytes; `{id}` is replaced by the request's identifier.
     Send(String),
     /// Waits.
@@ -53,13 +53,13 @@
 
 impl Endpoint {
     /// Starts an endpoint that handles its n-th request by `script(n)`.
-    pub async fn start(script: impl Fn(usize) -> Vec<Act> + Send + Sync + 'static) -> Self {
+    pub async fn start(script: impl Fn(usize) -> Vec<Action> + Send + Sync + 'static) -> Self {
         Self::start_by_request(move |at, _| script(at)).await
     }
 
     /// Starts an endpoint whose script also depends on the content of the request.
     pub async fn start_by_request(
-        script: impl Fn(usize, &ReceivedRequest) -> Vec<Act> + Send + Sync + 'static,
+        script: impl Fn(usize, &ReceivedRequest) -> Vec<Action> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoint = Self {
@@ -121,7 +121,7 @@
 async fn serve(
     endpoint: Endpoint,
     mut stream: TcpStream,
-    script: Arc<impl Fn(usize, &ReceivedRequest) -> Vec<Act> + Send + Sync + 'static>,
+    script: Arc<impl Fn(usize, &ReceivedRequest) -> Vec<Action> + Send + Sync + 'static>,
 ) {
     let mut unparsed = Vec::new();
     while let Some(seen) = read_request(&mut stream, &mut unparsed).await {
@@ -129,13 +129,13 @@
         let at = endpoint.record(seen.clone());
         for action in script(at, &seen) {
             match action {
-                Act::Send(text) => {
+                Action::Send(text) => {
                     let text = text.replace("{id}", &id);
                     if stream.write_all(text.as_bytes()).await.is_err() {
                         return;
                     }
                 }
-                Act::Wait(time) => {
+                Action::Wait(time) => {
                     let mut byte = [0; 1];
                     tokio::select! {
                         _ = tokio::time::sleep(time) => {}
@@ -145,16 +145,16 @@
                         },
                     }
                 }
-                Act::Close => return,
-                Act::Crash => {
+                Action::Close => return,
+                Action::Crash => {
                     endpoint.crashed.cancel();
                     return;
                 }
-                Act::Reset => {
+                Action::Reset => {
                     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     return;
                 }
-                Act::Hang => {
+                Action::Hang => {
                     let mut byte = [0; 1];
                     if matches!(stream.read(&mut byte).await, Ok(0) | Err(_)) {
                         *endpoint.abandoned.lock().unwrap() += 1;
@@ -167,16 +167,16 @@
 }
 
 /// Sends a complete answer with a status and a body.
-pub fn answer(status: &str, body: &str) -> Act {
-    Act::Send(format!(
+pub fn answer(status: &str, body: &str) -> Action {
+    Action::Send(format!(
         "HTTP/1.1 {status}\r\nx-id: {{id}}\r\nx-sign: s\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
 /// Sends the head of a chunked stream.
-pub fn stream_head() -> Act {
-    Act::Send(
+pub fn stream_head() -> Action {
+    Action::Send(
         "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-sign: s\r\ncontent-type: text/event-stream\r\n\
          transfer-encoding: chunked\r\n\r\n"
             .into(),
@@ -184,16 +184,16 @@
 }
 
 /// Sends text as one chunk.
-pub fn chunk(text: &str) -> Act {
-    Act::Send(format!("{:x}\r\n{text}\r\n", text.len()))
+pub fn chunk(text: &str) -> Action {
+    Action::Send(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
 /// Sends one event as a chunk.
-pub fn event(id: u64) -> Act {
+pub fn event(id: u64) -> Action {
     chunk(&format!("id: {id}\ndata: piece {id}\n\n"))
 }
 
 /// Sends the last chunk of a chunked stream.
-pub fn last_chunk() -> Act {
-    Act::Send("0\r\n\r\n".into())
+pub fn last_chunk() -> Action {
+    Action::Send("0\r\n\r\n".into())
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -80,24 +80,28 @@
 }
 
 /// A running gateway.
-pub struct Running {
+pub struct RunningGateway {
     pub gateway: Arc<Gateway>,
     pub source: ScriptedSource,
     pub address: SocketAddr,
 }
 
 /// Starts a gateway that follows `source`, and waits until it is ready.
-pub async fn start(source: ScriptedSource) -> Running {
+pub async fn start(source: ScriptedSource) -> RunningGateway {
     start_with(source, settings()).await
 }
 
 /// Starts a gateway with the given settings.
-pub async fn start_with(source: ScriptedSource, settings: GatewaySettings) -> Running {
-    start_by(Clock::scripted(ClockScript::leaked()), source, settings).await
+pub async fn start_with(source: ScriptedSource, settings: GatewaySettings) -> RunningGateway {
+    start_with_clock(Clock::scripted(ClockScript::leaked()), source, settings).await
 }
 
 /// Starts a gateway with the given clock and settings.
-pub async fn start_by(clock: Clock, source: ScriptedSource, settings: GatewaySettings) -> Running {
+pub async fn start_with_clock(
+    clock: Clock,
+    source: ScriptedSource,
+    settings: GatewaySettings,
+) -> RunningGateway {
     let meter = opentelemetry::global::meter("test");
     let gateway = Gateway::with_clock(settings, names(), &meter, clock);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -110,7 +114,7 @@
         tokio::task::yield_now().await;
         tokio::time::sleep(std::time::Duration::from_millis(2)).await;
     }
-    Running {
+    RunningGateway {
         gateway,
         source,
         address,
--- a/crates/gateway/tests/support/retry_fleet.rs
+++ b/crates/gateway/tests/support/retry_fleet.rs
@@ -164,7 +164,7 @@
     fn start(&mut self, step: usize) -> RetryBudgets {
         let rounding = RetryRounding(self.rng.random());
         let budgets = RetryBudgets::new(time(step), &self.settings, rounding);
-        budgets.share_among(self.assumed_daemons);
+        budgets.set_daemon_count(self.assumed_daemons);
         budgets
     }
 
@@ -186,7 +186,7 @@
     pub fn report_size(&mut self) {
         self.assumed_daemons = (self.vms.len() as f64 * self.assumed_factor).ceil() as u32;
         for budgets in self.vms.iter().filter_map(|vm| vm.budgets.as_ref()) {
-            budgets.share_among(self.assumed_daemons);
+            budgets.set_daemon_count(self.assumed_daemons);
         }
     }
 
--- a/crates/gateway/tests/work.rs
+++ b/crates/gateway/tests/work.rs
@@ -33,9 +33,9 @@
 fn the_work_of_other_daemons_is_the_total_minus_the_own() {
     let total = work(&[(1, 5_000), (2, 900)]);
     let own = work(&[(1, 2_000), (2, 1_000), (3, 10)]);
-    assert_eq!(total.without(&own), work(&[(1, 3_000)]));
-    assert!(work(&[(1, 1_499)]).is_small());
-    assert!(!total.is_small());
+    assert_eq!(total.minus(&own), work(&[(1, 3_000)]));
+    assert!(work(&[(1, 1_499)]).has_no_urgent_prefill());
+    assert!(!total.has_no_urgent_prefill());
 }
 
 /// Guards against seeds that add a report of another seed twice, or keep it after it is outdated.
@@ -96,7 +96,7 @@
     total.add(EndpointHash(1), running(9));
     let mut own = WorkByEndpoint::default();
     own.add(EndpointHash(1), running(2));
-    let others = total.without(&own);
+    let others = total.minus(&own);
     let load = EndpointLoad::default();
     load.on_sent(0);
     load.on_sent(0);
--- a/src/modules/serve/operators/rows.rs
+++ b/src/modules/serve/operators/rows.rs
@@ -87,7 +87,7 @@
                     .with("age_ms", request.age_ms.0)
                     .with("attempts", request.attempts)
                     .with("delivered_tokens", request.delivered.0)
-                    .with("expected_rest_tokens", request.expected_rest.0),
+                    .with("expected_rest_tokens", request.expected_remaining_tokens.0),
             );
         }
     }
--- a/src/modules/serve/pools/actor.rs
+++ b/src/modules/serve/pools/actor.rs
@@ -10,7 +10,7 @@
 use bridgevane_adapters::{CacheChange, CacheEvent};
 use bridgevane_decisions::configs::Settings;
 use bridgevane_decisions::{
-    AttemptEnd, Effect, EndpointIx, Offer, Policy, Pool, PoolContext, PoolPolicy, Recorder,
+    AttemptEnd, Effect, EndpointIx, Offer, Pool, PoolContext, PoolPolicy, Recorder, Scheduler,
 };
 use bridgevane_types::{
     AttemptNumber, EndpointId, Outcome, RefusalCode, RequestId, ServiceName, Tier, Tokens,
@@ -120,7 +120,7 @@
             };
             let attempt = AttemptNumber(0);
             self.pool
-                .finished(&mut context, request, attempt, AttemptEnd::CallerGone);
+                .attempt_ended(&mut context, request, attempt, AttemptEnd::CallerGone);
         }
     }
 
@@ -158,7 +158,7 @@
             }
             PoolMessage::Explain(request, reply) => {
                 // Who asked may have stopped listening.
-                let _ = reply.send(self.log.about(request));
+                let _ = reply.send(self.log.for_request(request));
             }
         }
     }
@@ -223,7 +223,7 @@
                 });
             }
             PoolReport::Finished(attempt, end) => {
-                self.decide(|pool, context| pool.finished(context, request, attempt, end));
+                self.decide(|pool, context| pool.attempt_ended(context, request, attempt, end));
                 if matches!(end, AttemptEnd::Done(_) | AttemptEnd::CallerGone) {
                     self.orders.remove(&request);
                 }
@@ -323,7 +323,7 @@
             // The configuration has just dropped the engine: nothing was sent.
             None => {
                 let end = AttemptEnd::NotReached;
-                self.decide(|pool, context| pool.finished(context, request, attempt, end));
+                self.decide(|pool, context| pool.attempt_ended(context, request, attempt, end));
             }
         }
     }
--- a/src/modules/serve/pools/wire.rs
+++ b/src/modules/serve/pools/wire.rs
@@ -128,7 +128,7 @@
                 AttemptEnd::NotReached => Report::NotReached(true),
                 AttemptEnd::Unavailable => Report::Unavailable(true),
                 AttemptEnd::Rejected => Report::Rejected(true),
-                AttemptEnd::Lost { delivered } | AttemptEnd::EngineEnded { delivered } => {
+                AttemptEnd::Lost { delivered } | AttemptEnd::EngineCrashed { delivered } => {
                     Report::Lost(delivered.0)
                 }
                 AttemptEnd::CallerGone => Report::CallerGone(true),
@@ -138,7 +138,7 @@
     };
     let has_engine_ended = matches!(
         report,
-        PoolReport::Finished(_, AttemptEnd::EngineEnded { .. })
+        PoolReport::Finished(_, AttemptEnd::EngineCrashed { .. })
     );
     WireReport {
         has_engine_ended,
@@ -167,7 +167,7 @@
         Report::Lost(delivered) => {
             let delivered = Tokens(*delivered);
             finished(if report.has_engine_ended {
-                AttemptEnd::EngineEnded { delivered }
+                AttemptEnd::EngineCrashed { delivered }
             } else {
                 AttemptEnd::Lost { delivered }
             })
--- a/src/modules/serve/requests/engine_state.rs
+++ b/src/modules/serve/requests/engine_state.rs
@@ -67,7 +67,7 @@
         }
     };
     match timeout(CHECK_TIMEOUT, asking).await {
-        Ok(EngineState::Ended) => AttemptEnd::EngineEnded { delivered },
+        Ok(EngineState::Ended) => AttemptEnd::EngineCrashed { delivered },
         _ => end,
     }
 }
