--- a/crates/decisions/src/index.rs
+++ b/crates/decisions/src/index.rs
@@ -11,7 +11,7 @@
 
         impl $name {
             /// Returns the position in a vector.
-            pub fn at(self) -> usize {
+            pub fn index(self) -> usize {
                 self.0 as usize
             }
         }
--- a/crates/decisions/src/modules/customer_limits.rs
+++ b/crates/decisions/src/modules/customer_limits.rs
@@ -26,10 +26,10 @@
 
 impl CustomerLimits {
     fn usage(&mut self, customer: CustomerIx) -> &mut Usage {
-        if self.usage.len() <= customer.at() {
-            self.usage.resize_with(customer.at() + 1, Usage::default);
+        if self.usage.len() <= customer.index() {
+            self.usage.resize_with(customer.index() + 1, Usage::default);
         }
-        &mut self.usage[customer.at()]
+        &mut self.usage[customer.index()]
     }
 
     /// Admits a request, or returns the time after which to retry.
--- a/crates/decisions/src/modules/estimates.rs
+++ b/crates/decisions/src/modules/estimates.rs
@@ -144,7 +144,7 @@
         let customer_sketch = self.by_customer.get(&(kind, customer));
         customer_sketch
             .filter(|sketch| sketch.count >= config.min_customer_answers)
-            .or_else(|| self.by_kind.get(kind.at()))
+            .or_else(|| self.by_kind.get(kind.index()))
     }
 
     /// Records the length of a complete answer.
@@ -155,7 +155,7 @@
         tokens: u64,
         config: &EstimatesConfig,
     ) {
-        let Some(kind_sketch) = self.by_kind.get_mut(kind.at()) else {
+        let Some(kind_sketch) = self.by_kind.get_mut(kind.index()) else {
             return;
         };
         kind_sketch.add(tokens, config);
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -117,7 +117,7 @@
                 concurrency_limit: customer.concurrency_limit,
             };
             match self.customer_indexes.get(name) {
-                Some(known) => self.customers[known.at()] = customer,
+                Some(known) => self.customers[known.index()] = customer,
                 None => {
                     let next = CustomerIx(self.customers.len() as u32);
                     self.customer_indexes.insert(name.clone(), next);
--- a/crates/decisions/src/pool/admit.rs
+++ b/crates/decisions/src/pool/admit.rs
@@ -31,7 +31,7 @@
             is_repeatable: offer.is_repeatable,
             is_preemptible: offer.is_preemptible,
         });
-        self.classes[class.at()]
+        self.classes[class.index()]
             .retries
             .deposit(&context.settings.retry);
         let expected_tokens = self.estimates.expected_tokens(
@@ -89,7 +89,7 @@
         offer: &Offer,
         expected_tokens: f64,
     ) -> Result<(), DurationMs> {
-        let Some(customer) = self.policy.customers.get(offer.customer.at()) else {
+        let Some(customer) = self.policy.customers.get(offer.customer.index()) else {
             return Ok(());
         };
         self.customers
@@ -102,7 +102,7 @@
             return;
         };
         let work_ms = self.work_ms(entry);
-        let class = &mut self.classes[entry.offer.class.at()];
+        let class = &mut self.classes[entry.offer.class.index()];
         class.queue.push(request, entry.offer.customer, work_ms);
         self.queued += 1;
     }
@@ -140,7 +140,7 @@
         }
         let refuse_at_ms = target_ms * (1.0 + context.settings.admission.refuse_margin_share);
         // The only waiting request of its class is kept: the class's longest wait bounds its wait.
-        let is_alone = self.classes[class.at()].queue.len() <= 1;
+        let is_alone = self.classes[class.index()].queue.len() <= 1;
         if expected_ms > refuse_at_ms && !is_alone {
             let retry_after_ms = expected_ms - target_ms;
             self.refuse(
@@ -168,23 +168,23 @@
         customer: CustomerIx,
     ) -> f64 {
         let tier = self.class_policy(class).tier;
-        let mut ahead_ms = self.classes[class.at()].queue.work_ahead_ms(customer);
+        let mut ahead_ms = self.classes[class.index()].queue.work_ahead_ms(customer);
         let mut taken_slots = 0.0;
         for other in &self.class_order {
             let other_tier = self.class_policy(*other).tier;
             if *other == class || other_tier > tier {
                 continue;
             }
-            ahead_ms += self.classes[other.at()].queue.work_ms();
+            ahead_ms += self.classes[other.index()].queue.work_ms();
             if other_tier < tier {
-                taken_slots += self.classes[other.at()].use_rate.value();
+                taken_slots += self.classes[other.index()].use_rate.value();
             }
         }
         let guaranteed = self.class_policy(class).min_share.0 * self.total_slots;
         let available_slots = (self.total_slots - taken_slots).max(guaranteed).max(0.01);
         let by_work_ahead_ms = ahead_ms / available_slots;
-        let waiting = self.classes[class.at()].queue.len().saturating_sub(1) as f64;
-        let own_ms = self.classes[class.at()].queue.work_ms();
+        let waiting = self.classes[class.index()].queue.len().saturating_sub(1) as f64;
+        let own_ms = self.classes[class.index()].queue.work_ms();
         let by_max_wait_ms =
             self.max_wait_ms(class, context.settings) as f64 + own_ms * waiting / (waiting + 1.0);
         by_work_ahead_ms.min(by_max_wait_ms)
@@ -199,9 +199,9 @@
     ) -> bool {
         let tier = self.class_policy(class).tier;
         let lowest = self.class_order.iter().rev().find(|other| {
-            self.class_policy(**other).tier > tier && !self.classes[other.at()].queue.is_empty()
+            self.class_policy(**other).tier > tier && !self.classes[other.index()].queue.is_empty()
         });
-        let newest = lowest.and_then(|other| self.classes[other.at()].queue.shed_candidate());
+        let newest = lowest.and_then(|other| self.classes[other.index()].queue.shed_candidate());
         let Some(newest) = newest else {
             return false;
         };
@@ -252,7 +252,7 @@
 
     /// Removes a request from its queue, if it is there.
     pub(super) fn unqueue(&mut self, request: RequestId, entry: &RequestEntry) {
-        let class = &mut self.classes[entry.offer.class.at()];
+        let class = &mut self.classes[entry.offer.class.index()];
         if class.queue.remove(request, entry.offer.customer) {
             self.queued -= 1;
         }
--- a/crates/decisions/src/pool/attempt.rs
+++ b/crates/decisions/src/pool/attempt.rs
@@ -57,7 +57,7 @@
             entry.offer.blocks = blocks;
         }
         self.mark_alive(engine_ix);
-        let engine = &mut self.engines[engine_ix.at()];
+        let engine = &mut self.engines[engine_ix.index()];
         engine.prefilling = engine.prefilling.saturating_sub(1);
         engine.prefill_tokens = engine.prefill_tokens.saturating_sub(uncached);
         engine.last_activity_at = now;
@@ -100,7 +100,7 @@
             running.victim_cost = Some(new_cost);
         }
         if let Some(old_cost) = old_cost.filter(|old| *old != new_cost) {
-            let tier = self.policy.classes[class_ix.at()].tier;
+            let tier = self.policy.classes[class_ix.index()].tier;
             self.victims.remove(tier, old_cost, request);
             self.victims.insert(tier, new_cost, request);
         }
@@ -119,7 +119,7 @@
         let usual_ms = self.estimates.between_tokens_ms();
         let slow_factor = context.settings.engine_health.slow_factor;
         let is_good = gap_ms <= usual_ms * slow_factor;
-        let engine = &mut self.engines[engine_ix.at()];
+        let engine = &mut self.engines[engine_ix.index()];
         engine.last_activity_at = context.now;
         engine.between_tokens_ms.add(gap_ms);
         if is_good {
@@ -275,18 +275,18 @@
         let was_started = entry.lifecycle.state() == LifecycleState::Started;
         let running = entry.running.take()?;
         let class_ix = entry.offer.class;
-        let tier = self.policy.classes[class_ix.at()].tier;
+        let tier = self.policy.classes[class_ix.index()].tier;
         if let Some(cost) = running.victim_cost {
             self.victims.remove(tier, cost, request);
         }
-        let class = &mut self.classes[class_ix.at()];
+        let class = &mut self.classes[class_ix.index()];
         class.aged_running -= u32::from(running.is_aged);
         let used_ms = context.now.since(running.started_at).0 as f64;
         class.used_since_tick_ms += used_ms - running.charged_ms;
-        if self.policy.classes[class_ix.at()].min_share.0 > 0.0 {
+        if self.policy.classes[class_ix.index()].min_share.0 > 0.0 {
             class.share.charge(used_ms - running.charged_ms);
         }
-        let engine = &mut self.engines[running.engine.at()];
+        let engine = &mut self.engines[running.engine.index()];
         engine.load.remove(context.now);
         if was_started {
             engine.prefilling = engine.prefilling.saturating_sub(1);
--- a/crates/decisions/src/pool/crashes.rs
+++ b/crates/decisions/src/pool/crashes.rs
@@ -26,7 +26,7 @@
         running: RunningAttempt,
     ) {
         let engine_ix = running.engine;
-        let engine = &mut self.engines[engine_ix.at()];
+        let engine = &mut self.engines[engine_ix.index()];
         // Each request that ran there reports the crash; the first report counts.
         if !std::mem::replace(&mut engine.has_crashed, true) {
             engine.incarnation += 1;
@@ -52,7 +52,7 @@
 
     /// Marks an engine as alive after a first token or a complete answer.
     pub(super) fn mark_alive(&mut self, engine_ix: EndpointIx) {
-        self.engines[engine_ix.at()].has_crashed = false;
+        self.engines[engine_ix.index()].has_crashed = false;
     }
 
     /// Records a successful answer, which clears the request of earlier crashes.
--- a/crates/decisions/src/pool/dispatch.rs
+++ b/crates/decisions/src/pool/dispatch.rs
@@ -49,7 +49,7 @@
             let Some(selection) = self.select_class(context) else {
                 return;
             };
-            let Some(request) = self.classes[selection.class.at()].queue.peek() else {
+            let Some(request) = self.classes[selection.class.index()].queue.peek() else {
                 return;
             };
             let Some(choice) = self.choose_engine(context, request) else {
@@ -74,7 +74,7 @@
             let Some(class) = self.class_to_probe() else {
                 return;
             };
-            let Some(request) = self.classes[class.at()].queue.peek() else {
+            let Some(request) = self.classes[class.index()].queue.peek() else {
                 return;
             };
             let selection = ClassSelection::by_tier(class);
@@ -90,7 +90,7 @@
     /// Returns the least important class with waiting requests. A class of the top tier qualifies
     /// only if no lower tier runs preemptible requests or no engine is active.
     fn class_to_probe(&self) -> Option<ClassIx> {
-        let is_waiting = |class: &&ClassIx| !self.classes[class.at()].queue.is_empty();
+        let is_waiting = |class: &&ClassIx| !self.classes[class.index()].queue.is_empty();
         let class = self.class_order.iter().rev().find(is_waiting).copied()?;
         let tier = self.class_policy(class).tier;
         let is_top = self
@@ -116,7 +116,7 @@
             });
         }
         let is_guaranteed = |class: &&ClassIx| {
-            let waiting = &self.classes[class.at()];
+            let waiting = &self.classes[class.index()];
             !waiting.queue.is_empty() && waiting.share.has_credit()
         };
         if let Some(class) = self.class_order.iter().find(is_guaranteed) {
@@ -128,7 +128,7 @@
         }
         let mut best: Option<(ClassIx, u64)> = None;
         for class in &self.class_order {
-            let Some(head) = self.classes[class.at()].queue.peek() else {
+            let Some(head) = self.classes[class.index()].queue.peek() else {
                 continue;
             };
             let tier = self.class_policy(*class).tier;
@@ -155,14 +155,14 @@
         }
         let per_class = self.aged_slots_per_class(context.settings);
         let is_aged = |class: &&ClassIx| {
-            let Some(head) = self.classes[class.at()].queue.peek() else {
+            let Some(head) = self.classes[class.index()].queue.peek() else {
                 return false;
             };
             let Some(entry) = self.requests.get(&head) else {
                 return false;
             };
             let waited_ms = context.now.since(entry.waiting_since).0;
-            let has_slot = self.classes[class.at()].aged_running < per_class;
+            let has_slot = self.classes[class.index()].aged_running < per_class;
             has_slot && waited_ms >= self.max_wait_ms(**class, context.settings)
         };
         // The most important class is skipped: it goes first by its tier.
@@ -263,7 +263,7 @@
         /// Exceeds the cost of any queue, so that an avoided engine is chosen only if there is no
         /// other.
         const COST_OF_AVOIDED_MS: f64 = 100_000.0;
-        let load_cost_ms = *self.load_costs_ms.get(engine_ix.at())?;
+        let load_cost_ms = *self.load_costs_ms.get(engine_ix.index())?;
         if !load_cost_ms.is_finite() {
             return None;
         }
@@ -288,7 +288,7 @@
         request: RequestId,
         choice: EngineChoice,
     ) {
-        let class = &mut self.classes[selection.class.at()];
+        let class = &mut self.classes[selection.class.index()];
         class.queue.pop();
         self.queued -= 1;
         self.dispatch(context, selection, request, choice);
@@ -327,7 +327,7 @@
         };
         self.charge_class(&selection, started.charged_ms);
         let engine = choice.engine;
-        occupy_slot(&mut self.engines[engine.at()], context.now, request);
+        occupy_slot(&mut self.engines[engine.index()], context.now, request);
         self.refresh_cost(context.settings, engine);
         self.awaiting_first_token
             .push_back((request, started.attempt));
@@ -358,7 +358,7 @@
         choice: &EngineChoice,
     ) -> Option<StartedAttempt> {
         let charged_ms = self.work_ms(self.requests.get(&request)?);
-        let tier = self.policy.classes[selection.class.at()].tier;
+        let tier = self.policy.classes[selection.class.index()].tier;
         let entry = self.requests.get_mut(&request)?;
         entry.lifecycle.handle(LifecycleEvent::Dispatch);
         entry.waited_ms = now.since(entry.waiting_since).0;
@@ -367,7 +367,7 @@
         let victim_cost = can_be_victim.then(|| entry.resume_cost());
         let tokens = entry.offer.prompt_tokens.0 + entry.delivered;
         let uncached_tokens = tokens.saturating_sub(choice.cached_tokens);
-        let engine = &mut self.engines[choice.engine.at()];
+        let engine = &mut self.engines[choice.engine.index()];
         engine.prefill_tokens += uncached_tokens;
         entry.running = Some(RunningAttempt {
             engine: choice.engine,
@@ -395,8 +395,8 @@
 
     /// Charges the expected work of a request to its class.
     fn charge_class(&mut self, selection: &ClassSelection, charged_ms: f64) {
-        let min_share = self.policy.classes[selection.class.at()].min_share;
-        let class = &mut self.classes[selection.class.at()];
+        let min_share = self.policy.classes[selection.class.index()].min_share;
+        let class = &mut self.classes[selection.class.index()];
         class.aged_running += u32::from(selection.is_aged);
         class.used_since_tick_ms += charged_ms;
         if min_share.0 > 0.0 {
--- a/crates/decisions/src/pool/maintain.rs
+++ b/crates/decisions/src/pool/maintain.rs
@@ -87,7 +87,7 @@
         median_ms: f64,
     ) {
         let config = &context.settings.engine_health;
-        let engine = &mut self.engines[engine_ix.at()];
+        let engine = &mut self.engines[engine_ix.index()];
         engine.load.sample(context.now);
         engine.load.expire(context.now);
         let mut health_context = HealthContext {
@@ -192,7 +192,7 @@
             self.awaiting_first_token.pop_front();
             let silent_ms = context
                 .now
-                .since(self.engines[running.engine.at()].last_activity_at)
+                .since(self.engines[running.engine.index()].last_activity_at)
                 .0;
             if (silent_ms as f64) < overdue_ms {
                 if self.is_starved_in_engine(context, entry) {
@@ -243,11 +243,11 @@
         context: &mut PoolContext<'_, L>,
         class: ClassIx,
     ) -> bool {
-        let Some(head) = self.classes[class.at()].queue.peek() else {
+        let Some(head) = self.classes[class.index()].queue.peek() else {
             return false;
         };
         let Some(entry) = self.requests.get(&head) else {
-            self.classes[class.at()].queue.pop();
+            self.classes[class.index()].queue.pop();
             self.queued -= 1;
             return true;
         };
@@ -287,7 +287,7 @@
     ) -> bool {
         let is_lower = self.class_order.first() != Some(&class);
         let per_class = self.aged_slots_per_class(context.settings);
-        is_lower && self.classes[class.at()].aged_running < per_class
+        is_lower && self.classes[class.index()].aged_running < per_class
     }
 
     /// Refuses late requeued requests without a token. They may be queued behind interrupted
@@ -305,7 +305,7 @@
                 entry.delivered == 0 && waited_ms > latest_ms
             })
         };
-        let late: Vec<RequestId> = self.classes[class.at()]
+        let late: Vec<RequestId> = self.classes[class.index()]
             .queue
             .requeued()
             .filter(is_late)
@@ -325,10 +325,10 @@
         /// Ticks come every 20 ms; handling more at once would delay other decisions.
         const MAX_AT_ONCE: usize = 8;
         for _ in 0..MAX_AT_ONCE {
-            if self.classes[class.at()].queue.len() <= 1 {
+            if self.classes[class.index()].queue.len() <= 1 {
                 return;
             }
-            let Some(newest) = self.classes[class.at()].queue.shed_candidate() else {
+            let Some(newest) = self.classes[class.index()].queue.shed_candidate() else {
                 return;
             };
             let Some(entry) = self.requests.get(&newest) else {
--- a/crates/decisions/src/pool/mod.rs
+++ b/crates/decisions/src/pool/mod.rs
@@ -168,7 +168,7 @@
             .set_kinds(policy.kinds.iter().map(|kind| kind.1.0 as f64));
         self.class_order = (0..policy.classes.len() as u16).map(ClassIx).collect();
         self.class_order
-            .sort_by_key(|class| policy.classes[class.at()].tier);
+            .sort_by_key(|class| policy.classes[class.index()].tier);
         self.policy = policy;
         self.update_slot_totals();
         self.refresh_all_costs(settings);
@@ -197,7 +197,7 @@
     }
 
     fn class_policy(&self, class: ClassIx) -> &ClassPolicy {
-        &self.policy.classes[class.at()]
+        &self.policy.classes[class.index()]
     }
 
     /// Returns the longest wait of a class (ms), after which it counts as starved.
@@ -236,8 +236,8 @@
 
     /// Updates the load cost of one engine after a change.
     fn refresh_cost(&mut self, settings: &Settings, engine_ix: EndpointIx) {
-        let cost_ms = self.load_cost_ms(settings, &self.engines[engine_ix.at()]);
-        self.load_costs_ms[engine_ix.at()] = cost_ms;
+        let cost_ms = self.load_cost_ms(settings, &self.engines[engine_ix.index()]);
+        self.load_costs_ms[engine_ix.index()] = cost_ms;
     }
 
     fn refresh_all_costs(&mut self, settings: &Settings) {
@@ -265,7 +265,7 @@
     }
 
     fn customer_policy(&self, customer: CustomerIx) -> Option<&crate::policy::CustomerPolicy> {
-        self.policy.customers.get(customer.at())
+        self.policy.customers.get(customer.index())
     }
 }
 
@@ -311,7 +311,7 @@
         busy: u32,
         age_ms: DurationMs,
     ) {
-        if let Some(reported) = self.engines.get_mut(engine.at()) {
+        if let Some(reported) = self.engines.get_mut(engine.index()) {
             reported.load.apply_report(context.now, busy, age_ms);
             self.refresh_cost(context.settings, engine);
         }
--- a/crates/decisions/src/pool/preemption.rs
+++ b/crates/decisions/src/pool/preemption.rs
@@ -28,7 +28,7 @@
         else {
             return false;
         };
-        let Some(request) = self.classes[class.at()].queue.pop() else {
+        let Some(request) = self.classes[class.index()].queue.pop() else {
             return false;
         };
         self.queued -= 1;
@@ -42,7 +42,7 @@
         self.victims.cheapest_below(tier, |request| {
             let running = self.requests.get(&request).and_then(|entry| entry.running);
             running.is_some_and(|running| {
-                let engine = &self.engines[running.engine.at()];
+                let engine = &self.engines[running.engine.index()];
                 engine.health.state() == HealthState::Active && !engine.is_drained
             })
         })
@@ -85,7 +85,7 @@
             return;
         };
         let work_ms = self.work_ms(entry);
-        self.classes[entry.offer.class.at()]
+        self.classes[entry.offer.class.index()]
             .queue
             .push_requeued(request, work_ms);
         self.queued += 1;
--- a/crates/decisions/src/pool/recover.rs
+++ b/crates/decisions/src/pool/recover.rs
@@ -96,7 +96,7 @@
             self.refuse(context, request, RefusalCode::EndsEngines, 0.0);
             return;
         }
-        if has_attempts && self.classes[class.at()].retries.withdraw() {
+        if has_attempts && self.classes[class.index()].retries.withdraw() {
             self.requeue(request);
             return;
         }
@@ -121,7 +121,7 @@
         context: &mut PoolContext<'_, L>,
         engine_ix: EndpointIx,
     ) {
-        self.engines[engine_ix.at()].load.clear_others();
+        self.engines[engine_ix.index()].load.clear_others();
         self.report_health_event(context, engine_ix, HealthEvent::Unreachable);
     }
 
@@ -136,13 +136,13 @@
             now: context.now,
             config: &context.settings.engine_health,
         };
-        let engine = &mut self.engines[engine_ix.at()];
+        let engine = &mut self.engines[engine_ix.index()];
         let is_ejected = engine.health.handle(&mut health_context, event);
         self.refresh_cost(context.settings, engine_ix);
         if !is_ejected {
             return;
         }
-        self.engines[engine_ix.at()]
+        self.engines[engine_ix.index()]
             .between_tokens_ms
             .set(self.estimates.between_tokens_ms());
         self.update_slot_totals();
@@ -161,7 +161,7 @@
         engine_ix: EndpointIx,
         is_silent: bool,
     ) {
-        let running = self.engines[engine_ix.at()].running.clone();
+        let running = self.engines[engine_ix.index()].running.clone();
         for request in running {
             let Some(entry) = self.requests.get_mut(&request) else {
                 continue;
@@ -169,7 +169,7 @@
             if !entry.offer.is_repeatable || !entry.offer.is_preemptible {
                 continue;
             }
-            let class = &self.policy.classes[entry.offer.class.at()];
+            let class = &self.policy.classes[entry.offer.class.index()];
             let is_gap_tolerant = class.between_tokens_target_ms.is_none()
                 && entry.lifecycle.state() == LifecycleState::Streaming;
             if is_gap_tolerant && !is_silent {
--- a/crates/decisions/src/pool/view.rs
+++ b/crates/decisions/src/pool/view.rs
@@ -110,15 +110,15 @@
         let view = |class: &crate::ClassIx| ClassView {
             class: self.class_policy(*class).name.clone(),
             tier: self.class_policy(*class).tier,
-            queued: self.classes[class.at()].queue.len(),
-            used_slots: self.classes[class.at()].use_rate.value(),
+            queued: self.classes[class.index()].queue.len(),
+            used_slots: self.classes[class.index()].use_rate.value(),
         };
         self.class_order.iter().map(view).collect()
     }
 
     /// Returns the id of an engine.
     pub fn engine_name(&self, engine: EndpointIx) -> EndpointId {
-        self.policy.engines[engine.at()].name.clone()
+        self.policy.engines[engine.index()].name.clone()
     }
 
     /// Returns the number of requests that wait or run.
@@ -151,7 +151,10 @@
     ) {
         let request = offer.request;
         let is_known = self.requests.contains_key(&request);
-        if is_known || engine.at() >= self.engines.len() || offer.class.at() >= self.classes.len() {
+        if is_known
+            || engine.index() >= self.engines.len()
+            || offer.class.index() >= self.classes.len()
+        {
             return;
         }
         self.customers.adopt(offer.customer);
@@ -175,7 +178,7 @@
             charged_ms: 0.0,
         });
         let state = entry.lifecycle.state();
-        let adopted = &mut self.engines[engine.at()];
+        let adopted = &mut self.engines[engine.index()];
         adopted.load.add(now);
         adopted.running.push(request);
         adopted.prefilling += u32::from(state == LifecycleState::Started);
--- a/crates/decisions/tests/support/baselines.rs
+++ b/crates/decisions/tests/support/baselines.rs
@@ -172,7 +172,7 @@
         busy: u32,
         _age_ms: DurationMs,
     ) {
-        self.reported[engine.at()] = busy;
+        self.reported[engine.index()] = busy;
         self.dispatch(context);
     }
 
--- a/crates/decisions/tests/support/driver.rs
+++ b/crates/decisions/tests/support/driver.rs
@@ -348,7 +348,7 @@
                 engine,
                 ..
             } => {
-                self.engines[engine.at()].cancel(request, attempt);
+                self.engines[engine.index()].cancel(request, attempt);
                 if let Some(state) = self.requests.get_mut(&request) {
                     state.attempt = None;
                 }
@@ -377,7 +377,7 @@
         engine: EndpointIx,
         priority: Tier,
     ) {
-        let index = engine.at();
+        let index = engine.index();
         let now_us = self.now_us;
         let Some(state) = self.requests.get_mut(&request) else {
             return;
--- a/crates/gateway/benches/fleet_state.rs
+++ b/crates/gateway/benches/fleet_state.rs
@@ -67,7 +67,7 @@
 fn replica(endpoints: u32) -> Replica {
     let mut replica = Replica::default();
     replica.replace(&FullState {
-        at: Revision(u64::from(endpoints)),
+        revision: Revision(u64::from(endpoints)),
         records: (0..endpoints).map(source_record).collect(),
     });
     replica
--- a/crates/gateway/src/control/replica.rs
+++ b/crates/gateway/src/control/replica.rs
@@ -104,7 +104,7 @@
 
     /// Replaces all records by those of a source; returns false when this replica is newer.
     pub fn replace(&mut self, state: &FullState) -> bool {
-        if state.at < self.at {
+        if state.revision < self.at {
             return false;
         }
         let valued = state.records.iter().filter_map(|record| {
@@ -115,15 +115,15 @@
         let records: BTreeMap<String, Value> = valued.collect();
         // Records may be newer than the state as a whole.
         let newest = records.values().map(|value| value.revision);
-        let newest = newest.fold(state.at, Revision::max);
+        let newest = newest.fold(state.revision, Revision::max);
         let unlisted = self
             .records
             .keys()
             .filter(|key| !records.contains_key(*key));
         self.removals
-            .on_replaced(self.at, state.at, newest, unlisted.cloned().collect());
+            .on_replaced(self.at, state.revision, newest, unlisted.cloned().collect());
         self.records = records;
-        self.at = state.at;
+        self.at = state.revision;
         self.remembered_after = newest;
         self.changes.clear();
         self.change_bytes = 0;
@@ -134,7 +134,7 @@
     pub fn apply(&mut self, changes: Changes) -> Vec<SourceRecord> {
         let mut records = changes.records;
         records.retain(|record| self.apply_record(record));
-        self.at = self.at.max(changes.at);
+        self.at = self.at.max(changes.revision);
         records
     }
 
--- a/crates/gateway/src/control/source.rs
+++ b/crates/gateway/src/control/source.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug)]
 pub struct FullState {
     /// Changes after this revision may be missing.
-    pub at: Revision,
+    pub revision: Revision,
     /// All records.
     pub records: Vec<SourceRecord>,
 }
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug)]
 pub struct Changes {
     /// Every change up to this revision is included; the next call continues from here.
-    pub at: Revision,
+    pub revision: Revision,
     /// The records as they were written, oldest first.
     pub records: Vec<SourceRecord>,
 }
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -181,12 +181,12 @@
             let removal = self.removal();
             let records = decode(source, &state.records);
             let mut registry = self.registry();
-            registry.remove_unlisted(&listed_endpoints(&records), state.at, removal);
+            registry.remove_unlisted(&listed_endpoints(&records), state.revision, removal);
             if !names_duty_holder(&records) {
-                self.on_duty_holder_gone(state.at);
+                self.on_duty_holder_gone(state.revision);
             }
             self.apply_quarantine(Arc::default(), &records);
-            self.end_unlisted_evacuations(&registry, &records, state.at);
+            self.end_unlisted_evacuations(&registry, &records, state.revision);
             self.apply_changes(&mut registry, records, removal);
         }
         self.notify_progress();
--- a/crates/gateway/src/replication/fleet.rs
+++ b/crates/gateway/src/replication/fleet.rs
@@ -254,7 +254,9 @@
     fn set_others_work(&self, directory: &Directory, others: &WorkByEndpoint) {
         let now = self.clock.now();
         for endpoint in directory.endpoints() {
-            endpoint.load.on_peers_report(now, others.at(endpoint.hash));
+            endpoint
+                .load
+                .on_peers_report(now, others.for_endpoint(endpoint.hash));
         }
     }
 }
--- a/crates/gateway/src/replication/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -194,7 +194,7 @@
         self.reload_timeout = FIRST_RELOAD_TIMEOUT;
         event!(
             Event::SourceReloaded,
-            revision = state.at,
+            revision = state.revision,
             records = state.records.len()
         );
         self.gateway.control.replace(&self.source, &state);
@@ -314,7 +314,11 @@
         Ok(report)
     }
 
-    fn apply_records(&mut self, at: Revision, update: ReplicaUpdate) -> Result<(), PeerError> {
+    fn apply_records(
+        &mut self,
+        revision: Revision,
+        update: ReplicaUpdate,
+    ) -> Result<(), PeerError> {
         let (is_whole, changes) = match update {
             ReplicaUpdate::Full(changes) => (true, changes),
             ReplicaUpdate::Changes(changes) => (false, changes),
@@ -326,9 +330,9 @@
         };
         let control = &self.gateway.control;
         if is_whole {
-            control.replace(&self.source, &FullState { at, records });
+            control.replace(&self.source, &FullState { revision, records });
         } else {
-            control.apply(&self.source, Changes { at, records });
+            control.apply(&self.source, Changes { revision, records });
         }
         Ok(())
     }
--- a/crates/gateway/src/work_by_endpoint.rs
+++ b/crates/gateway/src/work_by_endpoint.rs
@@ -84,13 +84,13 @@
     pub fn minus(&self, other: &Self) -> Self {
         let mut rest = Self::default();
         for (endpoint, work) in self.iter() {
-            rest.add(endpoint, work.saturating_sub(other.at(endpoint)));
+            rest.add(endpoint, work.saturating_sub(other.for_endpoint(endpoint)));
         }
         rest
     }
 
     /// Returns the work at an endpoint.
-    pub(crate) fn at(&self, endpoint: EndpointHash) -> Work {
+    pub(crate) fn for_endpoint(&self, endpoint: EndpointHash) -> Work {
         // No entry means no work.
         self.by_endpoint.get(&endpoint).copied().unwrap_or_default()
     }
--- a/crates/gateway/tests/cache_fetch.rs
+++ b/crates/gateway/tests/cache_fetch.rs
@@ -38,14 +38,14 @@
 #[tokio::test]
 async fn a_request_names_the_engine_that_caches_its_shared_prefix() {
     let source = ScriptedSource::new();
-    source.configure(3, vec![stream_route("long", false, 1)], &[KEY]);
+    source.publish_configuration(3, vec![stream_route("long", false, 1)], &[KEY]);
     let engines = [
         Endpoint::start(|_| vec![Action::Hang]).await,
         Endpoint::start(|_| vec![Action::Hang]).await,
         Endpoint::start(|_| vec![Action::Hang]).await,
     ];
     for (at, engine) in engines.iter().enumerate() {
-        source.endpoint(&format!("e-{at}"), "model", engine.address);
+        source.publish_endpoint(&format!("e-{at}"), "model", engine.address);
     }
     let running = start(source).await;
     let prompt = "x-parts: aa:3000,bb:300\r\nx-tokens: 3300,50\r\n\
@@ -65,7 +65,7 @@
     let addresses = engines.each_ref().map(|engine| engine.address.to_string());
     let mut named_sources = 0;
     for engine in &engines {
-        let seen = engine.seen.lock().expect("no panic under this lock");
+        let seen = engine.received.lock().expect("no panic under this lock");
         for source in seen.iter().filter_map(|seen| seen.header("x-cache-source")) {
             assert!(addresses.contains(&source), "{source} is not an engine");
             assert_ne!(source, engine.address.to_string());
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -11,14 +11,14 @@
 #[tokio::test]
 async fn many_changes_in_a_row_take_few_source_calls() {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("often", Idempotent, 2)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     let running = start(source).await;
     let before = running.source.waits();
     for at in 0..40 {
         let address = "127.0.0.1:1".parse().expect("an address");
         running
             .source
-            .endpoint(&format!("e-{at}"), "plain", address);
+            .publish_endpoint(&format!("e-{at}"), "plain", address);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
--- a/crates/gateway/tests/cold_start.rs
+++ b/crates/gateway/tests/cold_start.rs
@@ -112,7 +112,7 @@
 
 /// Returns a service with three endpoints in each of two data centres.
 fn service() -> ServiceEndpoints {
-    records::service(6, 16, |at| format!("dc-{}", at / 3))
+    records::idle_service(6, 16, |at| format!("dc-{}", at / 3))
 }
 
 /// Returns the data centre that a request goes to which has found endpoints lost in `data_centres_with_lost_endpoints`.
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -34,7 +34,7 @@
 
 fn source() -> ScriptedSource {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     source
 }
 
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -26,7 +26,7 @@
 
 /// Returns a service with three engines in each of three data centres.
 fn service() -> ServiceEndpoints {
-    records::service(9, 64, |at| format!("dc-{}", at / 3))
+    records::idle_service(9, 64, |at| format!("dc-{}", at / 3))
 }
 
 fn prompt(session: u64, shared: u64, own: u64, answer: u64) -> Prompt {
@@ -136,7 +136,7 @@
         sent_at: TimeMs(0),
         prefill_ms: 0.0,
     };
-    let load = |index: EndpointIx| &service.all[index.at()].load;
+    let load = |endpoint: EndpointIx| &service.all[endpoint.index()].load;
     load(first).queue_delay().on_sent(busy);
     // It is busy, not unreachable: other requests get their tokens.
     load(first).on_activity(NOW);
@@ -145,8 +145,8 @@
     load(second).queue_delay().on_sent(busy);
     load(second).on_activity(NOW);
     assert!([first, second].contains(&place(&service, &prompt, "dc-0")));
-    service.all[first.at()].health.on_lost(NOW);
-    service.all[second.at()].health.on_lost(NOW);
+    service.all[first.index()].health.on_lost(NOW);
+    service.all[second.index()].health.on_lost(NOW);
     let third = place(&service, &prompt, "dc-0");
     assert!(![first, second].contains(&third), "both are lost");
 }
@@ -157,7 +157,7 @@
     let service = service();
     let prompt = prompt(77, 6_000, 3_000, 200);
     let first = place(&service, &prompt, "dc-0");
-    let load = &service.all[first.at()].load;
+    let load = &service.all[first.index()].load;
     let waiting = |sent| PendingRequest {
         sent_at: TimeMs(sent),
         prefill_ms: 100.0,
@@ -353,7 +353,7 @@
     let service = service();
     let stream = prompt(10, 200, 500, 900);
     let nearest = place(&service, &stream, "dc-0");
-    let health = &service.all[nearest.at()].health;
+    let health = &service.all[nearest.index()].health;
     health.on_failed(NOW);
     health.on_served(NOW);
     health.on_served(NOW);
@@ -375,7 +375,7 @@
     let service = service();
     let stream = prompt(10, 200, 500, 900);
     let nearest = place(&service, &stream, "dc-0");
-    let load = &service.all[nearest.at()].load;
+    let load = &service.all[nearest.index()].load;
     let reported = |running| ReportedLoad {
         running,
         waiting: 0,
@@ -427,7 +427,7 @@
         stream.parts[2].id = sent as u64;
         let view = &views[daemon];
         let engine = place(view, &stream, &format!("dc-{}", daemon % 3));
-        view.all[engine.at()].load.on_sent(0);
+        view.all[engine.index()].load.on_sent(0);
         *by_engine.entry(engine).or_insert(0) += 1;
         if (sent + 1) % sent_between_reports == 0 {
             views.iter().for_each(|view| report_all(view, &by_engine));
--- a/crates/gateway/tests/endpoint_leaving.rs
+++ b/crates/gateway/tests/endpoint_leaving.rs
@@ -38,10 +38,10 @@
 /// Starts a gateway with endpoints of one service, in their first incarnation.
 async fn start_gateway(endpoints: &[&Endpoint]) -> RunningGateway {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
         let id = format!("e-{at}");
-        source.life(&id, "plain", endpoint.address, incarnation(STARTED_AT, 1));
+        source.publish_incarnation(&id, "plain", endpoint.address, incarnation(STARTED_AT, 1));
     }
     start(source).await
 }
@@ -74,7 +74,7 @@
     let refused = ask(&running).await;
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
-    assert_eq!(endpoint.count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 /// Guards against retries of requests that another endpoint rejected.
@@ -84,10 +84,10 @@
     let other = Endpoint::start(|_| full()).await;
     running
         .source
-        .life("e-1", "plain", other.address, incarnation(STARTED_AT, 1));
+        .publish_incarnation("e-1", "plain", other.address, incarnation(STARTED_AT, 1));
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 503);
-    assert_eq!((other.count(), endpoint.count()), (1, 1));
+    assert_eq!((other.request_count(), endpoint.request_count()), (1, 1));
 }
 
 /// Guards against an older record, or a new configuration, that makes a leaving endpoint available
@@ -95,14 +95,17 @@
 #[tokio::test]
 async fn a_later_record_of_the_same_incarnation_changes_nothing() {
     let (running, endpoint) = start_with_leaving_endpoint().await;
-    running
-        .source
-        .life("e-0", "plain", endpoint.address, incarnation(STARTED_AT, 2));
+    running.source.publish_incarnation(
+        "e-0",
+        "plain",
+        endpoint.address,
+        incarnation(STARTED_AT, 2),
+    );
     let routes = vec![plain_route("once", AtMostOnce, 1)];
-    running.source.configure(2, routes, &[KEY]);
+    running.source.publish_configuration(2, routes, &[KEY]);
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 503);
-    assert_eq!(endpoint.count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 /// Guards against a record that is lost and returns, for which the daemon creates the endpoint
@@ -110,14 +113,17 @@
 #[tokio::test]
 async fn a_leaving_endpoint_whose_record_returns_is_still_leaving() {
     let (running, endpoint) = start_with_leaving_endpoint().await;
-    running.source.gone("e-0");
+    running.source.remove_endpoint("e-0");
     wait_for_update().await;
-    running
-        .source
-        .life("e-0", "plain", endpoint.address, incarnation(STARTED_AT, 2));
+    running.source.publish_incarnation(
+        "e-0",
+        "plain",
+        endpoint.address,
+        incarnation(STARTED_AT, 2),
+    );
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 503);
-    assert_eq!(endpoint.count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 /// Guards against an announcement of the earlier incarnation, or of another endpoint at the
@@ -126,7 +132,7 @@
 async fn a_later_incarnation_and_another_endpoint_at_the_address_get_requests() {
     let (running, endpoint) = start_with_leaving_endpoint().await;
     let next = Endpoint::start(|_| fine()).await;
-    running.source.life(
+    running.source.publish_incarnation(
         "e-0",
         "plain",
         next.address,
@@ -134,11 +140,11 @@
     );
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 200);
-    running.source.gone("e-0");
+    running.source.remove_endpoint("e-0");
     running
         .source
-        .life("e-1", "plain", next.address, incarnation(STARTED_AT, 1));
+        .publish_incarnation("e-1", "plain", next.address, incarnation(STARTED_AT, 1));
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 200);
-    assert_eq!((endpoint.count(), next.count()), (1, 2));
+    assert_eq!((endpoint.request_count(), next.request_count()), (1, 2));
 }
--- a/crates/gateway/tests/endpoint_limits.rs
+++ b/crates/gateway/tests/endpoint_limits.rs
@@ -42,9 +42,9 @@
 /// Starts a gateway with endpoints of one service.
 async fn start_gateway(endpoints: &[&Endpoint]) -> RunningGateway {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
-        source.endpoint(&format!("e-{at}"), "plain", endpoint.address);
+        source.publish_endpoint(&format!("e-{at}"), "plain", endpoint.address);
     }
     start(source).await
 }
@@ -81,7 +81,7 @@
     let running = start_gateway(&[&limited_endpoint, &healthy]).await;
     let served = send_requests(&running, 6, 20).await;
     assert_eq!(served, 120, "the other endpoint serves the rest");
-    let arrived = limited_endpoint.count();
+    let arrived = limited_endpoint.request_count();
     assert!(
         arrived <= MAX_AT_ONE_A_SECOND,
         "{arrived} of 120 in less than 4 s"
@@ -96,7 +96,7 @@
     let full = Endpoint::start(move |_| vec![Action::Send(not_run.into())]).await;
     let running = start_gateway(&[&limited_endpoint, &full]).await;
     send_requests(&running, 6, 20).await;
-    let arrived = limited_endpoint.count();
+    let arrived = limited_endpoint.request_count();
     assert!(arrived <= MAX_AT_ONE_A_SECOND, "{arrived} in less than 4 s");
 }
 
@@ -120,7 +120,7 @@
     assert_eq!(refused.status, 503);
     let retry_after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     assert!((0.1..=1.0).contains(&retry_after), "{retry_after}");
-    assert!(limited_endpoint.count() <= 2);
+    assert!(limited_endpoint.request_count() <= 2);
 }
 
 /// Guards against a limit that still applies after the endpoint has withdrawn it.
@@ -155,7 +155,7 @@
     let running = start_gateway(&[&endpoint]).await;
     send_requests(&running, 1, 40).await;
     assert!(
-        endpoint.count() <= MAX_AT_ONE_A_SECOND,
+        endpoint.request_count() <= MAX_AT_ONE_A_SECOND,
         "the earlier limit still applies"
     );
 }
--- a/crates/gateway/tests/endpoint_lives.rs
+++ b/crates/gateway/tests/endpoint_lives.rs
@@ -23,9 +23,9 @@
 
 async fn start_gateway(first: IncarnationRecord) -> (RunningGateway, Endpoint) {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("often", Idempotent, 1)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("often", Idempotent, 1)], &[KEY]);
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
-    source.life("e-0", "plain", endpoint.address, first);
+    source.publish_incarnation("e-0", "plain", endpoint.address, first);
     (start(source).await, endpoint)
 }
 
@@ -58,7 +58,7 @@
     before.health.on_failed(now);
     let second = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
     // Its sequence starts again.
-    running.source.life(
+    running.source.publish_incarnation(
         "e-0",
         "plain",
         second.address,
@@ -76,7 +76,7 @@
     );
     assert_eq!(after.health.snapshot(now).failure_share, 0.0);
     assert_eq!(status(&running).await, Some(200));
-    assert_eq!(second.count(), 1, "it gets requests at once");
+    assert_eq!(second.request_count(), 1, "it gets requests at once");
 }
 
 /// Guards against records that arrive out of order.
@@ -88,11 +88,13 @@
         is_draining: true,
         ..incarnation(STARTED_AT, 1_000)
     };
-    running.source.life("e-0", "plain", gone.address, leaving);
+    running
+        .source
+        .publish_incarnation("e-0", "plain", gone.address, leaving);
     wait_for_update().await;
     assert_eq!(status(&running).await, Some(200));
     // A record of the same incarnation, written before the known one and delivered after it.
-    running.source.life(
+    running.source.publish_incarnation(
         "e-0",
         "plain",
         gone.address,
@@ -100,7 +102,7 @@
     );
     wait_for_update().await;
     assert_eq!(status(&running).await, Some(200));
-    assert_eq!((second.count(), gone.count()), (2, 0));
+    assert_eq!((second.request_count(), gone.request_count()), (2, 0));
 }
 
 /// Guards against heartbeats that use most of a daemon's time: with ten thousand endpoints, each
@@ -109,9 +111,12 @@
 async fn a_heartbeat_does_not_rebuild_the_directory() {
     let (running, endpoint) = start_gateway(incarnation(STARTED_AT, 1)).await;
     let before = running.gateway.control.directory();
-    running
-        .source
-        .life("e-0", "plain", endpoint.address, incarnation(STARTED_AT, 2));
+    running.source.publish_incarnation(
+        "e-0",
+        "plain",
+        endpoint.address,
+        incarnation(STARTED_AT, 2),
+    );
     wait_for_update().await;
     let after = running.gateway.control.directory();
     assert!(
@@ -124,7 +129,7 @@
     };
     running
         .source
-        .life("e-0", "plain", endpoint.address, leaving);
+        .publish_incarnation("e-0", "plain", endpoint.address, leaving);
     wait_for_update().await;
     let directory = running.gateway.control.directory();
     assert!(directory.service(&"plain".into()).is_none());
@@ -142,7 +147,7 @@
     let before = only_endpoint(&running);
     running
         .source
-        .life("e-0", "plain", endpoint.address, without_start_time(2));
+        .publish_incarnation("e-0", "plain", endpoint.address, without_start_time(2));
     wait_for_update().await;
     assert_eq!(only_endpoint(&running).index, before.index);
 }
--- a/crates/gateway/tests/endpoint_rest.rs
+++ b/crates/gateway/tests/endpoint_rest.rs
@@ -29,9 +29,9 @@
 /// Starts a gateway with endpoints of one service.
 async fn start_gateway(endpoints: &[&Endpoint]) -> RunningGateway {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
-        source.endpoint(&format!("e-{at}"), "plain", endpoint.address);
+        source.publish_endpoint(&format!("e-{at}"), "plain", endpoint.address);
     }
     start(source).await
 }
@@ -57,7 +57,7 @@
         assert_eq!(ask(&running).await.status, 200, "request {at}");
     }
     for endpoint in &backed_off {
-        let arrived = endpoint.count();
+        let arrived = endpoint.request_count();
         // The first one is the request that it rejected.
         assert!(arrived <= 1 + MAX_DURING_BACKOFF, "{arrived} arrived");
     }
@@ -75,7 +75,7 @@
         let retry_after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
         assert!((25.0..=30.0).contains(&retry_after), "{retry_after}");
     }
-    let arrived = backed_off.count();
+    let arrived = backed_off.request_count();
     assert!(arrived <= 1 + MAX_DURING_BACKOFF, "{arrived} arrived");
 }
 
@@ -96,7 +96,7 @@
         asked_at.elapsed() < Duration::from_millis(1_500),
         "the test took longer than the back-off"
     );
-    assert_eq!(endpoint.count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
     tokio::time::sleep(Duration::from_millis(1_510)).await;
     assert_eq!(ask(&running).await.status, 200);
 }
@@ -131,9 +131,9 @@
     let backed_off = Endpoint::start(|_| backoff_for("60")).await;
     let healthy = Endpoint::start(|_| fine()).await;
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
-    source.endpoint("e-0", "plain", backed_off.address);
-    source.endpoint("e-1", "plain", healthy.address);
+    source.publish_configuration(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
+    source.publish_endpoint("e-0", "plain", backed_off.address);
+    source.publish_endpoint("e-1", "plain", healthy.address);
     let running = start_with(source, settings).await;
     let mut refused = 0;
     for _ in 0..20 {
--- a/crates/gateway/tests/endpoint_signals.rs
+++ b/crates/gateway/tests/endpoint_signals.rs
@@ -149,27 +149,27 @@
         plain_route("often", Idempotent, 2),
         stream_route("resume", true, 2),
     ];
-    source.configure(1, routes, &[KEY]);
+    source.publish_configuration(1, routes, &[KEY]);
     let service = if kind.is_stream() { "model" } else { "plain" };
-    source.endpoint_in("dc-2", "e-0", service, signalling.address);
+    source.publish_endpoint_in("dc-2", "e-0", service, signalling.address);
     let running = start(source).await;
     ask(&running, kind).await;
-    assert_eq!(signalling.count(), 1, "{kind:?}, {signal:?}");
+    assert_eq!(signalling.request_count(), 1, "{kind:?}, {signal:?}");
     let mut other = None;
     if let Some(acts) = kind.other_endpoint_acts() {
         let endpoint = Endpoint::start(move |_| acts.clone()).await;
         // In the daemon's own data centre, so that it is chosen first.
         running
             .source
-            .endpoint_in("dc-1", "e-1", service, endpoint.address);
+            .publish_endpoint_in("dc-1", "e-1", service, endpoint.address);
         other = Some(endpoint);
         wait_for_update().await;
     }
     for _ in 0..REQUESTS {
         ask(&running, kind).await;
     }
-    let at_other = other.map_or(0, |endpoint| endpoint.count());
-    (signalling.count() - 1, at_other)
+    let at_other = other.map_or(0, |endpoint| endpoint.request_count());
+    (signalling.request_count() - 1, at_other)
 }
 
 /// Guards against a kind of request that ignores the signals of an endpoint.
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -31,7 +31,7 @@
         plain_route("often", Idempotent, 2),
         plain_route("once", AtMostOnce, 1),
     ];
-    source.configure(1, routes, &[KEY]);
+    source.publish_configuration(1, routes, &[KEY]);
     let script = move |at| {
         let pause = if at == 0 {
             first_answer_delay
@@ -43,7 +43,7 @@
     let endpoints = [Endpoint::start(script).await, Endpoint::start(script).await];
     for (data_centre, endpoint) in DATA_CENTRES.iter().zip(&endpoints) {
         let id = format!("e-{data_centre}");
-        source.endpoint_in(data_centre, &id, "plain", endpoint.address);
+        source.publish_endpoint_in(data_centre, &id, "plain", endpoint.address);
     }
     let running = start(source).await;
     Stage { running, endpoints }
@@ -51,7 +51,10 @@
 
 impl Stage {
     fn counts(&self) -> [usize; 2] {
-        [self.endpoints[0].count(), self.endpoints[1].count()]
+        [
+            self.endpoints[0].request_count(),
+            self.endpoints[1].request_count(),
+        ]
     }
 
     /// Returns the number of requests that each endpoint gets out of `REQUESTS`, all of which are
@@ -91,7 +94,7 @@
     stage.running.source.evacuate("dc-1");
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [0, REQUESTS]);
-    stage.running.source.take_back("dc-1");
+    stage.running.source.end_evacuation("dc-1");
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [REQUESTS, 0]);
 }
@@ -130,7 +133,7 @@
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [0, REQUESTS]);
     stage.running.source.fail_once_with_history_lost();
-    stage.running.source.take_back("dc-1");
+    stage.running.source.end_evacuation("dc-1");
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [REQUESTS, 0]);
 }
@@ -139,13 +142,13 @@
 #[tokio::test]
 async fn an_unreadable_record_changes_nothing() {
     let stage = start_stage(Duration::ZERO).await;
-    stage.running.source.spoil_evacuation("dc-1");
+    stage.running.source.corrupt_evacuation("dc-1");
     stage.running.source.evacuate("no-such-data-centre");
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [REQUESTS, 0]);
     stage.running.source.evacuate("dc-1");
     wait_for_update().await;
-    stage.running.source.spoil_evacuation("dc-1");
+    stage.running.source.corrupt_evacuation("dc-1");
     stage.running.source.fail_once_with_history_lost();
     wait_for_update().await;
     assert_eq!(
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -21,7 +21,7 @@
         stream_route("stream", false, 1),
         stream_route("resume", true, 2),
     ];
-    source.configure(1, routes, &[KEY]);
+    source.publish_configuration(1, routes, &[KEY]);
     let plain_copy = plain.clone();
     let endpoints = [
         Endpoint::start(move |_| plain.clone()).await,
@@ -31,14 +31,14 @@
     ];
     for (at, endpoint) in endpoints.iter().enumerate() {
         let service = if at < 2 { "plain" } else { "model" };
-        source.endpoint(&format!("e-{at}"), service, endpoint.address);
+        source.publish_endpoint(&format!("e-{at}"), service, endpoint.address);
     }
     (start(source).await, endpoints)
 }
 
 /// Returns the number of requests that reached the endpoints.
 fn runs(endpoints: &[Endpoint]) -> usize {
-    endpoints.iter().map(Endpoint::count).sum()
+    endpoints.iter().map(Endpoint::request_count).sum()
 }
 
 async fn send_request(running: &RunningGateway, method: &str, path: &str) -> Option<ClientAnswer> {
@@ -120,7 +120,7 @@
     assert_eq!(got.header("x-id"), Some("a1"));
     let seen: Vec<_> = endpoints
         .iter()
-        .flat_map(|endpoint| endpoint.seen.lock().unwrap().clone())
+        .flat_map(|endpoint| endpoint.received.lock().unwrap().clone())
         .collect();
     let [seen] = seen.as_slice() else {
         panic!("one request arrived: {seen:?}");
@@ -287,7 +287,7 @@
     assert_eq!(got.body, expected);
     assert_eq!(runs(&endpoints), 2);
     let is_resumed = endpoints.iter().any(|endpoint| {
-        let seen = endpoint.seen.lock().unwrap();
+        let seen = endpoint.received.lock().unwrap();
         seen.iter()
             .any(|seen| seen.header("last-event-id").as_deref() == Some("1"))
     });
@@ -388,15 +388,15 @@
 #[tokio::test]
 async fn an_endpoint_that_is_another_one_by_now_isnt_asked_by_each_request() {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("often", Idempotent, 2)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     let misdirected = "HTTP/1.1 421 No\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
     let replaced = Endpoint::start(move |_| vec![Action::Send(misdirected.to_owned())]).await;
     let healthy = Endpoint::start(|_| answer_ok()).await;
     for at in 0..3 {
-        source.endpoint(&format!("old-{at}"), "plain", replaced.address);
+        source.publish_endpoint(&format!("old-{at}"), "plain", replaced.address);
     }
     // In another data centre, so that the old ids are preferred.
-    source.endpoint_in("dc-2", "sound", "plain", healthy.address);
+    source.publish_endpoint_in("dc-2", "sound", "plain", healthy.address);
     let running = start(source).await;
     for _ in 0..12 {
         let got = send_request(&running, "GET", "/often/x")
@@ -404,10 +404,10 @@
             .expect("an answer");
         assert_eq!(got.status, 200);
     }
-    assert_eq!(healthy.count(), 12);
+    assert_eq!(healthy.request_count(), 12);
     assert!(
-        replaced.count() <= 3,
+        replaced.request_count() <= 3,
         "{}: each is ejected",
-        replaced.count()
+        replaced.request_count()
     );
 }
--- a/crates/gateway/tests/freshness.rs
+++ b/crates/gateway/tests/freshness.rs
@@ -23,13 +23,13 @@
 /// Starts a daemon with one endpoint and these settings.
 async fn start_gateway_with(settings: GatewaySettings) -> (RunningGateway, Endpoint) {
     let source = ScriptedSource::new();
-    source.configure(
+    source.publish_configuration(
         3,
         vec![plain_route("often", Idempotent, 2)],
         &[KEY, OTHER_KEY],
     );
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
-    source.endpoint("e-0", "plain", endpoint.address);
+    source.publish_endpoint("e-0", "plain", endpoint.address);
     (start_with(source, settings).await, endpoint)
 }
 
@@ -50,10 +50,12 @@
     let (running, endpoint) = start_gateway().await;
     assert_eq!(status(&running).await, 200);
     let routes = vec![plain_route("often", Idempotent, 2)];
-    running.source.configure(4, routes, &[OTHER_KEY]);
+    running
+        .source
+        .publish_configuration(4, routes, &[OTHER_KEY]);
     wait_for_changes().await;
     assert_eq!(status(&running).await, 401);
-    assert_eq!(endpoint.count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 /// Guards against requests that are forwarded or refused for good after the last proof has expired:
@@ -61,7 +63,7 @@
 #[tokio::test]
 async fn without_a_proof_requests_get_a_retryable_503() {
     let (running, endpoint) = start_gateway().await;
-    running.source.fail(Some(SourceError::NoAnswer));
+    running.source.set_fault(Some(SourceError::NoAnswer));
     wait_for_changes().await;
     assert_eq!(status(&running).await, 200, "the last proof is still valid");
     tokio::time::sleep(Duration::from_millis(900)).await;
@@ -73,8 +75,8 @@
     client.send(&request("GET", "/none/x", "a1", "", "")).await;
     assert_eq!(client.answer().await.expect("an answer").status, 503);
     assert!(!running.gateway.is_ready());
-    assert_eq!(endpoint.count(), 1);
-    running.source.fail(None);
+    assert_eq!(endpoint.request_count(), 1);
+    running.source.set_fault(None);
     tokio::time::sleep(Duration::from_millis(600)).await;
     assert_eq!(status(&running).await, 200);
 }
@@ -83,7 +85,7 @@
 #[tokio::test]
 async fn an_older_configuration_version_is_not_activated() {
     let (running, _) = start_gateway().await;
-    running.source.configure(2, Vec::new(), &[]);
+    running.source.publish_configuration(2, Vec::new(), &[]);
     wait_for_changes().await;
     assert_eq!(status(&running).await, 200);
 }
@@ -93,28 +95,30 @@
 async fn lost_history_causes_a_full_read() {
     let (running, endpoint) = start_gateway().await;
     let before = running.source.full_reads();
-    running.source.fail(Some(SourceError::HistoryLost));
-    running.source.drain("e-0", "plain", endpoint.address);
+    running.source.set_fault(Some(SourceError::HistoryLost));
+    running
+        .source
+        .publish_draining("e-0", "plain", endpoint.address);
     wait_for_changes().await;
-    running.source.fail(None);
+    running.source.set_fault(None);
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert!(running.source.full_reads() > before);
     assert_eq!(status(&running).await, 503, "the only endpoint drains");
-    assert_eq!(endpoint.count(), 0);
+    assert_eq!(endpoint.request_count(), 0);
 }
 
 /// Returns a daemon after an outage of the source in which the record `removed` was lost.
 async fn gateway_after_outage(removed: &str) -> (RunningGateway, Endpoint) {
     let source = ScriptedSource::new();
     let routes = vec![plain_route("often", Idempotent, 2)];
-    source.configure(3, routes, &[KEY]);
+    source.publish_configuration(3, routes, &[KEY]);
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
-    source.endpoint("e-0", "plain", endpoint.address);
+    source.publish_endpoint("e-0", "plain", endpoint.address);
     let running = start(source).await;
-    running.source.fail(Some(SourceError::NoAnswer));
+    running.source.set_fault(Some(SourceError::NoAnswer));
     tokio::time::sleep(Duration::from_millis(2_700)).await;
-    running.source.gone(removed);
-    running.source.fail(None);
+    running.source.remove_endpoint(removed);
+    running.source.set_fault(None);
     tokio::time::sleep(Duration::from_millis(500)).await;
     (running, endpoint)
 }
@@ -129,7 +133,9 @@
         200,
         "the endpoint is used meanwhile"
     );
-    running.source.endpoint("e-0", "plain", endpoint.address);
+    running
+        .source
+        .publish_endpoint("e-0", "plain", endpoint.address);
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     assert_eq!(status(&running).await, 200, "the record is back");
 }
@@ -146,7 +152,7 @@
 /// Starts a daemon that hasn't read the source yet.
 async fn start_unready_gateway(full_read: Duration) -> (std::net::SocketAddr, ScriptedSource) {
     let source = ScriptedSource::new();
-    source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
+    source.publish_configuration(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     source.delay_full_reads(full_read);
     let meter = opentelemetry::global::meter("test");
     let gateway = Gateway::new(support::settings(), support::names(), &meter);
@@ -162,7 +168,7 @@
 async fn a_request_waits_for_a_start_unready_gateway() {
     let (address, source) = start_unready_gateway(Duration::from_millis(200)).await;
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
-    source.endpoint("e-0", "plain", endpoint.address);
+    source.publish_endpoint("e-0", "plain", endpoint.address);
     let mut client = Client::connect(address).await;
     client.send(&request("GET", "/often/x", "a1", "", "")).await;
     assert_eq!(client.answer().await.expect("an answer").status, 200);
@@ -206,7 +212,7 @@
 /// Returns how often a starting daemon reads the full state until it is ready.
 async fn full_reads_until_ready(duration: Duration, parts: u32) -> usize {
     let source = ScriptedSource::new();
-    source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
+    source.publish_configuration(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     source.delay_full_reads_in_parts(duration, parts);
     let settings = GatewaySettings {
         freshness: FreshnessPolicy {
@@ -225,13 +231,17 @@
 #[tokio::test]
 async fn a_draining_or_removed_endpoint_gets_no_requests() {
     let (running, endpoint) = start_gateway().await;
-    running.source.drain("e-0", "plain", endpoint.address);
+    running
+        .source
+        .publish_draining("e-0", "plain", endpoint.address);
     wait_for_changes().await;
     assert_eq!(status(&running).await, 503);
-    running.source.endpoint("e-1", "plain", endpoint.address);
+    running
+        .source
+        .publish_endpoint("e-1", "plain", endpoint.address);
     wait_for_changes().await;
     assert_eq!(status(&running).await, 200);
-    running.source.gone("e-1");
+    running.source.remove_endpoint("e-1");
     wait_for_changes().await;
     assert_eq!(status(&running).await, 503);
 }
@@ -256,7 +266,7 @@
 
 /// Makes the source fail, and waits longer than the lifetime of a proof.
 async fn let_proof_expire(running: &RunningGateway) {
-    running.source.fail(Some(SourceError::NoAnswer));
+    running.source.set_fault(Some(SourceError::NoAnswer));
     tokio::time::sleep(Duration::from_millis(1_100)).await;
 }
 
@@ -268,7 +278,7 @@
     let_proof_expire(&running).await;
     assert!(running.gateway.is_ready());
     assert_eq!(status_of(&running, "/often/x", KEY).await, 200);
-    assert_eq!(endpoint.count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
     // A route or a key may have been added meanwhile.
     assert_eq!(status_of(&running, "/none/x", KEY).await, 503);
     assert_eq!(status_of(&running, "/often/x", "key-9").await, 503);
@@ -278,11 +288,11 @@
 #[tokio::test]
 async fn a_configuration_that_is_too_old_serves_nothing() {
     let (running, endpoint) = start_gateway_allowing_stale().await;
-    running.source.fail(Some(SourceError::NoAnswer));
+    running.source.set_fault(Some(SourceError::NoAnswer));
     tokio::time::sleep(Duration::from_millis(3_200)).await;
     assert!(!running.gateway.is_ready());
     assert_eq!(status_of(&running, "/often/x", KEY).await, 503);
-    assert_eq!(endpoint.count(), 0);
+    assert_eq!(endpoint.request_count(), 0);
 }
 
 /// Guards against changes that are missed because they were made during an outage.
@@ -294,15 +304,21 @@
         plain_route("often", Idempotent, 2),
         plain_route("new", Idempotent, 2),
     ];
-    running.source.configure(4, routes, &[OTHER_KEY]);
-    running.source.endpoint("e-1", "plain", endpoint.address);
-    running.source.drain("e-0", "plain", endpoint.address);
+    running
+        .source
+        .publish_configuration(4, routes, &[OTHER_KEY]);
+    running
+        .source
+        .publish_endpoint("e-1", "plain", endpoint.address);
+    running
+        .source
+        .publish_draining("e-0", "plain", endpoint.address);
     assert_eq!(
         status_of(&running, "/often/x", KEY).await,
         200,
         "the removal isn't known yet"
     );
-    running.source.fail(None);
+    running.source.set_fault(None);
     tokio::time::sleep(Duration::from_millis(900)).await;
     assert_eq!(status_of(&running, "/often/x", KEY).await, 401);
     assert_eq!(status_of(&running, "/new/x", OTHER_KEY).await, 200);
@@ -312,8 +328,8 @@
 #[tokio::test]
 async fn a_daemon_without_a_configuration_refuses_all_requests() {
     let source = ScriptedSource::new();
-    source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
-    source.fail(Some(SourceError::NoAnswer));
+    source.publish_configuration(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
+    source.set_fault(Some(SourceError::NoAnswer));
     let meter = opentelemetry::global::meter("test");
     let gateway = Gateway::new(settings_allowing_stale(), support::names(), &meter);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -334,11 +350,13 @@
 #[tokio::test]
 async fn a_draining_endpoint_gets_no_requests_in_an_outage() {
     let (running, endpoint) = start_gateway_allowing_stale().await;
-    running.source.drain("e-0", "plain", endpoint.address);
+    running
+        .source
+        .publish_draining("e-0", "plain", endpoint.address);
     wait_for_changes().await;
     let_proof_expire(&running).await;
     assert_eq!(status_of(&running, "/often/x", KEY).await, 503);
-    assert_eq!(endpoint.count(), 0);
+    assert_eq!(endpoint.request_count(), 0);
 }
 
 /// Guards against a daemon that serves with an outdated configuration after its VM was suspended:
@@ -346,19 +364,19 @@
 #[tokio::test]
 async fn proofs_age_while_the_vm_is_suspended() {
     let source = ScriptedSource::new();
-    source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
+    source.publish_configuration(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
-    source.endpoint("e-0", "plain", endpoint.address);
+    source.publish_endpoint("e-0", "plain", endpoint.address);
     let script = ClockScript::leaked();
     let clock = Clock::scripted(script);
     let running = support::start_with_clock(clock, source, support::settings()).await;
     assert_eq!(status(&running).await, 200);
-    running.source.fail(Some(SourceError::NoAnswer));
+    running.source.set_fault(Some(SourceError::NoAnswer));
     script.add_suspension(DurationMs(5_000));
     assert!(!running.gateway.is_ready());
     assert_eq!(status(&running).await, 503);
-    assert_eq!(endpoint.count(), 1);
-    running.source.fail(None);
+    assert_eq!(endpoint.request_count(), 1);
+    running.source.set_fault(None);
     tokio::time::sleep(Duration::from_millis(600)).await;
     assert_eq!(status(&running).await, 200);
 }
--- a/crates/gateway/tests/region_limits.rs
+++ b/crates/gateway/tests/region_limits.rs
@@ -23,7 +23,7 @@
 }
 
 fn service() -> ServiceEndpoints {
-    records::service(16, 8, |at| format!("dc-{}", at % 4))
+    records::idle_service(16, 8, |at| format!("dc-{}", at % 4))
 }
 
 fn allowed(names: &[&str]) -> RegionSet {
--- a/crates/gateway/tests/replica.rs
+++ b/crates/gateway/tests/replica.rs
@@ -21,14 +21,14 @@
 
 fn changes(at: u64, records: Vec<SourceRecord>) -> Changes {
     Changes {
-        at: Revision(at),
+        revision: Revision(at),
         records,
     }
 }
 
 fn full_state(at: u64, records: Vec<SourceRecord>) -> FullState {
     FullState {
-        at: Revision(at),
+        revision: Revision(at),
         records,
     }
 }
--- a/crates/gateway/tests/replication.rs
+++ b/crates/gateway/tests/replication.rs
@@ -34,7 +34,7 @@
     let settings = peer_settings("vm-1", seed_address, &[seed_address]);
     let seed = start_with(source.clone(), lenient(settings)).await;
     tokio::spawn(serve_peers(seed.gateway.clone(), first_listener));
-    source.fail(Some(SourceError::NoAnswer));
+    source.set_fault(Some(SourceError::NoAnswer));
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let second_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let own = second_listener.local_addr().unwrap();
@@ -68,9 +68,9 @@
 async fn source_with_endpoint() -> (ScriptedSource, Endpoint) {
     let source = ScriptedSource::new();
     let routes = vec![plain_route("often", Idempotent, 2)];
-    source.configure(3, routes, &[KEY, OTHER_KEY]);
+    source.publish_configuration(3, routes, &[KEY, OTHER_KEY]);
     let endpoint = Endpoint::start(|_| vec![answer("200 OK", "fine")]).await;
-    source.endpoint("e-0", "plain", endpoint.address);
+    source.publish_endpoint("e-0", "plain", endpoint.address);
     (source, endpoint)
 }
 
@@ -111,9 +111,9 @@
 #[tokio::test]
 async fn work_is_reported_up_and_down_the_tree_and_between_seeds() {
     let source = ScriptedSource::new();
-    source.configure(3, vec![stream_route("long", false, 1)], &[KEY]);
+    source.publish_configuration(3, vec![stream_route("long", false, 1)], &[KEY]);
     let engine = Endpoint::start(|_| vec![Action::Hang]).await;
-    source.endpoint("e-0", "model", engine.address);
+    source.publish_endpoint("e-0", "model", engine.address);
     let first_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let second_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let seeds = [
@@ -165,7 +165,7 @@
 /// Returns a source that decodes records, but fails every call.
 fn unreachable_source(source: &ScriptedSource) -> ScriptedSource {
     let own = source.with_separate_calls();
-    own.fail(Some(SourceError::NotReached));
+    own.set_fault(Some(SourceError::NotReached));
     own
 }
 
@@ -189,11 +189,11 @@
     let cut_off = unreachable_source(&source);
     let child = start_peer("vm-2", &cut_off, Some(seed.address)).await;
     assert_eq!(status(&child).await, 200);
-    source.configure(4, vec![plain_route("often", Idempotent, 2)], &[OTHER_KEY]);
+    source.publish_configuration(4, vec![plain_route("often", Idempotent, 2)], &[OTHER_KEY]);
     wait_for_propagation().await;
     assert_eq!(status(&child).await, 401, "the removed key is refused");
-    source.configure(5, vec![plain_route("often", Idempotent, 2)], &[KEY]);
-    source.drain("e-0", "plain", endpoint.address);
+    source.publish_configuration(5, vec![plain_route("often", Idempotent, 2)], &[KEY]);
+    source.publish_draining("e-0", "plain", endpoint.address);
     wait_for_propagation().await;
     assert_eq!(status(&child).await, 503, "the only endpoint drains");
     assert_eq!(cut_off.full_reads(), 0);
@@ -220,16 +220,16 @@
     let child = start_peer("vm-2", &unreachable_source(&source), Some(seed.address)).await;
     let grandchild = start_peer("vm-3", &unreachable_source(&source), Some(child.address)).await;
     assert_eq!(status(&grandchild).await, 200);
-    let served = endpoint.count();
-    source.fail(Some(SourceError::NoAnswer));
+    let served = endpoint.request_count();
+    source.set_fault(Some(SourceError::NoAnswer));
     // The daemons continue to send each other answers without changes, which prove nothing.
     tokio::time::sleep(Duration::from_millis(900)).await;
     for peer in [&seed, &child, &grandchild] {
         assert_eq!(status(peer).await, 503);
         assert!(!peer.running.gateway.is_ready());
     }
-    assert_eq!(endpoint.count(), served);
-    source.fail(None);
+    assert_eq!(endpoint.request_count(), served);
+    source.set_fault(None);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(status(&grandchild).await, 200);
 }
@@ -255,7 +255,7 @@
         "it follows the seed, not the source"
     );
     seed_process.shutdown_background();
-    source.configure(4, vec![plain_route("often", Idempotent, 2)], &[OTHER_KEY]);
+    source.publish_configuration(4, vec![plain_route("often", Idempotent, 2)], &[OTHER_KEY]);
     let key_refused = async {
         while status(&child).await != 401 {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -337,7 +337,7 @@
 #[tokio::test]
 async fn a_limit_and_its_end_are_reported_up_and_down_the_tree_and_between_seeds() {
     let source = ScriptedSource::new();
-    source.configure(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
+    source.publish_configuration(3, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     let is_limited = Arc::new(AtomicBool::new(true));
     let announces_limit = is_limited.clone();
     let endpoint = Endpoint::start(move |_| {
@@ -352,7 +352,7 @@
         ))]
     })
     .await;
-    source.endpoint("e-0", "plain", endpoint.address);
+    source.publish_endpoint("e-0", "plain", endpoint.address);
     let first_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let second_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let seeds = [
@@ -373,7 +373,7 @@
     ask().await;
     wait_for_limit(&all, true, async || {}).await;
     assert_eq!(
-        endpoint.count(),
+        endpoint.request_count(),
         1,
         "the others learned of the limit without a request"
     );
--- a/crates/gateway/tests/stopping.rs
+++ b/crates/gateway/tests/stopping.rs
@@ -12,9 +12,9 @@
 /// Starts a gateway with one endpoint, which handles every request by `actions`.
 async fn start_gateway(actions: Vec<Action>) -> (RunningGateway, Endpoint) {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     let endpoint = Endpoint::start(move |_| actions.clone()).await;
-    source.endpoint("e-0", "plain", endpoint.address);
+    source.publish_endpoint("e-0", "plain", endpoint.address);
     (start(source).await, endpoint)
 }
 
@@ -106,7 +106,7 @@
         answer("200 OK", "fine"),
     ];
     let (running, _) = start_gateway(slow).await;
-    running.source.fail(Some(SourceError::NoAnswer));
+    running.source.set_fault(Some(SourceError::NoAnswer));
     let mut client = Client::connect(running.address).await;
     client.send(&request("POST", "/once/x", "a1", "", "")).await;
     while running.gateway.in_progress() == 0 {
--- a/crates/gateway/tests/support/crashing.rs
+++ b/crates/gateway/tests/support/crashing.rs
@@ -42,7 +42,7 @@
             started.push(endpoint.clone());
             format!("e-{}", started.len())
         };
-        self.source.endpoint(&id, "plain", endpoint.address);
+        self.source.publish_endpoint(&id, "plain", endpoint.address);
         (id, endpoint)
     }
 
@@ -51,7 +51,7 @@
         loop {
             endpoint.crashed.cancelled().await;
             tokio::time::sleep(RESTART_TIME).await;
-            self.source.gone(&id);
+            self.source.remove_endpoint(&id);
             (id, endpoint) = self.start_one().await;
         }
     }
@@ -69,7 +69,7 @@
     pub fn received(&self, body: &str) -> usize {
         let started = self.started.lock().unwrap();
         let received = |engine: &Endpoint| {
-            let seen = engine.seen.lock().unwrap();
+            let seen = engine.received.lock().unwrap();
             let equal = seen.iter().filter(|seen| seen.body == body.as_bytes());
             equal.count()
         };
--- a/crates/gateway/tests/support/duty_sim/store.rs
+++ b/crates/gateway/tests/support/duty_sim/store.rs
@@ -390,7 +390,7 @@
 impl ControlSource for PlatformClient {
     async fn full_state(&self, _progress: &ReadProgress) -> Result<FullState, SourceError> {
         self.call(|state| FullState {
-            at: Revision(state.revision),
+            revision: Revision(state.revision),
             records: state
                 .holder_changes
                 .last()
@@ -412,7 +412,7 @@
                     let changes = state.holder_changes.iter();
                     let newer = changes.filter(|record| record.revision > after);
                     Changes {
-                        at: Revision(state.revision),
+                        revision: Revision(state.revision),
                         records: newer.cloned().collect(),
                     }
                 })
--- a/crates/gateway/tests/support/endpoint.rs
+++ b/crates/gateway/tests/support/endpoint.rs
@@ -44,7 +44,7 @@
 pub struct Endpoint {
     pub address: SocketAddr,
     /// The requests that it has received.
-    pub seen: Arc<Mutex<Vec<ReceivedRequest>>>,
+    pub received: Arc<Mutex<Vec<ReceivedRequest>>>,
     /// The number of connections that the other side closed during a request.
     pub abandoned: Arc<Mutex<usize>>,
     /// Cancelled when the endpoint crashes.
@@ -64,7 +64,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoint = Self {
             address: listener.local_addr().unwrap(),
-            seen: Arc::default(),
+            received: Arc::default(),
             abandoned: Arc::default(),
             crashed: CancellationToken::new(),
         };
@@ -83,14 +83,14 @@
 
     /// Records a request and returns its index.
     fn record(&self, seen: ReceivedRequest) -> usize {
-        let mut all = self.seen.lock().unwrap();
+        let mut all = self.received.lock().unwrap();
         all.push(seen);
         all.len() - 1
     }
 
     /// Returns the number of requests that it has received.
-    pub fn count(&self) -> usize {
-        self.seen.lock().unwrap().len()
+    pub fn request_count(&self) -> usize {
+        self.received.lock().unwrap().len()
     }
 }
 
--- a/crates/gateway/tests/support/records.rs
+++ b/crates/gateway/tests/support/records.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// Returns the record of endpoint number `at` with the given number of slots.
-pub fn record(at: u32, data_centre: &str, slots: u32) -> EndpointRecord {
+pub fn endpoint_record(at: u32, data_centre: &str, slots: u32) -> EndpointRecord {
     EndpointRecord {
         started_at: None,
         sequence: None,
@@ -23,13 +23,13 @@
 }
 
 /// Returns a service of idle endpoints; `data_centre_of` returns the data centre of each.
-pub fn service(
+pub fn idle_service(
     endpoints: u32,
     slots: u32,
     data_centre_of: impl Fn(u32) -> String,
 ) -> ServiceEndpoints {
     let endpoints = (0..endpoints).map(|at| {
-        let record = record(at, &data_centre_of(at), slots);
+        let record = endpoint_record(at, &data_centre_of(at), slots);
         Arc::new(Endpoint::new(EndpointIx(at), record))
     });
     ServiceEndpoints::new(endpoints.collect())
--- a/crates/gateway/tests/support/source.rs
+++ b/crates/gateway/tests/support/source.rs
@@ -102,7 +102,7 @@
     }
 
     /// Publishes a configuration version with these routes and keys.
-    pub fn configure(&self, version: u64, routes: Vec<Route>, keys: &[&str]) {
+    pub fn publish_configuration(&self, version: u64, routes: Vec<Route>, keys: &[&str]) {
         let customer = Arc::new(Customer {
             id: "customer-1".into(),
             tier: Some(Tier(1)),
@@ -130,12 +130,18 @@
     }
 
     /// Publishes an endpoint's record.
-    pub fn endpoint(&self, id: &str, service: &str, address: SocketAddr) {
+    pub fn publish_endpoint(&self, id: &str, service: &str, address: SocketAddr) {
         self.put(Change::Endpoint(record(id, service, address, false)));
     }
 
     /// Publishes the record of an endpoint in a data centre.
-    pub fn endpoint_in(&self, data_centre: &str, id: &str, service: &str, address: SocketAddr) {
+    pub fn publish_endpoint_in(
+        &self,
+        data_centre: &str,
+        id: &str,
+        service: &str,
+        address: SocketAddr,
+    ) {
         self.put(Change::Endpoint(EndpointRecord {
             data_centre: data_centre.into(),
             ..record(id, service, address, false)
@@ -148,12 +154,12 @@
     }
 
     /// Ends the evacuation of a data centre.
-    pub fn take_back(&self, data_centre: &str) {
+    pub fn end_evacuation(&self, data_centre: &str) {
         self.put(Change::EvacuationEnded(data_centre.into()));
     }
 
     /// Makes the record of an evacuation unreadable.
-    pub fn spoil_evacuation(&self, data_centre: &str) {
+    pub fn corrupt_evacuation(&self, data_centre: &str) {
         self.put(Change::InvalidEvacuation(data_centre.into()));
     }
 
@@ -164,7 +170,13 @@
     }
 
     /// Publishes the record of one incarnation of an endpoint.
-    pub fn life(&self, id: &str, service: &str, address: SocketAddr, life: IncarnationRecord) {
+    pub fn publish_incarnation(
+        &self,
+        id: &str,
+        service: &str,
+        address: SocketAddr,
+        life: IncarnationRecord,
+    ) {
         self.put(Change::Endpoint(EndpointRecord {
             started_at: life.started_at.map(WallTimeMs),
             sequence: Some(life.sequence),
@@ -173,17 +185,17 @@
     }
 
     /// Publishes an endpoint's record as draining.
-    pub fn drain(&self, id: &str, service: &str, address: SocketAddr) {
+    pub fn publish_draining(&self, id: &str, service: &str, address: SocketAddr) {
         self.put(Change::Endpoint(record(id, service, address, true)));
     }
 
     /// Removes an endpoint's record.
-    pub fn gone(&self, id: &str) {
+    pub fn remove_endpoint(&self, id: &str) {
         self.put(Change::EndpointRemoved(EndpointId::from(id)));
     }
 
     /// Makes all calls fail with this error from now on; none: they succeed.
-    pub fn fail(&self, fault: Option<SourceError>) {
+    pub fn set_fault(&self, fault: Option<SourceError>) {
         self.calls.lock().unwrap().fault = fault;
         self.changed.send_modify(|count| *count += 1);
     }
@@ -230,8 +242,8 @@
         let records = state.log.iter().map(|(record, _)| record);
         let newer = records.filter(|record| record.revision > after);
         let records: Vec<SourceRecord> = newer.cloned().collect();
-        let at = Revision(state.log.len() as u64);
-        Ok((!records.is_empty()).then_some(Changes { at, records }))
+        let revision = Revision(state.log.len() as u64);
+        Ok((!records.is_empty()).then_some(Changes { revision, records }))
     }
 }
 
@@ -274,7 +286,7 @@
         }
         newest.retain(|_, record| record.value.is_some());
         Ok(FullState {
-            at: Revision(state.log.len() as u64),
+            revision: Revision(state.log.len() as u64),
             records: newest.into_values().collect(),
         })
     }
@@ -294,7 +306,7 @@
         };
         let answered = tokio::time::timeout(wait.as_std(), waiting).await;
         answered.unwrap_or(Ok(Changes {
-            at: after,
+            revision: after,
             records: Vec::new(),
         }))
     }
--- a/crates/gateway/tests/tie_break.rs
+++ b/crates/gateway/tests/tie_break.rs
@@ -32,7 +32,7 @@
 
 fn service_in(endpoints: u32, data_centres: &[&str]) -> ServiceEndpoints {
     let data_centre_of = |at: u32| data_centres[at as usize % data_centres.len()].to_owned();
-    records::service(endpoints, 6, data_centre_of)
+    records::idle_service(endpoints, 6, data_centre_of)
 }
 
 /// Returns the endpoints to which a daemon sends `requests` concurrent requests, by index.
