--- a/crates/decisions/src/pool/view.rs
+++ b/crates/decisions/src/pool/view.rs
@@ -6,7 +6,7 @@
 use crate::event::Offer;
 use crate::index::EndpointIx;
 use crate::modules::engine_health::HealthState;
-use crate::modules::request_life::{LifecycleState, RequestLifecycle};
+use crate::modules::request_lifecycle::{LifecycleState, RequestLifecycle};
 use bridgevane_types::{
     AttemptNumber, ClassName, CustomerId, DurationMs, EndpointId, RequestId, Slots, Tier, TimeMs,
     Tokens,
@@ -32,7 +32,7 @@
     /// The number of delivered tokens.
     pub delivered: Tokens,
     /// The expected number of remaining tokens.
-    pub expected_rest: Tokens,
+    pub expected_remaining_tokens: Tokens,
 }
 
 /// A view of an engine for operators.
@@ -81,7 +81,9 @@
             age_ms: now.since(entry.arrived_at),
             attempts: entry.lifecycle.attempts(),
             delivered: Tokens(entry.delivered),
-            expected_rest: Tokens(self.expected_remaining_tokens(entry, settings) as u64),
+            expected_remaining_tokens: Tokens(
+                self.expected_remaining_tokens(entry, settings) as u64
+            ),
         };
         self.requests.iter().map(view).collect()
     }
@@ -108,15 +110,15 @@
         let view = |class: &crate::ClassIx| ClassView {
             class: self.class_policy(*class).name.clone(),
             tier: self.class_policy(*class).tier,
-            queued: self.classes[class.at()].queue.len(),
-            used_slots: self.classes[class.at()].use_rate.value(),
+            queued: self.classes[class.index()].queue.len(),
+            used_slots: self.classes[class.index()].use_rate.value(),
         };
         self.class_order.iter().map(view).collect()
     }
 
     /// Returns the id of an engine.
     pub fn engine_name(&self, engine: EndpointIx) -> EndpointId {
-        self.policy.engines[engine.at()].name.clone()
+        self.policy.engines[engine.index()].name.clone()
     }
 
     /// Returns the number of requests that wait or run.
@@ -149,7 +151,10 @@
     ) {
         let request = offer.request;
         let is_known = self.requests.contains_key(&request);
-        if is_known || engine.at() >= self.engines.len() || offer.class.at() >= self.classes.len() {
+        if is_known
+            || engine.index() >= self.engines.len()
+            || offer.class.index() >= self.classes.len()
+        {
             return;
         }
         self.customers.adopt(offer.customer);
@@ -173,7 +178,7 @@
             charged_ms: 0.0,
         });
         let state = entry.lifecycle.state();
-        let adopted = &mut self.engines[engine.at()];
+        let adopted = &mut self.engines[engine.index()];
         adopted.load.add(now);
         adopted.running.push(request);
         adopted.prefilling += u32::from(state == LifecycleState::Started);
--- a/crates/gateway/src/duties/book.rs
+++ b/crates/gateway/src/duties/book.rs
@@ -5,7 +5,7 @@
 //! ledger's lock once, when it begins to run.
 
 use crate::clock::Clock;
-use crate::decisions::duties::usage_collection::{DaemonLife, UsageCollection, UsageReport};
+use crate::decisions::duties::usage_collection::{DaemonIncarnation, UsageCollection, UsageReport};
 use crate::decisions::duties::usage_ledger::UsageLedger;
 use crate::decisions::duties::usage_window::{UsageCalendar, UsageWindow};
 use crate::settings::GatewaySettings;
@@ -15,9 +15,9 @@
 
 /// Usage counts and reports.
 #[derive(Debug)]
-pub struct DutyBook {
+pub struct UsageTracker {
     clock: Clock,
-    daemon: DaemonLife,
+    daemon: DaemonIncarnation,
     /// None if the fleet doesn't submit usage.
     calendar: Option<UsageCalendar>,
     ledger: Option<Mutex<UsageLedger>>,
@@ -27,12 +27,12 @@
     report_arrived: Notify,
 }
 
-impl DutyBook {
+impl UsageTracker {
     pub(crate) fn new(clock: Clock, settings: &GatewaySettings) -> Self {
         let calendar = settings.duties.as_ref().and_then(|duties| duties.usage);
         Self {
             clock,
-            daemon: DaemonLife {
+            daemon: DaemonIncarnation {
                 vm: settings.vm.clone(),
                 incarnation: Incarnation(rand::random()),
             },
@@ -44,7 +44,7 @@
     }
 
     /// Returns this daemon's VM and incarnation.
-    pub(crate) fn daemon(&self) -> &DaemonLife {
+    pub(crate) fn daemon(&self) -> &DaemonIncarnation {
         &self.daemon
     }
 
@@ -57,14 +57,14 @@
     pub fn on_request_began(&self, at: TimeMs, customer: &CustomerId) {
         if let Some(ledger) = &self.ledger {
             let mut ledger = ledger.lock().expect("no panic under this lock");
-            ledger.count(self.clock.wall(at), customer);
+            ledger.count(self.clock.wall_time_at(at), customer);
         }
     }
 
     /// Returns this daemon's counts of the newest windows; none if the fleet doesn't submit usage.
     pub(crate) fn own_report(&self) -> Option<UsageReport> {
         let calendar = self.calendar?;
-        let now = self.clock.wall(self.clock.now());
+        let now = self.clock.wall_time_at(self.clock.now());
         let first_open = calendar.first_open_at(now);
         // Older windows can't be submitted in time any more, and were reported to an earlier
         // holder.
--- a/crates/gateway/src/replication/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -6,7 +6,7 @@
 //! [`crate::decisions::replication::upstream`]; this module asks it, applies the answer and stores
 //! the proof.
 
-use crate::control::replica::Update;
+use crate::control::replica::ReplicaUpdate;
 use crate::control::source::{
     Changes, ControlSource, FullState, ReadProgress, Revision, SourceError,
 };
@@ -119,7 +119,7 @@
         self.gateway.fleet.set_path(path);
         self.gateway.control.drop_expired_endpoints();
         self.log_freshness();
-        if self.upstreams.take_pause() {
+        if self.upstreams.take_pause_request() {
             sleep(self.pause).await;
             self.pause = (self.pause * 2).min(MAX_PAUSE);
         } else {
@@ -137,7 +137,7 @@
             result = self.call_source() => result,
             () = gateway.fleet.wait_for_fresher_daemon() => Err(SourceError::NoAnswer),
             // Repeats a question that was sent before a suspension.
-            () = gateway.woken.notified() => return,
+            () = gateway.resumed_from_suspension.notified() => return,
         };
         self.gateway.metrics.source_called(cause, result);
         match result {
@@ -165,7 +165,7 @@
         let gateway = &self.gateway;
         let directory = gateway.control.directory();
         let fleet_size = gateway.fleet.estimate_size(&directory);
-        gateway.share_retry_budget(fleet_size);
+        gateway.on_fleet_size(fleet_size);
         gateway.fleet.update_others_work(&directory);
         let now = gateway.clock.now();
         self.upstreams.on_source_answered(now, asked_at);
@@ -194,7 +194,7 @@
         self.reload_timeout = FIRST_RELOAD_TIMEOUT;
         event!(
             Event::SourceReloaded,
-            revision = state.at,
+            revision = state.revision,
             records = state.records.len()
         );
         self.gateway.control.replace(&self.source, &state);
@@ -232,17 +232,20 @@
             self.gateway.control.replica().revision()
         };
         let now = self.gateway.clock.now();
-        let until_slot = self.upstreams.source_turn(now).map(|slot| slot.since(now));
+        let until_slot = self
+            .upstreams
+            .source_slot_at(now)
+            .map(|slot| slot.since(now));
         let gateway = self.gateway.clone();
         let asked = tokio::select! {
             asked = self.parent_client.ask(&gateway, peer, after) => asked,
             // The question is dropped with its connection; the parent is kept.
             () = gateway.fleet.wait_for_fresher_daemon() => return,
-            () = gateway.woken.notified() => return,
+            () = gateway.resumed_from_suspension.notified() => return,
             () = wait_for_slot(until_slot) => return,
         };
         let applied = asked.and_then(|answer| self.apply_answer(answer));
-        self.gateway.metrics.peer_asked(applied.as_ref().err());
+        self.gateway.metrics.peer_polled(applied.as_ref().err());
         match applied {
             Ok(report) => {
                 let now = self.gateway.clock.now();
@@ -250,7 +253,7 @@
             }
             Err(PeerError::Cycle) => {
                 let now = self.gateway.clock.now();
-                self.upstreams.on_circle(now, peer);
+                self.upstreams.on_cycle(now, peer);
                 event!(Event::CircleLeft, peer = peer);
             }
             Err(error) => self.on_peer_failed(peer, error),
@@ -260,7 +263,7 @@
     /// Asks another daemon for its place in the tree, and reports this daemon's proof to it.
     async fn probe(&mut self, peer: SocketAddr) {
         let probed = self.probe_client.probe(&self.gateway, peer).await;
-        self.gateway.metrics.peer_asked(probed.as_ref().err());
+        self.gateway.metrics.peer_polled(probed.as_ref().err());
         let probed = match probed {
             Ok(probed) => probed,
             Err(error) => return self.on_peer_failed(peer, error),
@@ -285,7 +288,7 @@
     /// Applies another daemon's answer, and stores its proof.
     fn apply_answer(&mut self, answer: PeerAnswer) -> Result<PeerReport, PeerError> {
         // Checked first: the proof in such an answer is this daemon's own.
-        if self.upstreams.leads_back(&answer.path) {
+        if self.upstreams.is_in_path(&answer.path) {
             return Err(PeerError::Cycle);
         }
         let now = self.gateway.clock.now();
@@ -300,7 +303,7 @@
         let gateway = &self.gateway;
         let fleet_size = gateway.fleet.on_size_report(answer.fleet_size);
         self.upstreams.on_fleet_size(fleet_size.unwrap_or_default());
-        gateway.share_retry_budget(fleet_size);
+        gateway.on_fleet_size(fleet_size);
         let directory = gateway.control.directory();
         let fleet = &gateway.fleet;
         fleet.on_total_report(&directory, answer.total_work, &answer.others_work);
@@ -311,10 +314,14 @@
         Ok(report)
     }
 
-    fn apply_records(&mut self, at: Revision, update: Update) -> Result<(), PeerError> {
+    fn apply_records(
+        &mut self,
+        revision: Revision,
+        update: ReplicaUpdate,
+    ) -> Result<(), PeerError> {
         let (is_whole, changes) = match update {
-            Update::Full(changes) => (true, changes),
-            Update::Changes(changes) => (false, changes),
+            ReplicaUpdate::Full(changes) => (true, changes),
+            ReplicaUpdate::Changes(changes) => (false, changes),
         };
         let resolved = self.gateway.control.replica().resolve(changes);
         let Ok(records) = resolved else {
@@ -323,9 +330,9 @@
         };
         let control = &self.gateway.control;
         if is_whole {
-            control.replace(&self.source, &FullState { at, records });
+            control.replace(&self.source, &FullState { revision, records });
         } else {
-            control.apply(&self.source, Changes { at, records });
+            control.apply(&self.source, Changes { revision, records });
         }
         Ok(())
     }
--- a/crates/gateway/src/work_by_endpoint.rs
+++ b/crates/gateway/src/work_by_endpoint.rs
@@ -21,10 +21,10 @@
 pub struct EndpointHash(pub u32);
 
 impl EndpointHash {
-    /// Returns the hash of one incarnation of an endpoint, which started at `born`.
-    pub(crate) fn of_life(endpoint: &EndpointId, born: Option<WallTimeMs>) -> Self {
+    /// Returns the hash of one incarnation of an endpoint, which started at `started_at`.
+    pub(crate) fn of_incarnation(endpoint: &EndpointId, started_at: Option<WallTimeMs>) -> Self {
         // Without a start time the hash covers only the id.
-        let seed = born.map_or(0, |born| born.0);
+        let seed = started_at.map_or(0, |started_at| started_at.0);
         let hash = xxh3_64_with_seed(endpoint.as_str().as_bytes(), seed);
         Self((hash >> 32) as u32)
     }
@@ -81,16 +81,16 @@
     }
 
     /// Returns this work minus the work of `other`, at least 0 at every endpoint.
-    pub fn without(&self, other: &Self) -> Self {
+    pub fn minus(&self, other: &Self) -> Self {
         let mut rest = Self::default();
         for (endpoint, work) in self.iter() {
-            rest.add(endpoint, work.saturating_sub(other.at(endpoint)));
+            rest.add(endpoint, work.saturating_sub(other.for_endpoint(endpoint)));
         }
         rest
     }
 
     /// Returns the work at an endpoint.
-    pub(crate) fn at(&self, endpoint: EndpointHash) -> Work {
+    pub(crate) fn for_endpoint(&self, endpoint: EndpointHash) -> Work {
         // No entry means no work.
         self.by_endpoint.get(&endpoint).copied().unwrap_or_default()
     }
@@ -101,7 +101,7 @@
     }
 
     /// Returns whether no endpoint has enough pending prompt tokens to report them sooner.
-    pub fn is_small(&self) -> bool {
+    pub fn has_no_urgent_prefill(&self) -> bool {
         self.iter()
             .all(|(_, work)| work.prefill_tokens < MIN_URGENT_TOKENS)
     }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -26,7 +26,7 @@
 
 /// Returns a service with three engines in each of three data centres.
 fn service() -> ServiceEndpoints {
-    records::service(9, 64, |at| format!("dc-{}", at / 3))
+    records::idle_service(9, 64, |at| format!("dc-{}", at / 3))
 }
 
 fn prompt(session: u64, shared: u64, own: u64, answer: u64) -> Prompt {
@@ -56,7 +56,7 @@
         data_centre: &DataCentreId::from(data_centre),
         prompt,
         tried: &[],
-        lost_in: &[],
+        data_centres_with_lost_endpoints: &[],
         region_limits: RegionLimits::EVERYWHERE,
         daemons: Some(1),
         cold: None,
@@ -136,17 +136,17 @@
         sent_at: TimeMs(0),
         prefill_ms: 0.0,
     };
-    let load = |index: EndpointIx| &service.all[index.at()].load;
+    let load = |endpoint: EndpointIx| &service.all[endpoint.index()].load;
     load(first).queue_delay().on_sent(busy);
     // It is busy, not unreachable: other requests get their tokens.
-    load(first).on_heard(NOW);
+    load(first).on_activity(NOW);
     let second = place(&service, &prompt, "dc-0");
     assert_ne!(first, second);
     load(second).queue_delay().on_sent(busy);
-    load(second).on_heard(NOW);
+    load(second).on_activity(NOW);
     assert!([first, second].contains(&place(&service, &prompt, "dc-0")));
-    service.all[first.at()].health.on_lost(NOW);
-    service.all[second.at()].health.on_lost(NOW);
+    service.all[first.index()].health.on_lost(NOW);
+    service.all[second.index()].health.on_lost(NOW);
     let third = place(&service, &prompt, "dc-0");
     assert!(![first, second].contains(&third), "both are lost");
 }
@@ -157,7 +157,7 @@
     let service = service();
     let prompt = prompt(77, 6_000, 3_000, 200);
     let first = place(&service, &prompt, "dc-0");
-    let load = &service.all[first.at()].load;
+    let load = &service.all[first.index()].load;
     let waiting = |sent| PendingRequest {
         sent_at: TimeMs(sent),
         prefill_ms: 100.0,
@@ -168,7 +168,7 @@
     load.queue_delay().on_sent(waiting(NOW.0 - 600));
     assert!(is_silent());
     assert_ne!(place(&service, &prompt, "dc-0"), first);
-    load.on_heard(TimeMs(NOW.0 - 10));
+    load.on_activity(TimeMs(NOW.0 - 10));
     assert!(!is_silent(), "other requests get their tokens");
 }
 
@@ -221,7 +221,7 @@
     let service = ServiceName::from("s");
     let grants = |at: u64| {
         (0..100)
-            .filter(|_| budgets.take(TimeMs(at), &service).is_granted)
+            .filter(|_| budgets.withdraw(TimeMs(at), &service).is_granted)
             .count()
     };
     assert_eq!(grants(0), 2, "a twelfth of the slack");
@@ -258,7 +258,7 @@
     let service = ServiceName::from("s");
     let grants = |budgets: &RetryBudgets, at: u64| {
         (0..100)
-            .filter(|_| budgets.take(TimeMs(at), &service).is_granted)
+            .filter(|_| budgets.withdraw(TimeMs(at), &service).is_granted)
             .count()
     };
     let start = || RetryBudgets::new(TimeMs(0), &budget_settings(200, &seeds), ROUNDED_DOWN);
@@ -269,7 +269,7 @@
     );
     let fleet: Vec<RetryBudgets> = (0..80).map(|_| start()).collect();
     for budgets in &fleet {
-        budgets.share_among(80);
+        budgets.set_daemon_count(80);
         assert_eq!(grants(budgets, 9_999), 0, "its predecessor had a share");
     }
     let all: usize = fleet.iter().map(|budgets| grants(budgets, 20_000)).sum();
@@ -353,7 +353,7 @@
     let service = service();
     let stream = prompt(10, 200, 500, 900);
     let nearest = place(&service, &stream, "dc-0");
-    let health = &service.all[nearest.at()].health;
+    let health = &service.all[nearest.index()].health;
     health.on_failed(NOW);
     health.on_served(NOW);
     health.on_served(NOW);
@@ -375,7 +375,7 @@
     let service = service();
     let stream = prompt(10, 200, 500, 900);
     let nearest = place(&service, &stream, "dc-0");
-    let load = &service.all[nearest.at()].load;
+    let load = &service.all[nearest.index()].load;
     let reported = |running| ReportedLoad {
         running,
         waiting: 0,
@@ -427,7 +427,7 @@
         stream.parts[2].id = sent as u64;
         let view = &views[daemon];
         let engine = place(view, &stream, &format!("dc-{}", daemon % 3));
-        view.all[engine.at()].load.on_sent(0);
+        view.all[engine.index()].load.on_sent(0);
         *by_engine.entry(engine).or_insert(0) += 1;
         if (sent + 1) % sent_between_reports == 0 {
             views.iter().for_each(|view| report_all(view, &by_engine));
--- a/crates/gateway/tests/endpoint_leaving.rs
+++ b/crates/gateway/tests/endpoint_leaving.rs
@@ -5,48 +5,48 @@
 
 use bridgevane_gateway::Repeatability::AtMostOnce;
 use std::time::Duration;
-use support::client::{Client, Got, request};
-use support::endpoint::{Act, Endpoint, answer};
-use support::source::{KEY, Life, ScriptedSource, plain_route};
-use support::{Running, start};
+use support::client::{Client, ClientAnswer, request};
+use support::endpoint::{Action, Endpoint, answer};
+use support::source::{IncarnationRecord, KEY, ScriptedSource, plain_route};
+use support::{RunningGateway, start};
 
 const STARTED_AT: u64 = 1_780_000_000_000;
 
-fn incarnation(born: u64, sequence: u64) -> Life {
-    Life {
-        born: Some(born),
+fn incarnation(started_at: u64, sequence: u64) -> IncarnationRecord {
+    IncarnationRecord {
+        started_at: Some(started_at),
         sequence,
         is_draining: false,
     }
 }
 
-fn leaving() -> Vec<Act> {
-    vec![Act::Send(
+fn leaving() -> Vec<Action> {
+    vec![Action::Send(
         "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-sign: s\r\nx-leaving: 1\r\ncontent-length: 4\r\n\r\nfine".into(),
     )]
 }
 
-fn fine() -> Vec<Act> {
+fn fine() -> Vec<Action> {
     vec![answer("200 OK", "fine")]
 }
 
-fn full() -> Vec<Act> {
+fn full() -> Vec<Action> {
     let head = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-    vec![Act::Send(head.into())]
+    vec![Action::Send(head.into())]
 }
 
 /// Starts a gateway with endpoints of one service, in their first incarnation.
-async fn start_gateway(endpoints: &[&Endpoint]) -> Running {
+async fn start_gateway(endpoints: &[&Endpoint]) -> RunningGateway {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
         let id = format!("e-{at}");
-        source.life(&id, "plain", endpoint.address, incarnation(STARTED_AT, 1));
+        source.publish_incarnation(&id, "plain", endpoint.address, incarnation(STARTED_AT, 1));
     }
     start(source).await
 }
 
-async fn ask(running: &Running) -> Got {
+async fn ask(running: &RunningGateway) -> ClientAnswer {
     let mut client = Client::connect(running.address).await;
     client
         .send(&request("POST", "/once/x", "a1", "x-deadline: 900\r\n", ""))
@@ -59,7 +59,7 @@
 }
 
 /// Starts a gateway whose only endpoint has announced to it that it is leaving.
-async fn start_with_leaving_endpoint() -> (Running, Endpoint) {
+async fn start_with_leaving_endpoint() -> (RunningGateway, Endpoint) {
     let endpoint = Endpoint::start(|_| leaving()).await;
     let running = start_gateway(&[&endpoint]).await;
     assert_eq!(ask(&running).await.status, 200);
@@ -74,7 +74,7 @@
     let refused = ask(&running).await;
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
-    assert_eq!(endpoint.count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 /// Guards against retries of requests that another endpoint rejected.
@@ -84,10 +84,10 @@
     let other = Endpoint::start(|_| full()).await;
     running
         .source
-        .life("e-1", "plain", other.address, incarnation(STARTED_AT, 1));
+        .publish_incarnation("e-1", "plain", other.address, incarnation(STARTED_AT, 1));
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 503);
-    assert_eq!((other.count(), endpoint.count()), (1, 1));
+    assert_eq!((other.request_count(), endpoint.request_count()), (1, 1));
 }
 
 /// Guards against an older record, or a new configuration, that makes a leaving endpoint available
@@ -95,14 +95,17 @@
 #[tokio::test]
 async fn a_later_record_of_the_same_incarnation_changes_nothing() {
     let (running, endpoint) = start_with_leaving_endpoint().await;
-    running
-        .source
-        .life("e-0", "plain", endpoint.address, incarnation(STARTED_AT, 2));
+    running.source.publish_incarnation(
+        "e-0",
+        "plain",
+        endpoint.address,
+        incarnation(STARTED_AT, 2),
+    );
     let routes = vec![plain_route("once", AtMostOnce, 1)];
-    running.source.configure(2, routes, &[KEY]);
+    running.source.publish_configuration(2, routes, &[KEY]);
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 503);
-    assert_eq!(endpoint.count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 /// Guards against a record that is lost and returns, for which the daemon creates the endpoint
@@ -110,14 +113,17 @@
 #[tokio::test]
 async fn a_leaving_endpoint_whose_record_returns_is_still_leaving() {
     let (running, endpoint) = start_with_leaving_endpoint().await;
-    running.source.gone("e-0");
+    running.source.remove_endpoint("e-0");
     wait_for_update().await;
-    running
-        .source
-        .life("e-0", "plain", endpoint.address, incarnation(STARTED_AT, 2));
+    running.source.publish_incarnation(
+        "e-0",
+        "plain",
+        endpoint.address,
+        incarnation(STARTED_AT, 2),
+    );
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 503);
-    assert_eq!(endpoint.count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 /// Guards against an announcement of the earlier incarnation, or of another endpoint at the
@@ -126,7 +132,7 @@
 async fn a_later_incarnation_and_another_endpoint_at_the_address_get_requests() {
     let (running, endpoint) = start_with_leaving_endpoint().await;
     let next = Endpoint::start(|_| fine()).await;
-    running.source.life(
+    running.source.publish_incarnation(
         "e-0",
         "plain",
         next.address,
@@ -134,11 +140,11 @@
     );
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 200);
-    running.source.gone("e-0");
+    running.source.remove_endpoint("e-0");
     running
         .source
-        .life("e-1", "plain", next.address, incarnation(STARTED_AT, 1));
+        .publish_incarnation("e-1", "plain", next.address, incarnation(STARTED_AT, 1));
     wait_for_update().await;
     assert_eq!(ask(&running).await.status, 200);
-    assert_eq!((endpoint.count(), next.count()), (1, 2));
+    assert_eq!((endpoint.request_count(), next.request_count()), (1, 2));
 }
--- a/crates/gateway/tests/endpoint_limits.rs
+++ b/crates/gateway/tests/endpoint_limits.rs
@@ -5,22 +5,22 @@
 
 use bridgevane_gateway::RateLimitState;
 use bridgevane_gateway::Repeatability::AtMostOnce;
-use bridgevane_gateway::decisions::eligibility::rate_limit::{LimitObservation, NamedLimit};
+use bridgevane_gateway::decisions::eligibility::rate_limit::{AnnouncedLimit, LimitObservation};
 use bridgevane_types::{RequestsPerSecond, TimeMs};
 use futures_util::future::join_all;
 use std::time::Duration;
-use support::client::{Client, Got, request};
-use support::endpoint::{Act, Endpoint, answer};
+use support::client::{Client, ClientAnswer, request};
+use support::endpoint::{Action, Endpoint, answer};
 use support::source::{KEY, ScriptedSource, plain_route};
-use support::{Running, start};
+use support::{RunningGateway, start};
 
 /// The number of requests that an endpoint may get in 4 s from daemons that know its limit of one a
 /// second: half as many again, and five.
 const MAX_AT_ONE_A_SECOND: usize = 11;
 
 /// Returns a complete answer that announces a limit of requests a second.
-fn limited(requests_per_s: &str) -> Act {
-    Act::Send(format!(
+fn limited(requests_per_s: &str) -> Action {
+    Action::Send(format!(
         "HTTP/1.1 200 OK\r\nx-id: {{id}}\r\nx-sign: s\r\nx-rate-limit: {requests_per_s}\r\n\
          content-length: 4\r\n\r\nfine"
     ))
@@ -40,16 +40,16 @@
 }
 
 /// Starts a gateway with endpoints of one service.
-async fn start_gateway(endpoints: &[&Endpoint]) -> Running {
+async fn start_gateway(endpoints: &[&Endpoint]) -> RunningGateway {
     let source = ScriptedSource::new();
-    source.configure(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
+    source.publish_configuration(1, vec![plain_route("once", AtMostOnce, 1)], &[KEY]);
     for (at, endpoint) in endpoints.iter().enumerate() {
-        source.endpoint(&format!("e-{at}"), "plain", endpoint.address);
+        source.publish_endpoint(&format!("e-{at}"), "plain", endpoint.address);
     }
     start(source).await
 }
 
-async fn ask(client: &mut Client, at: usize) -> Got {
+async fn ask(client: &mut Client, at: usize) -> ClientAnswer {
     let id = format!("a{at}");
     client
         .send(&request("POST", "/once/x", &id, "x-deadline: 900\r\n", ""))
@@ -58,7 +58,7 @@
 }
 
 /// Sends requests on several connections at once; returns the number of those that were served.
-async fn send_requests(running: &Running, connections: usize, requests: usize) -> usize {
+async fn send_requests(running: &RunningGateway, connections: usize, requests: usize) -> usize {
     let clients = (0..connections).map(|connection| async move {
         let mut client = Client::connect(running.address).await;
         let mut served = 0;
@@ -75,13 +75,13 @@
 /// requests.
 #[tokio::test]
 async fn an_endpoint_gets_no_more_requests_than_its_limit_allows() {
-    let work = || Act::Wait(Duration::from_millis(3));
+    let work = || Action::Wait(Duration::from_millis(3));
     let limited_endpoint = Endpoint::start(move |_| vec![work(), limited("1")]).await;
     let healthy = Endpoint::start(move |_| vec![work(), answer("200 OK", "fine")]).await;
     let running = start_gateway(&[&limited_endpoint, &healthy]).await;
     let served = send_requests(&running, 6, 20).await;
     assert_eq!(served, 120, "the other endpoint serves the rest");
-    let arrived = limited_endpoint.count();
+    let arrived = limited_endpoint.request_count();
     assert!(
         arrived <= MAX_AT_ONE_A_SECOND,
         "{arrived} of 120 in less than 4 s"
@@ -93,10 +93,10 @@
 async fn retries_count_against_the_limit_of_an_endpoint() {
     let limited_endpoint = Endpoint::start(|_| vec![limited("1")]).await;
     let not_run = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-    let full = Endpoint::start(move |_| vec![Act::Send(not_run.into())]).await;
+    let full = Endpoint::start(move |_| vec![Action::Send(not_run.into())]).await;
     let running = start_gateway(&[&limited_endpoint, &full]).await;
     send_requests(&running, 6, 20).await;
-    let arrived = limited_endpoint.count();
+    let arrived = limited_endpoint.request_count();
     assert!(arrived <= MAX_AT_ONE_A_SECOND, "{arrived} in less than 4 s");
 }
 
@@ -120,7 +120,7 @@
     assert_eq!(refused.status, 503);
     let retry_after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     assert!((0.1..=1.0).contains(&retry_after), "{retry_after}");
-    assert!(limited_endpoint.count() <= 2);
+    assert!(limited_endpoint.request_count() <= 2);
 }
 
 /// Guards against a limit that still applies after the endpoint has withdrawn it.
@@ -155,7 +155,7 @@
     let running = start_gateway(&[&endpoint]).await;
     send_requests(&running, 1, 40).await;
     assert!(
-        endpoint.count() <= MAX_AT_ONE_A_SECOND,
+        endpoint.request_count() <= MAX_AT_ONE_A_SECOND,
         "the earlier limit still applies"
     );
 }
@@ -171,7 +171,7 @@
 fn observation_after(reported: &[LimitObservation]) -> Option<LimitObservation> {
     let state = RateLimitState::default();
     for reported in reported {
-        state.on_told(TimeMs(20_000), *reported, || 0.5);
+        state.on_peer_observation(TimeMs(20_000), *reported, || 0.5);
     }
     state.observation(TimeMs(20_000))
 }
@@ -213,8 +213,8 @@
 #[test]
 fn the_end_of_a_limit_expires() {
     let state = RateLimitState::default();
-    state.on_told(TimeMs(10_000), observation(Some(1.0), 10_000), || 0.5);
-    state.on_answer(TimeMs(12_000), TimeMs(11_900), NamedLimit::None, || 0.5);
+    state.on_peer_observation(TimeMs(10_000), observation(Some(1.0), 10_000), || 0.5);
+    state.on_answer(TimeMs(12_000), TimeMs(11_900), AnnouncedLimit::None, || 0.5);
     assert!(!state.is_limited());
     assert_eq!(
         state.observation(TimeMs(41_000)),
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -9,10 +9,10 @@
 use bridgevane_types::DataCentreId;
 use std::collections::HashSet;
 use std::time::Duration;
-use support::client::{Client, Got, request};
-use support::endpoint::{Act, Endpoint, answer};
+use support::client::{Client, ClientAnswer, request};
+use support::endpoint::{Action, Endpoint, answer};
 use support::source::{KEY, ScriptedSource, plain_route};
-use support::{Running, start};
+use support::{RunningGateway, start};
 
 /// The number of requests with which the distribution is observed.
 const REQUESTS: usize = 12;
@@ -20,7 +20,7 @@
 const DATA_CENTRES: [&str; 2] = ["dc-1", "dc-2"];
 
 struct Stage {
-    running: Running,
+    running: RunningGateway,
     endpoints: [Endpoint; 2],
 }
 
@@ -31,19 +31,19 @@
         plain_route("often", Idempotent, 2),
         plain_route("once", AtMostOnce, 1),
     ];
-    source.configure(1, routes, &[KEY]);
+    source.publish_configuration(1, routes, &[KEY]);
     let script = move |at| {
         let pause = if at == 0 {
             first_answer_delay
         } else {
             Duration::ZERO
         };
-        vec![Act::Wait(pause), answer("200 OK", "fine")]
+        vec![Action::Wait(pause), answer("200 OK", "fine")]
     };
     let endpoints = [Endpoint::start(script).await, Endpoint::start(script).await];
     for (data_centre, endpoint) in DATA_CENTRES.iter().zip(&endpoints) {
         let id = format!("e-{data_centre}");
-        source.endpoint_in(data_centre, &id, "plain", endpoint.address);
+        source.publish_endpoint_in(data_centre, &id, "plain", endpoint.address);
     }
     let running = start(source).await;
     Stage { running, endpoints }
@@ -51,7 +51,10 @@
 
 impl Stage {
     fn counts(&self) -> [usize; 2] {
-        [self.endpoints[0].count(), self.endpoints[1].count()]
+        [
+            self.endpoints[0].request_count(),
+            self.endpoints[1].request_count(),
+        ]
     }
 
     /// Returns the number of requests that each endpoint gets out of `REQUESTS`, all of which are
@@ -66,7 +69,7 @@
     }
 }
 
-async fn ask(running: &Running, route: &str) -> Got {
+async fn ask(running: &RunningGateway, route: &str) -> ClientAnswer {
     let mut client = Client::connect(running.address).await;
     let path = format!("/{route}/x");
     let text = request("GET", &path, "a1", "x-deadline: 900\r\n", "");
@@ -91,7 +94,7 @@
     stage.running.source.evacuate("dc-1");
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [0, REQUESTS]);
-    stage.running.source.take_back("dc-1");
+    stage.running.source.end_evacuation("dc-1");
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [REQUESTS, 0]);
 }
@@ -130,7 +133,7 @@
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [0, REQUESTS]);
     stage.running.source.fail_once_with_history_lost();
-    stage.running.source.take_back("dc-1");
+    stage.running.source.end_evacuation("dc-1");
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [REQUESTS, 0]);
 }
@@ -139,13 +142,13 @@
 #[tokio::test]
 async fn an_unreadable_record_changes_nothing() {
     let stage = start_stage(Duration::ZERO).await;
-    stage.running.source.spoil_evacuation("dc-1");
+    stage.running.source.corrupt_evacuation("dc-1");
     stage.running.source.evacuate("no-such-data-centre");
     wait_for_update().await;
     assert_eq!(stage.request_counts().await, [REQUESTS, 0]);
     stage.running.source.evacuate("dc-1");
     wait_for_update().await;
-    stage.running.source.spoil_evacuation("dc-1");
+    stage.running.source.corrupt_evacuation("dc-1");
     stage.running.source.fail_once_with_history_lost();
     wait_for_update().await;
     assert_eq!(
@@ -164,8 +167,17 @@
     assert!(!evacuations.end(&data_centre, Revision(4)));
     assert!(evacuations.contains(&data_centre));
     let no_records = HashSet::new();
-    assert!(evacuations.unlisted(&no_records, Revision(4)).is_empty());
-    assert_eq!(evacuations.unlisted(&no_records, Revision(5)).len(), 1);
+    assert!(
+        evacuations
+            .ended_in_full_state(&no_records, Revision(4))
+            .is_empty()
+    );
+    assert_eq!(
+        evacuations
+            .ended_in_full_state(&no_records, Revision(5))
+            .len(),
+        1
+    );
     assert!(evacuations.end(&data_centre, Revision(6)));
     assert!(!evacuations.begin(&data_centre, Revision(5)));
     assert!(!evacuations.contains(&data_centre));
--- a/crates/gateway/tests/region_limits.rs
+++ b/crates/gateway/tests/region_limits.rs
@@ -23,7 +23,7 @@
 }
 
 fn service() -> ServiceEndpoints {
-    records::service(16, 8, |at| format!("dc-{}", at % 4))
+    records::idle_service(16, 8, |at| format!("dc-{}", at % 4))
 }
 
 fn allowed(names: &[&str]) -> RegionSet {
@@ -47,7 +47,7 @@
             data_centre: &DataCentreId::from("dc-2"),
             prompt,
             tried: &tried,
-            lost_in: &[],
+            data_centres_with_lost_endpoints: &[],
             region_limits: RegionLimits {
                 regions: &regions,
                 route,
--- a/crates/gateway/tests/support/crashing.rs
+++ b/crates/gateway/tests/support/crashing.rs
@@ -1,6 +1,6 @@
 //! Engines of one service that crash when they run a certain request, and restart under new ids.
 
-use super::endpoint::{Act, Endpoint, ReceivedRequest, answer};
+use super::endpoint::{Action, Endpoint, ReceivedRequest, answer};
 use super::source::ScriptedSource;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -42,7 +42,7 @@
             started.push(endpoint.clone());
             format!("e-{}", started.len())
         };
-        self.source.endpoint(&id, "plain", endpoint.address);
+        self.source.publish_endpoint(&id, "plain", endpoint.address);
         (id, endpoint)
     }
 
@@ -51,7 +51,7 @@
         loop {
             endpoint.crashed.cancelled().await;
             tokio::time::sleep(RESTART_TIME).await;
-            self.source.gone(&id);
+            self.source.remove_endpoint(&id);
             (id, endpoint) = self.start_one().await;
         }
     }
@@ -69,7 +69,7 @@
     pub fn received(&self, body: &str) -> usize {
         let started = self.started.lock().unwrap();
         let received = |engine: &Endpoint| {
-            let seen = engine.seen.lock().unwrap();
+            let seen = engine.received.lock().unwrap();
             let equal = seen.iter().filter(|seen| seen.body == body.as_bytes());
             equal.count()
         };
@@ -77,10 +77,10 @@
     }
 }
 
-fn actions(run_time: Duration, seen: &ReceivedRequest) -> Vec<Act> {
+fn actions(run_time: Duration, seen: &ReceivedRequest) -> Vec<Action> {
     if seen.body == CRASHING_BODY.as_bytes() {
-        vec![Act::Wait(run_time), Act::Crash]
+        vec![Action::Wait(run_time), Action::Crash]
     } else {
-        vec![Act::Wait(run_time), answer("200 OK", "fine")]
+        vec![Action::Wait(run_time), answer("200 OK", "fine")]
     }
 }
--- a/crates/gateway/tests/support/duty_sim/daemon.rs
+++ b/crates/gateway/tests/support/duty_sim/daemon.rs
@@ -72,7 +72,9 @@
                 loop {
                     sleep(interval).await;
                     let now = counting_gateway.clock.now();
-                    counting_gateway.duty_book.on_request_began(now, &customer);
+                    counting_gateway
+                        .usage_tracker
+                        .on_request_began(now, &customer);
                 }
             }),
         ];
@@ -92,7 +94,7 @@
         while Instant::now() < end {
             sleep(SUSPENSION_STEP).await;
             self.clock
-                .stand_still(DurationMs(SUSPENSION_STEP.as_millis() as u64));
+                .mark_suspended(DurationMs(SUSPENSION_STEP.as_millis() as u64));
         }
         platform.set_faults(&self.vm, LinkFaults::default());
     }
--- a/crates/gateway/tests/tie_break.rs
+++ b/crates/gateway/tests/tie_break.rs
@@ -32,7 +32,7 @@
 
 fn service_in(endpoints: u32, data_centres: &[&str]) -> ServiceEndpoints {
     let data_centre_of = |at: u32| data_centres[at as usize % data_centres.len()].to_owned();
-    records::service(endpoints, 6, data_centre_of)
+    records::idle_service(endpoints, 6, data_centre_of)
 }
 
 /// Returns the endpoints to which a daemon sends `requests` concurrent requests, by index.
@@ -49,7 +49,7 @@
             data_centre: &DataCentreId::from("dc-0"),
             prompt,
             tried: &[],
-            lost_in: &[],
+            data_centres_with_lost_endpoints: &[],
             region_limits: RegionLimits::EVERYWHERE,
             daemons: Some(1),
             cold: None,
