--- a/src/modules/serve/configuration/replica.rs
+++ b/src/modules/serve/configuration/replica.rs
@@ -87,7 +87,7 @@
     }
 
     /// Whether the latest call of the platform's service failed.
-    pub(crate) fn is_platform_away(&self) -> bool {
+    pub(crate) fn is_platform_unavailable(&self) -> bool {
         self.budget().is_failing()
     }
 
--- a/src/modules/serve/context.rs
+++ b/src/modules/serve/context.rs
@@ -95,8 +95,8 @@
         (context, dials)
     }
 
-    /// Now, as the pure parts see it: by the clock that counts a suspension of the VM, so that leases,
-    /// keys and members age through it as through a stop of the process.
+    /// Now, as the pure parts see it: by the clock that counts a suspension of the VM, so that
+    /// leases, keys and members age through it as through a stop of the process.
     pub fn now(&self) -> TimeMs {
         TimeMs(boot_time().since(self.started).0)
     }
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys between daemons: the home of a key says whether its call may run. How the call
-//! ended is told in [`super::ends`].
+//! Claims of idempotency keys between daemons: the home of a key decides whether its call may run.
+//! [`super::ends`] reports to the home how the call ended.
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::keys::key_homes::{ClaimAnswer, KeyedCall, LetRun};
+use crate::modules::serve::keys::key_homes::{ClaimAnswer, GrantedClaim, KeyedCall};
 use crate::modules::serve::peers::links::{LinkHandle, Peer};
 use crate::modules::serve::peers::request_on_wire::{request_bytes, request_of};
 use bridgevane_adapters::{KeyValue, KvCas, KvError};
@@ -18,37 +18,36 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a home may take to answer a claim. Not measured; half would answer `unknown` while a
-/// home is only slow.
+/// The time limit for a home's answer to a claim. Half of it would answer `unknown` when a home is
+/// only slow.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause before a claim is repeated to a home that didn't know that it is one. Not measured, chosen
-/// because views of who lives agree within a few heartbeats.
+/// The pause before a claim is sent again to a daemon that answered that it isn't the key's home.
+/// The daemons' views of the membership converge within a few heartbeats.
 const NOT_HOME_PAUSE: Duration = Duration::from_millis(200);
-/// How often such a claim is repeated. Not measured, chosen because three pauses are within a
-/// caller's time.
-const NOT_HOME_TRIES: u32 = 3;
+/// The maximum number of such attempts. Three pauses are within the time that a caller waits.
+const NOT_HOME_MAX_ATTEMPTS: u32 = 3;
 /// Asks the key's home whether the call may run.
 pub async fn claim(context: &Arc<Context>, call: KeyedCall) -> ClaimAnswer {
-    for _ in 0..NOT_HOME_TRIES {
+    for _ in 0..NOT_HOME_MAX_ATTEMPTS {
         let home = context.members.remote_home(&call.home_key());
         let Some((_, address)) = home else {
-            let verdict = decide(context, claim_of(context, &call)).await;
-            return answer(verdict, call, None);
+            let verdict = decide_as_home(context, claim_of(context, &call)).await;
+            return claim_answer(verdict, call, None);
         };
-        match ask(context, address, &call, false).await {
+        match ask_home(context, address, &call, false).await {
             Some(verdict) if verdict.verdict() == WireCode::NotHome => {
                 tokio::time::sleep(NOT_HOME_PAUSE).await;
             }
-            Some(verdict) => return answer(from_wire(&verdict), call, Some(address)),
+            Some(verdict) => return claim_answer(from_wire(&verdict), call, Some(address)),
             None => break,
         }
     }
-    // Nobody who knows could be asked: the key may have run before.
-    ClaimAnswer::Not(Verdict::Unknown)
+    // No daemon that may know the key has answered: the call may have run before.
+    ClaimAnswer::Denied(Verdict::Unknown)
 }
 
-/// Asks another daemon about a key; none: it doesn't answer.
-async fn ask(
+/// Asks another daemon about a key; `None` if it doesn't answer in time.
+async fn ask_home(
     context: &Arc<Context>,
     address: SocketAddr,
     call: &KeyedCall,
@@ -56,7 +55,7 @@
 ) -> Option<KeyVerdict> {
     let claim = context.keys.next_claim.fetch_add(1, Ordering::Relaxed);
     let (sender, receiver) = oneshot::channel();
-    context.keys.waiting().insert(claim, sender);
+    context.keys.pending_claims().insert(claim, sender);
     let frame = Body::KeyClaim(KeyClaim {
         claim,
         service: call.service.to_string(),
@@ -68,15 +67,15 @@
     });
     context.links.to(address).send(frame);
     let verdict = tokio::time::timeout(ANSWER_TIMEOUT, receiver).await;
-    context.keys.waiting().remove(&claim);
-    // No answer in time, or the claim was given up: nobody knows.
+    context.keys.pending_claims().remove(&claim);
+    // No answer in time, or the claim was dropped: the verdict isn't known.
     verdict.ok()?.ok()
 }
 
-fn answer(verdict: Verdict, call: KeyedCall, home: Option<SocketAddr>) -> ClaimAnswer {
+fn claim_answer(verdict: Verdict, call: KeyedCall, home: Option<SocketAddr>) -> ClaimAnswer {
     match verdict {
-        Verdict::Run => ClaimAnswer::Run(LetRun { call, home }),
-        other => ClaimAnswer::Not(other),
+        Verdict::Run => ClaimAnswer::Granted(GrantedClaim { call, home }),
+        other => ClaimAnswer::Denied(other),
     }
 }
 
@@ -94,16 +93,16 @@
     }
 }
 
-/// Decides as the key's home, asking the home before this one if need be.
-async fn decide(context: &Arc<Context>, claim: Claim) -> Verdict {
+/// Decides a claim as the key's home. Asks the previous home if the registry requires it.
+async fn decide_as_home(context: &Arc<Context>, claim: Claim) -> Verdict {
     let live = context.members.live();
     let verdict = context
         .keys
         .registry()
         .claim(context.now(), claim.clone(), &live.key_members);
     let earlier = match verdict {
-        Verdict::AskBefore(before) => ask_before(context, &before, &claim).await,
-        Verdict::NoMemory => stored_memory(context).await,
+        Verdict::AskBefore(before) => ask_previous_home(context, &before, &claim).await,
+        Verdict::NoMemory => verdict_without_memory(context).await,
         decided => return decided,
     };
     context
@@ -112,32 +111,33 @@
         .apply_earlier_verdict(claim, earlier)
 }
 
-async fn ask_before(context: &Arc<Context>, before: &VmId, claim: &Claim) -> Verdict {
-    let address = context.members.address_of(before);
+async fn ask_previous_home(context: &Arc<Context>, previous: &VmId, claim: &Claim) -> Verdict {
+    let address = context.members.address_of(previous);
     let (Some(address), Some(call)) = (address, keyed_call_of(claim)) else {
         return Verdict::Unknown;
     };
-    let answer = ask(context, address, &call, true).await;
+    let answer = ask_home(context, address, &call, true).await;
     answer.map_or(Verdict::Unknown, |verdict| from_wire(&verdict))
 }
 
-/// Whether keys may have been known to daemons that are all gone: the platform's service holds
-/// a mark for each data centre that has had daemons. The first one of all makes it.
-async fn stored_memory(context: &Arc<Context>) -> Verdict {
-    let asked = context
+/// Returns the verdict when no daemon remembers earlier keys: `Run` only if this data centre never
+/// had daemons before. The platform's service holds a mark for each data centre that has had
+/// daemons; the first daemon of a data centre writes it.
+async fn verdict_without_memory(context: &Arc<Context>) -> Verdict {
+    let had_daemons_before = context
         .keys
         .had_daemons
         .get_or_try_init(|| had_daemons(context))
         .await;
-    match asked {
+    match had_daemons_before {
         Ok(false) => Verdict::Run,
         Ok(true) | Err(_) => Verdict::NoMemory,
     }
 }
 
 async fn had_daemons(context: &Context) -> Result<bool, KvError> {
-    if context.replica.is_platform_away() {
-        // Every keyed call would ask anew; whoever watches the platform notices its return.
+    if context.replica.is_platform_unavailable() {
+        // Otherwise every keyed call would ask the platform again; the watchers notice its return.
         return Err(KvError::NotReached);
     }
     let cas = KvCas {
@@ -154,7 +154,7 @@
     }
 }
 
-/// The call behind a claim, for the question to the home before.
+/// Returns the call of a claim, to ask the previous home about it.
 fn keyed_call_of(claim: &Claim) -> Option<KeyedCall> {
     let mut parts = claim.key.splitn(4, '/').skip(1);
     Some(KeyedCall {
@@ -166,7 +166,7 @@
     })
 }
 
-/// Another daemon asks about a key.
+/// Handles another daemon's claim of a key.
 pub(crate) fn on_claim(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, wire: KeyClaim) {
     let Some(request) = request_of(&wire.request) else {
         return;
@@ -191,7 +191,7 @@
     };
     let (context, link) = (context.clone(), link.clone());
     tokio::spawn(async move {
-        let verdict = decide(&context, claim).await;
+        let verdict = decide_as_home(&context, claim).await;
         link.send(Body::KeyVerdict(to_wire(wire.claim, Some(verdict))));
     });
 }
--- a/src/modules/serve/keys/ends.rs
+++ b/src/modules/serve/keys/ends.rs
@@ -1,12 +1,13 @@
-//! Idempotency keys between daemons: the home of a key hears how its call ended.
+//! Reports to the home of an idempotency key how its call ended.
 //!
-//! The daemon that ran the call waits for the home's word before it answers the caller: who has the
-//! answer may send the same key through another daemon at once, and must not be told that the call is in
-//! progress. A home that says nothing in time doesn't keep the answer back; it is told again afterwards.
-//! Weighed against letting a claim wait at the home for the end: docs/design/06.
+//! The daemon that ran the call waits for the home's acknowledgement before it answers the caller:
+//! a caller that has the answer may send the same key through another daemon at once, and must not
+//! be refused because the call is in progress. A home that doesn't acknowledge in time doesn't
+//! delay the answer any longer; the report is sent again afterwards. The alternative, a claim that
+//! waits at the home for the end of the call, is discussed in docs/design/06.
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::keys::key_homes::LetRun;
+use crate::modules::serve::keys::key_homes::GrantedClaim;
 use crate::modules::serve::peers::links::LinkHandle;
 use crate::modules::serve::peers::request_on_wire::{request_bytes, request_of};
 use bridgevane_coordination::{KeyEnd, StoredAnswer};
@@ -21,34 +22,36 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-/// How long an answer waits for the home's word. Chosen because it is some ten round trips between data
-/// centres; a home that is slower, cut off or gone costs each of its keys' answers so much, until it is
-/// known to be gone. Measured without load: 30 us at the median (benches/latency.rs).
-const HEARD_TIMEOUT: Duration = Duration::from_millis(250);
-/// How often, and how far apart, the end of a call is told. Not measured, chosen because a home that is
-/// away for longer is dead, and its keys answer `unknown`.
-const TRIES: u32 = 10;
-/// Pause between two of these. Not measured; shorter ones would only fill the queue of a daemon that is
-/// away.
-const PAUSE: Duration = Duration::from_millis(1_000);
+/// The longest time for which an answer waits for the home's acknowledgement: about ten round trips
+/// between data centres. A home that is slower, cut off or gone delays the answer of each of its
+/// keys by this time, until it is known to be gone. Without load the acknowledgement takes 30 us at
+/// the median (benches/latency.rs).
+const ACK_TIMEOUT: Duration = Duration::from_millis(250);
+/// The maximum number of reports of one end, one per [`RETRY_PAUSE`]. A home that is unreachable
+/// for longer is dead, and its keys answer `unknown`.
+const MAX_ATTEMPTS: u32 = 10;
+/// The pause between two reports of the same end. Shorter pauses would only fill the queue of an
+/// unreachable daemon.
+const RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Tells the home of a key how its call ended, and waits a bounded while until it knows.
-pub(crate) async fn end(context: &Arc<Context>, let_run: &LetRun, end: KeyEnd) {
-    let call = &let_run.call;
-    let Some(home) = let_run.home else {
+/// Reports the end of a call to the home of its key, and waits up to [`ACK_TIMEOUT`] for the
+/// acknowledgement.
+pub(crate) async fn report_end(context: &Arc<Context>, granted: &GrantedClaim, end: KeyEnd) {
+    let call = &granted.call;
+    let Some(home) = granted.home else {
         let mut registry = context.keys.registry();
         registry.ended(context.now(), &call.home_key(), call.request, end);
         return;
     };
-    let ended = end_message(let_run, end);
-    if tell(context, home, ended.clone()).await {
+    let ended = end_message(granted, end);
+    if send_report(context, home, ended.clone()).await {
         return;
     }
     let context = context.clone();
     tokio::spawn(async move {
-        for _ in 1..TRIES {
-            sleep(PAUSE).await;
-            if tell(&context, home, ended.clone()).await {
+        for _ in 1..MAX_ATTEMPTS {
+            sleep(RETRY_PAUSE).await;
+            if send_report(&context, home, ended.clone()).await {
                 return;
             }
         }
@@ -56,8 +59,8 @@
     });
 }
 
-fn end_message(let_run: &LetRun, end: KeyEnd) -> KeyEnded {
-    let call = &let_run.call;
+fn end_message(granted: &GrantedClaim, end: KeyEnd) -> KeyEnded {
+    let call = &granted.call;
     let mut ended = KeyEnded {
         service: call.service.to_string(),
         customer: call.customer.to_string(),
@@ -78,21 +81,21 @@
     ended
 }
 
-/// Tells the home once; false when it didn't say in time that it has heard.
-async fn tell(context: &Context, home: SocketAddr, ended: KeyEnded) -> bool {
+/// Sends one report to the home; false if it wasn't acknowledged in time.
+async fn send_report(context: &Context, home: SocketAddr, ended: KeyEnded) -> bool {
     let claim = context.keys.next_claim.fetch_add(1, Ordering::Relaxed);
-    let (sender, heard) = oneshot::channel();
-    context.keys.unheard().insert(claim, sender);
+    let (sender, acknowledged) = oneshot::channel();
+    context.keys.unacknowledged().insert(claim, sender);
     let is_sent = context
         .links
         .to(home)
         .send(Body::KeyEnded(KeyEnded { claim, ..ended }));
-    let is_heard = is_sent && matches!(timeout(HEARD_TIMEOUT, heard).await, Ok(Ok(())));
-    context.keys.unheard().remove(&claim);
-    is_heard
+    let is_acknowledged = is_sent && matches!(timeout(ACK_TIMEOUT, acknowledged).await, Ok(Ok(())));
+    context.keys.unacknowledged().remove(&claim);
+    is_acknowledged
 }
 
-/// Another daemon tells how a call ended.
+/// Handles another daemon's report of the end of a call.
 pub(crate) fn on_ended(context: &Arc<Context>, link: &LinkHandle, ended: &KeyEnded) {
     let Some(request) = request_of(&ended.request) else {
         return;
@@ -111,6 +114,6 @@
         .keys
         .registry()
         .ended(context.now(), &key, request, end);
-    // One that gets lost is asked for again.
+    // If this acknowledgement is lost, the end is reported again.
     link.send(Body::KeyEndedHeard(KeyEndedHeard { claim: ended.claim }));
 }
--- a/src/modules/serve/keys/key_homes.rs
+++ b/src/modules/serve/keys/key_homes.rs
@@ -1,7 +1,7 @@
-//! Keys whose home this daemon is, and claims that wait for other homes.
+//! The registry of the keys whose home is this daemon, and the claims that wait for other homes.
 //!
-//! Owns the registry and the waiting claims, each behind a lock; lost with the process. Claims are
-//! made and decided in [`super::claims`].
+//! Owns the registry and the pending claims, each behind a lock. All of it is lost with the
+//! process. [`super::claims`] sends and decides claims.
 
 use bridgevane_coordination::configs::KeyRegistryConfig;
 use bridgevane_coordination::{KeyMember, KeyRegistry, Verdict};
@@ -13,64 +13,65 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::{OnceCell, oneshot};
 
-/// A keyed call, as its daemon knows it.
+/// A call with an idempotency key.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyedCall {
-    /// Service.
+    /// The called service.
     pub service: ServiceName,
-    /// Customer.
+    /// The calling customer.
     pub customer: CustomerId,
-    /// The caller's key.
+    /// The idempotency key that the caller sent.
     pub key: IdempotencyKey,
-    /// The request.
+    /// The id of the request that carries the call.
     pub request: RequestId,
-    /// Digest of method, path and body.
+    /// A digest of method, path and body.
     pub call_digest: u64,
 }
 
 impl KeyedCall {
-    /// The key's name among all that have homes; customers can't reach each other's.
+    /// Returns the name by which the key's home is found. It contains the customer, so that
+    /// customers can't use each other's keys.
     pub(super) fn home_key(&self) -> String {
         format!("key/{}/{}/{}", self.service, self.customer, self.key)
     }
 }
 
-/// A call that was let run: its end must be reported to the home that let it.
+/// A call that may run. Its end must be reported to the home that granted the claim.
 #[derive(Clone, Debug)]
-pub(crate) struct LetRun {
+pub(crate) struct GrantedClaim {
     pub(super) call: KeyedCall,
-    /// The home; none: this daemon.
+    /// The address of the home; `None`: this daemon.
     pub(super) home: Option<SocketAddr>,
 }
 
-/// What the home of a key said.
+/// The answer of a key's home to a claim.
 #[derive(Clone, Debug)]
 pub(crate) enum ClaimAnswer {
-    /// Run it, and tell how it ended.
-    Run(LetRun),
-    /// Don't.
-    Not(Verdict),
+    /// The call may run, and its end must be reported.
+    Granted(GrantedClaim),
+    /// The call must not run.
+    Denied(Verdict),
 }
 
-/// Keys whose home this daemon is, and claims that wait for other homes.
+/// The registry of the keys whose home is this daemon, and claims that wait for other homes.
 pub struct KeyHomes {
     registry: Mutex<KeyRegistry>,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<KeyVerdict>>>,
-    /// Ends of calls that homes haven't confirmed.
-    unheard: Mutex<HashMap<u64, oneshot::Sender<()>>>,
+    pending_claims: Mutex<HashMap<u64, oneshot::Sender<KeyVerdict>>>,
+    /// The reported ends of calls that homes haven't acknowledged.
+    unacknowledged: Mutex<HashMap<u64, oneshot::Sender<()>>>,
     pub(super) next_claim: AtomicU64,
-    /// Whether this data centre has had daemons before, once that was asked.
+    /// Whether this data centre has had daemons before, once the platform has answered that.
     pub(super) had_daemons: OnceCell<bool>,
 }
 
 impl KeyHomes {
-    /// No key yet.
+    /// Creates an empty registry.
     pub fn new(own: KeyMember, now: TimeMs) -> Self {
         let config = KeyRegistryConfig::default();
         Self {
             registry: Mutex::new(KeyRegistry::new(config, own, now)),
-            waiting: Mutex::default(),
-            unheard: Mutex::default(),
+            pending_claims: Mutex::default(),
+            unacknowledged: Mutex::default(),
             next_claim: AtomicU64::new(0),
             had_daemons: OnceCell::new(),
         }
@@ -80,37 +81,43 @@
         self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn waiting(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<KeyVerdict>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn pending_claims(
+        &self,
+    ) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<KeyVerdict>>> {
+        self.pending_claims
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn unheard(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<()>>> {
-        self.unheard.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn unacknowledged(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<()>>> {
+        self.unacknowledged
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A home has heard how a call ended.
-    pub(crate) fn on_end_heard(&self, claim: u64) {
-        if let Some(unheard) = self.unheard().remove(&claim) {
-            // Who told it may have given up.
-            let _ = unheard.send(());
+    /// Handles a home's acknowledgement of the end of a call.
+    pub(crate) fn on_end_acknowledged(&self, claim: u64) {
+        if let Some(unacknowledged) = self.unacknowledged().remove(&claim) {
+            // The task that reported the end may have timed out.
+            let _ = unacknowledged.send(());
         }
     }
 
-    /// A daemon was lost.
+    /// Records that a daemon was lost.
     pub fn member_lost(&self, now: TimeMs, vm: &VmId) {
         self.registry().member_lost(now, vm);
     }
 
-    /// The platform's list came.
+    /// Records the VMs of this data centre on the platform's list.
     pub fn listed(&self, now: TimeMs, listed: &[VmId]) {
         self.registry().listed(now, listed);
     }
 
-    /// A home has answered.
+    /// Handles a home's answer to a claim.
     pub(crate) fn on_verdict(&self, verdict: &KeyVerdict) {
-        if let Some(waiting) = self.waiting().remove(&verdict.claim) {
-            // Who asked may have given up.
-            let _ = waiting.send(verdict.clone());
+        if let Some(pending_claims) = self.pending_claims().remove(&verdict.claim) {
+            // The task that sent the claim may have timed out.
+            let _ = pending_claims.send(verdict.clone());
         }
     }
 }
--- a/src/modules/serve/keys/mod.rs
+++ b/src/modules/serve/keys/mod.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys: the home of a key says whether its call may run.
+//! Idempotency keys: the home of a key decides whether its call may run.
 
 pub(crate) mod claims;
 pub(crate) mod ends;
--- a/src/modules/serve/observation/burn.rs
+++ b/src/modules/serve/observation/burn.rs
@@ -91,8 +91,8 @@
     histogram: Histogram<u64>,
 }
 
-/// The longest time to first token that is counted apart: ten minutes. Chosen because no caller waits longer
-/// than ten minutes.
+/// The longest time to first token that is counted apart: ten minutes. Chosen because no caller
+/// waits longer than ten minutes.
 const MAX_FIRST_TOKEN_MS: u64 = 600_000;
 /// Significant digits of first-token times. Chosen because percentiles are shown with two digits.
 const DIGITS: u8 = 2;
--- a/src/modules/serve/operators/rows.rs
+++ b/src/modules/serve/operators/rows.rs
@@ -130,7 +130,7 @@
             .with("in_progress", context.leaving.in_progress())
             .with("config_version", version.0)
             .with("highest_version", highest.0)
-            .with("platform_away", context.replica.is_platform_away())
+            .with("platform_away", context.replica.is_platform_unavailable())
             .with("live_members", context.members.live().live.len())
             .with("incarnation", context.incarnation.0),
     ]
--- a/src/modules/serve/peers/frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -81,7 +81,7 @@
         Body::KeyClaim(claim) => claims::on_claim(context, peer, link, claim),
         Body::KeyVerdict(verdict) => context.keys.on_verdict(&verdict),
         Body::KeyEnded(ended) => ends::on_ended(context, link, &ended),
-        Body::KeyEndedHeard(heard) => context.keys.on_end_heard(heard.claim),
+        Body::KeyEndedHeard(heard) => context.keys.on_end_acknowledged(heard.claim),
         Body::Query(query) => fan_out::on_query(context, link, query),
         Body::QueryAnswer(answer) => context.queries.on_answer(peer, answer),
         // Between gateways only.
--- a/src/modules/serve/requests/attempt_reports.rs
+++ b/src/modules/serve/requests/attempt_reports.rs
@@ -1,50 +1,50 @@
-//! When an attempt reports its progress to its pool.
+//! Decides when an attempt reports its progress to its pool.
 
 use crate::configs::serving::ServingConfig;
 use crate::modules::serve::pools::messages::PoolReport;
 use bridgevane_types::{AttemptNumber, TimeMs, Tokens};
 
-/// What an attempt has reported to its pool.
-pub(crate) struct Reported {
-    started_at: u64,
-    tokens: u64,
-    at: TimeMs,
-    token_at: TimeMs,
+/// The progress that an attempt has reported to its pool so far.
+pub(crate) struct ProgressReporter {
+    tokens_at_start: u64,
+    reported_tokens: u64,
+    reported_at: TimeMs,
+    last_token_at: TimeMs,
 }
 
-impl Reported {
-    /// An attempt that starts with so many tokens delivered.
+impl ProgressReporter {
+    /// Creates the reporter of an attempt that starts with `delivered` tokens.
     pub(crate) fn new(delivered: u64, now: TimeMs) -> Self {
         Self {
-            started_at: delivered,
-            tokens: delivered,
-            at: now,
-            token_at: now,
+            tokens_at_start: delivered,
+            reported_tokens: delivered,
+            reported_at: now,
+            last_token_at: now,
         }
     }
 
-    /// The report that is due after a token, if any.
-    pub(crate) fn next(
+    /// Returns the report that is due after a token, if any.
+    pub(crate) fn next_report(
         &mut self,
         serving: &ServingConfig,
         attempt: AttemptNumber,
         delivered: u64,
         now: TimeMs,
     ) -> Option<PoolReport> {
-        let gap_ms = now.since(self.token_at);
-        self.token_at = now;
-        if delivered == self.started_at + 1 {
-            self.at = now;
+        let gap_ms = now.since(self.last_token_at);
+        self.last_token_at = now;
+        if delivered == self.tokens_at_start + 1 {
+            self.reported_at = now;
             return Some(PoolReport::FirstToken(attempt));
         }
-        let is_due = delivered >= self.tokens + serving.progress_tokens
-            || now.since(self.at) >= serving.progress_ms
+        let is_due = delivered >= self.reported_tokens + serving.progress_tokens
+            || now.since(self.reported_at) >= serving.progress_ms
             || gap_ms >= serving.slow_gap_ms;
         if !is_due {
             return None;
         }
-        self.tokens = delivered;
-        self.at = now;
+        self.reported_tokens = delivered;
+        self.reported_at = now;
         Some(PoolReport::Progress(attempt, Tokens(delivered), gap_ms))
     }
 }
--- a/src/modules/serve/requests/caller.rs
+++ b/src/modules/serve/requests/caller.rs
@@ -1,4 +1,4 @@
-//! Who calls: the customer behind a bearer key, under the configuration in force.
+//! Identifies the caller of a request: the customer whose bearer key it sends.
 
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::context::Context;
@@ -12,10 +12,10 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use std::sync::Arc;
 
-/// Names the request kind.
+/// The request header that names the request kind.
 const KIND_HEADER: &str = "x-bridgevane-kind";
 
-/// Who calls, under which configuration.
+/// The identified caller of a request, and the configuration that applies to the request.
 pub(crate) struct Caller {
     pub(crate) request: RequestId,
     pub(crate) in_force: Arc<InForce>,
@@ -23,7 +23,7 @@
     pub(crate) default_kind: KindName,
 }
 
-/// Checks that the VM takes work and that the key is a customer's.
+/// Checks that the VM accepts requests and that the bearer key belongs to a customer.
 pub(crate) fn identify(context: &Context, headers: &HeaderMap) -> Result<Caller, CallerRefusal> {
     let request = context.new_request_id();
     if context.leaving.is_leaving() {
@@ -45,7 +45,7 @@
     };
     let key = headers
         .get(header::AUTHORIZATION)
-        // A header that is no text holds no key, and is refused as such.
+        // A header that isn't visible ASCII holds no key: the request is refused as unknown key.
         .and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
     let known = key.and_then(|key| in_force.customer_of_key(key));
     let Some((customer, config)) = known else {
@@ -61,7 +61,7 @@
     })
 }
 
-/// Reads a bounded body in bounded time.
+/// Reads the request body, limited in size and time by the settings.
 pub(crate) async fn read_body(
     context: &Context,
     request: RequestId,
@@ -84,13 +84,16 @@
 }
 
 impl Caller {
-    /// The answer to a request that is at fault.
-    pub(crate) fn bad(&self, bad: BadRequest) -> CallerRefusal {
+    /// Returns the refusal of an invalid request.
+    pub(crate) fn bad_request(&self, bad: BadRequest) -> CallerRefusal {
         CallerRefusal::bad_request(self.request, bad)
     }
 
-    /// The kind that the header names, or the customer's default one, with its class.
-    pub(crate) fn kind(&self, headers: &HeaderMap) -> Result<(KindName, ClassName), CallerRefusal> {
+    /// Returns the request kind, from the header or the customer's default, and its class.
+    pub(crate) fn kind_and_class(
+        &self,
+        headers: &HeaderMap,
+    ) -> Result<(KindName, ClassName), CallerRefusal> {
         let named = headers
             .get(KIND_HEADER)
             .and_then(|value| value.to_str().ok());
@@ -100,13 +103,13 @@
             |customers: &[CustomerId]| customers.is_empty() || customers.contains(&self.customer);
         match config.filter(|config| is_allowed(&config.customers)) {
             Some(config) => Ok((kind, config.class.clone())),
-            None => Err(self.bad(BadRequest::KindNotAllowed)),
+            None => Err(self.bad_request(BadRequest::KindNotAllowed)),
         }
     }
 
-    /// The class's configuration.
-    pub(crate) fn class(&self, class: &ClassName) -> Result<&ClassConfig, CallerRefusal> {
+    /// Returns the configuration of `class`.
+    pub(crate) fn class_config(&self, class: &ClassName) -> Result<&ClassConfig, CallerRefusal> {
         let config = self.in_force.document.class.get(class);
-        config.ok_or_else(|| self.bad(BadRequest::KindNotAllowed))
+        config.ok_or_else(|| self.bad_request(BadRequest::KindNotAllowed))
     }
 }
--- a/src/modules/serve/requests/callers.rs
+++ b/src/modules/serve/requests/callers.rs
@@ -1,9 +1,9 @@
-//! The callers' HTTP interface: its routes, and the short ones among them.
+//! The routes of the callers' HTTP interface, and the handlers of the short ones.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::requests::caller::identify;
-use crate::modules::serve::requests::chat_format::Shape;
-use crate::modules::serve::requests::model_answer::{stream_answer, whole_answer};
+use crate::modules::serve::requests::chat_format::ModelApi;
+use crate::modules::serve::requests::model_answer::{json_answer, stream_answer};
 use crate::modules::serve::requests::model_call::start_model;
 use crate::modules::serve::requests::plain_call::answer_plain;
 use axum::extract::{Path, Request, State};
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-/// The callers' routes.
+/// Returns the router of the callers' HTTP interface.
 pub fn router(context: Arc<Context>) -> Router {
     Router::new()
         .route("/v1/chat/completions", post(chat))
@@ -43,19 +43,19 @@
 }
 
 async fn chat(State(context): State<Arc<Context>>, request: Request) -> Response {
-    answer_model(context, Shape::Chat, request).await
+    answer_model(context, ModelApi::Chat, request).await
 }
 
 async fn completion(State(context): State<Arc<Context>>, request: Request) -> Response {
-    answer_model(context, Shape::Completion, request).await
+    answer_model(context, ModelApi::Completion, request).await
 }
 
-async fn answer_model(context: Arc<Context>, shape: Shape, request: Request) -> Response {
-    match start_model(&context, shape, request).await {
+async fn answer_model(context: Arc<Context>, api: ModelApi, request: Request) -> Response {
+    match start_model(&context, api, request).await {
         Ok((format, call, answers)) if call.is_streaming() => {
             stream_answer(format, call.includes_usage(), answers).await
         }
-        Ok((format, _, answers)) => whole_answer(format, answers).await,
+        Ok((format, _, answers)) => json_answer(format, answers).await,
         Err(refusal) => refusal.into_response(),
     }
 }
--- a/src/modules/serve/requests/chat_format.rs
+++ b/src/modules/serve/requests/chat_format.rs
@@ -1,31 +1,31 @@
-//! The OpenAI-style shapes of model calls and answers.
+//! The OpenAI-style JSON formats of model calls and answers.
 
 use bridgevane_adapters::EndReason;
 use bridgevane_types::{ModelName, RequestId, Tokens};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Which of the two calls it is.
+/// The API that a model call uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Shape {
+pub(crate) enum ModelApi {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
     Completion,
 }
 
-/// The fields of a call that the router reads. Others are ignored.
+/// The fields of a model call that the router reads. Other fields are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct ModelCall {
-    /// The model.
+    /// The requested model.
     pub model: ModelName,
-    /// Chat messages.
+    /// The messages of a chat completion.
     #[serde(default)]
     messages: Vec<Message>,
-    /// Prompt of a completion.
+    /// The prompt of a completion.
     #[serde(default)]
     prompt: Option<Value>,
-    /// Whether pieces are sent as they come.
+    /// Whether the answer is streamed; absent: no.
     #[serde(default)]
     pub stream: Option<bool>,
     #[serde(default)]
@@ -49,55 +49,55 @@
     content: Value,
 }
 
-/// The text of a content, which is a string or a list of parts.
-fn text_of(content: &Value) -> String {
+/// Returns the text of a message content, which is a string or a list of parts.
+fn text_in(content: &Value) -> String {
     match content {
         Value::String(text) => text.clone(),
         Value::Array(parts) => parts
             .iter()
-            .map(|part| part.get("text").map_or_else(|| text_of(part), text_of))
+            .map(|part| part.get("text").map_or_else(|| text_in(part), text_in))
             .collect(),
         _ => String::new(),
     }
 }
 
 impl ModelCall {
-    /// Reads a body; none when it isn't such a call.
-    pub fn parse(shape: Shape, body: &[u8]) -> Option<Self> {
+    /// Parses a request body; `None` when it isn't a call of this API.
+    pub fn parse(api: ModelApi, body: &[u8]) -> Option<Self> {
         let call: Self = serde_json::from_slice(body).ok()?;
-        let has_input = match shape {
-            Shape::Chat => !call.messages.is_empty(),
-            Shape::Completion => call.prompt.is_some(),
+        let has_input = match api {
+            ModelApi::Chat => !call.messages.is_empty(),
+            ModelApi::Completion => call.prompt.is_some(),
         };
         has_input.then_some(call)
     }
 
-    /// The prompt as one text.
-    pub(crate) fn prompt_text(&self, shape: Shape) -> String {
-        match shape {
-            // A completion without a prompt begins from nothing, as the API allows.
-            Shape::Completion => self.prompt.as_ref().map(text_of).unwrap_or_default(),
-            Shape::Chat => {
+    /// Returns the prompt as one text.
+    pub(crate) fn prompt_text(&self, api: ModelApi) -> String {
+        match api {
+            // A completion without a prompt has an empty one, as the API allows.
+            ModelApi::Completion => self.prompt.as_ref().map(text_in).unwrap_or_default(),
+            ModelApi::Chat => {
                 let line = |message: &Message| {
-                    format!("{}: {}\n", message.role, text_of(&message.content))
+                    format!("{}: {}\n", message.role, text_in(&message.content))
                 };
                 self.messages.iter().map(line).collect()
             }
         }
     }
 
-    /// The longest answer that the caller asks for.
+    /// Returns the maximum length of the answer, by default `default_tokens`.
     pub fn max_tokens(&self, default_tokens: u64) -> Tokens {
-        let asked = self.max_completion_tokens.or(self.max_tokens);
-        Tokens(asked.unwrap_or(default_tokens).max(1))
+        let requested = self.max_completion_tokens.or(self.max_tokens);
+        Tokens(requested.unwrap_or(default_tokens).max(1))
     }
 
-    /// Whether pieces are sent as they come.
+    /// Whether the answer is streamed.
     pub(crate) fn is_streaming(&self) -> bool {
         self.stream.unwrap_or(false)
     }
 
-    /// Whether a streamed answer ends with its usage.
+    /// Whether a streamed answer ends with a usage chunk.
     pub(crate) fn includes_usage(&self) -> bool {
         self.stream_options
             .as_ref()
@@ -105,34 +105,34 @@
     }
 }
 
-/// Writes answers of one call.
+/// Formats the answers to one model call.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerFormat {
-    /// The call's shape.
-    pub shape: Shape,
-    /// The request.
+    /// The API of the call.
+    pub api: ModelApi,
+    /// The request's id, sent as the answer's `id`.
     pub request: RequestId,
-    /// The model.
+    /// The model's name as the caller sent it.
     pub model: ModelName,
-    /// Seconds since 1970.
+    /// Creation time of the answer, in seconds since 1970.
     pub created_s: u64,
-    /// Tokens of the prompt.
+    /// The prompt's length.
     pub prompt_tokens: Tokens,
 }
 
 impl AnswerFormat {
-    fn object(&self, is_piece: bool) -> &'static str {
-        match (self.shape, is_piece) {
-            (Shape::Chat, true) => "chat.completion.chunk",
-            (Shape::Chat, false) => "chat.completion",
-            (Shape::Completion, _) => "text_completion",
+    fn object(&self, is_chunk: bool) -> &'static str {
+        match (self.api, is_chunk) {
+            (ModelApi::Chat, true) => "chat.completion.chunk",
+            (ModelApi::Chat, false) => "chat.completion",
+            (ModelApi::Completion, _) => "text_completion",
         }
     }
 
-    fn envelope(&self, is_piece: bool, choices: Value) -> Value {
+    fn envelope(&self, is_chunk: bool, choices: Value) -> Value {
         json!({
             "id": self.request.to_string(),
-            "object": self.object(is_piece),
+            "object": self.object(is_chunk),
             "created": self.created_s,
             "model": self.model,
             "choices": choices,
@@ -147,50 +147,50 @@
         })
     }
 
-    /// One piece of a streamed answer.
-    pub fn piece(&self, text: &str, is_first: bool) -> Value {
-        let choice = match self.shape {
-            Shape::Chat if is_first => {
+    /// Returns one chunk of a streamed answer.
+    pub fn chunk(&self, text: &str, is_first: bool) -> Value {
+        let choice = match self.api {
+            ModelApi::Chat if is_first => {
                 json!({ "index": 0, "delta": { "role": "assistant", "content": text }, "finish_reason": null })
             }
-            Shape::Chat => {
+            ModelApi::Chat => {
                 json!({ "index": 0, "delta": { "content": text }, "finish_reason": null })
             }
-            Shape::Completion => json!({ "index": 0, "text": text, "finish_reason": null }),
+            ModelApi::Completion => json!({ "index": 0, "text": text, "finish_reason": null }),
         };
         self.envelope(true, json!([choice]))
     }
 
-    /// The last piece of a streamed answer.
-    pub(crate) fn last_piece(&self, reason: EndReason) -> Value {
+    /// Returns the chunk of a streamed answer that carries the finish reason.
+    pub(crate) fn finish_chunk(&self, reason: EndReason) -> Value {
         let reason = reason.to_string();
-        let choice = match self.shape {
-            Shape::Chat => json!({ "index": 0, "delta": {}, "finish_reason": reason }),
-            Shape::Completion => json!({ "index": 0, "text": "", "finish_reason": reason }),
+        let choice = match self.api {
+            ModelApi::Chat => json!({ "index": 0, "delta": {}, "finish_reason": reason }),
+            ModelApi::Completion => json!({ "index": 0, "text": "", "finish_reason": reason }),
         };
         self.envelope(true, json!([choice]))
     }
 
-    /// The usage at the end of a streamed answer.
-    pub(crate) fn usage_piece(&self, tokens: Tokens) -> Value {
-        let mut piece = self.envelope(true, json!([]));
-        piece["usage"] = self.usage(tokens);
-        piece
+    /// Returns the usage chunk at the end of a streamed answer.
+    pub(crate) fn usage_chunk(&self, tokens: Tokens) -> Value {
+        let mut chunk = self.envelope(true, json!([]));
+        chunk["usage"] = self.usage(tokens);
+        chunk
     }
 
-    /// A whole answer.
-    pub fn whole(&self, text: &str, reason: EndReason, tokens: Tokens) -> Value {
+    /// Returns the complete answer of a call that isn't streamed.
+    pub fn complete_answer(&self, text: &str, reason: EndReason, tokens: Tokens) -> Value {
         let reason = reason.to_string();
-        let choice = match self.shape {
-            Shape::Chat => json!({
+        let choice = match self.api {
+            ModelApi::Chat => json!({
                 "index": 0,
                 "message": { "role": "assistant", "content": text },
                 "finish_reason": reason,
             }),
-            Shape::Completion => json!({ "index": 0, "text": text, "finish_reason": reason }),
+            ModelApi::Completion => json!({ "index": 0, "text": text, "finish_reason": reason }),
         };
-        let mut whole = self.envelope(false, json!([choice]));
-        whole["usage"] = self.usage(tokens);
-        whole
+        let mut answer = self.envelope(false, json!([choice]));
+        answer["usage"] = self.usage(tokens);
+        answer
     }
 }
--- a/src/modules/serve/requests/engine_state.rs
+++ b/src/modules/serve/requests/engine_state.rs
@@ -1,8 +1,8 @@
-//! When an attempt broke off: has its engine ended?
+//! Checks after a lost attempt whether its engine has crashed.
 //!
-//! A broken stream may be a lost connection; an engine that takes no new one has ended. The attempt's
-//! report waits for the answer, which costs a lost attempt one round trip, so that the pool knows
-//! what a request does to engines before it sends the request to the next one.
+//! A broken stream may be a lost connection; an engine that refuses new connections has crashed.
+//! The attempt's report waits for this check, which costs a lost attempt one round trip, so that
+//! the pool knows whether a request crashes engines before it sends the request to the next one.
 
 use crate::modules::serve::pools::endpoint_link::EndpointLink;
 use bridgevane_adapters::{EngineCallError, ModelEngine, PlainCallError, PlainService};
@@ -10,64 +10,64 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How long the question may take. Not measured, chosen because an engine that has ended refuses after
-/// one round trip; silence proves nothing.
+/// The time limit of the check: a crashed engine refuses connections after one round trip, and
+/// silence proves nothing.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// The pause before an engine whose answer broke off is asked again. Not measured by itself: an engine
-/// that ends closes its connections one after the other, and asked once it was taken for alive in one of
-/// four runs of the test.
-const ASK_AGAIN: Duration = Duration::from_millis(20);
+/// The pause before an engine whose answer was cut is checked again. A crashing engine closes its
+/// connections one after the other: with a single check it was considered alive in one of four runs
+/// of the test.
+const RECHECK_PAUSE: Duration = Duration::from_millis(20);
 
-/// The end of an attempt at a model engine, with what became of the engine.
-pub(super) async fn with_state_of_model(engine: &EndpointLink, end: AttemptEnd) -> AttemptEnd {
-    with_state(end, || async {
+/// Returns `end`, changed to a crash of the model engine if the check shows one.
+pub(super) async fn with_model_engine_state(engine: &EndpointLink, end: AttemptEnd) -> AttemptEnd {
+    with_engine_state(end, || async {
         match engine.model.load().await {
             Ok(_) | Err(EngineCallError::Unavailable) => EngineState::Alive,
-            Err(EngineCallError::NotReached) => EngineState::Ended,
+            Err(EngineCallError::NotReached) => EngineState::Crashed,
             Err(_) => EngineState::Unclear,
         }
     })
     .await
 }
 
-/// The end of an attempt at a plain service, with what became of its worker.
-pub(super) async fn with_state_of_plain(worker: &EndpointLink, end: AttemptEnd) -> AttemptEnd {
-    with_state(end, || async {
+/// Returns `end`, changed to a crash of the plain service's worker if the check shows one.
+pub(super) async fn with_plain_worker_state(worker: &EndpointLink, end: AttemptEnd) -> AttemptEnd {
+    with_engine_state(end, || async {
         match worker.plain.load().await {
             Ok(_) => EngineState::Alive,
-            Err(PlainCallError::NotReached) => EngineState::Ended,
+            Err(PlainCallError::NotReached) => EngineState::Crashed,
             Err(PlainCallError::Unknown) => EngineState::Unclear,
         }
     })
     .await
 }
 
-/// What one question to an engine says of it.
+/// The result of one check of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EngineState {
     Alive,
-    Ended,
-    /// The answer broke off.
+    Crashed,
+    /// The engine's answer was cut.
     Unclear,
 }
 
-async fn with_state<F>(end: AttemptEnd, ask: impl Fn() -> F) -> AttemptEnd
+async fn with_engine_state<F>(end: AttemptEnd, check: impl Fn() -> F) -> AttemptEnd
 where
     F: Future<Output = EngineState>,
 {
     let AttemptEnd::Lost { delivered } = end else {
         return end;
     };
-    let asking = async {
+    let checking = async {
         loop {
-            match ask().await {
-                EngineState::Unclear => sleep(ASK_AGAIN).await,
+            match check().await {
+                EngineState::Unclear => sleep(RECHECK_PAUSE).await,
                 state => return state,
             }
         }
     };
-    match timeout(CHECK_TIMEOUT, asking).await {
-        Ok(EngineState::Ended) => AttemptEnd::EngineEnded { delivered },
+    match timeout(CHECK_TIMEOUT, checking).await {
+        Ok(EngineState::Crashed) => AttemptEnd::EngineEnded { delivered },
         _ => end,
     }
 }
--- a/src/modules/serve/requests/mod.rs
+++ b/src/modules/serve/requests/mod.rs
@@ -1,4 +1,4 @@
-//! What callers send and read: one request's way from its HTTP call to its answer.
+//! The callers' HTTP interface: the path of a request from its HTTP call to its answer.
 
 pub(crate) mod attempt_reports;
 pub(crate) mod caller;
--- a/src/modules/serve/requests/model_answer.rs
+++ b/src/modules/serve/requests/model_answer.rs
@@ -1,4 +1,4 @@
-//! The answer of a model call as its caller reads it: one JSON object, or server-sent events.
+//! The HTTP answer of a model call: one JSON object, or server-sent events.
 
 use crate::modules::serve::requests::chat_format::AnswerFormat;
 use crate::modules::serve::requests::model_request::CallerEvent;
@@ -13,19 +13,20 @@
 use std::convert::Infallible;
 use tokio::sync::mpsc;
 
-/// A whole answer in one JSON object.
-pub(super) async fn whole_answer(
+/// Collects the complete answer and returns it as one JSON object.
+pub(super) async fn json_answer(
     format: AnswerFormat,
     mut answers: mpsc::Receiver<CallerEvent>,
 ) -> Response {
     let mut text = String::new();
     while let Some(event) = answers.recv().await {
         match event {
-            CallerEvent::Text(piece) => text.push_str(&piece),
+            CallerEvent::Text(chunk) => text.push_str(&chunk),
             CallerEvent::End(reason, tokens) => {
                 let id = header_value(&format.request.to_string());
                 let headers = [("x-request-id", id)];
-                return (headers, Json(format.whole(&text, reason, tokens))).into_response();
+                return (headers, Json(format.complete_answer(&text, reason, tokens)))
+                    .into_response();
             }
             CallerEvent::Refused(refusal) => return refusal.into_response(),
         }
@@ -34,8 +35,8 @@
     CallerRefusal::refused(format.request, code, Outcome::Unknown, None).into_response()
 }
 
-/// An answer as server-sent events. The status waits for the first event, so that a refusal
-/// has a status of its own.
+/// Returns the answer as server-sent events. The HTTP status waits for the first event, so that a
+/// refusal is sent with its own status.
 pub(super) async fn stream_answer(
     format: AnswerFormat,
     includes_usage: bool,
@@ -59,12 +60,12 @@
     (headers, Body::from_stream(events)).into_response()
 }
 
-/// Pieces that are sent to the caller in one write at most. Not measured, chosen because it bounds
-/// the memory of one connection.
+/// The maximum number of chunks that are sent to the caller in one write. It bounds the memory of
+/// one connection.
 const MAX_BATCH: usize = 64;
 
-/// Whatever is ready goes out in one write: a caller that reads slower than the engine writes
-/// costs no write a token.
+/// Encodes the events as a byte stream. All events that are ready go out in one write: a caller
+/// that reads more slowly than the engine generates doesn't cost one write per token.
 fn stream_events(
     format: AnswerFormat,
     includes_usage: bool,
@@ -102,27 +103,27 @@
     is_first: bool,
 ) -> String {
     match event {
-        CallerEvent::Text(text) => data(&format.piece(&text, is_first)),
-        CallerEvent::End(reason, tokens) => last_events(format, includes_usage, reason, tokens),
-        // The answer has begun: the error comes in its place, and no `[DONE]` follows.
-        CallerEvent::Refused(refusal) => data(&refusal.error_object()),
+        CallerEvent::Text(text) => sse_event(&format.chunk(&text, is_first)),
+        CallerEvent::End(reason, tokens) => final_events(format, includes_usage, reason, tokens),
+        // The answer has begun: an error event replaces the rest, and no `[DONE]` follows.
+        CallerEvent::Refused(refusal) => sse_event(&refusal.error_object()),
     }
 }
 
-fn last_events(
+fn final_events(
     format: &AnswerFormat,
     includes_usage: bool,
     reason: EndReason,
     tokens: Tokens,
 ) -> String {
-    let mut text = data(&format.last_piece(reason));
+    let mut text = sse_event(&format.finish_chunk(reason));
     if includes_usage {
-        text.push_str(&data(&format.usage_piece(tokens)));
+        text.push_str(&sse_event(&format.usage_chunk(tokens)));
     }
     text.push_str("data: [DONE]\n\n");
     text
 }
 
-fn data(value: &Value) -> String {
+fn sse_event(value: &Value) -> String {
     format!("data: {value}\n\n")
 }
--- a/src/modules/serve/requests/model_attempt.rs
+++ b/src/modules/serve/requests/model_attempt.rs
@@ -1,12 +1,12 @@
-//! One attempt of a model request: its call of an engine, and the pieces that come back.
+//! One attempt of a model request: the call of an engine, and the chunks of its answer.
 //!
-//! A piece is delivered only if it belongs to this request and the running attempt and continues
-//! exactly where the caller's text ends; late, repeated and crossed pieces are dropped, a gap ends
-//! the attempt.
+//! A chunk is delivered only if it belongs to this request and the running attempt and continues
+//! exactly where the delivered text ends. Late and repeated chunks and those of another request or
+//! attempt are dropped; a gap ends the attempt.
 
-use crate::modules::serve::requests::attempt_reports::Reported;
+use crate::modules::serve::requests::attempt_reports::ProgressReporter;
 use crate::modules::serve::requests::model_request::{
-    AttemptResult, CallerEvent, EngineAttempt, Runner,
+    AttemptResult, CallerEvent, EngineAttempt, RequestRunner,
 };
 use bridgevane_adapters::{EngineCallError, GenerateCall, ModelEngine, Piece, PieceEvent};
 use bridgevane_decisions::AttemptEnd;
@@ -15,17 +15,17 @@
 use futures_util::StreamExt;
 use tokio::time::timeout;
 
-impl Runner {
-    /// The attempt's number towards engines. It counts all attempts of the request; a pool that
-    /// took the request over counts its own.
-    pub(super) fn own_attempt(&self) -> AttemptNumber {
+impl RequestRunner {
+    /// Returns the attempt's number as engines see it. It counts all attempts of the request; a
+    /// pool that took the request over counts only its own.
+    pub(super) fn engine_attempt_number(&self) -> AttemptNumber {
         AttemptNumber(self.attempts.saturating_sub(1))
     }
 
-    fn call(&self, attempt: &EngineAttempt) -> GenerateCall {
+    fn generate_call(&self, attempt: &EngineAttempt) -> GenerateCall {
         GenerateCall {
             request: self.id(),
-            attempt: self.own_attempt(),
+            attempt: self.engine_attempt_number(),
             priority: attempt.priority,
             model: self.request.model.clone(),
             prompt: self.request.prompt.clone(),
@@ -37,33 +37,33 @@
 
     pub(super) async fn stream_attempt(&mut self, attempt: &EngineAttempt) -> AttemptResult {
         let engine = attempt.engine.model.clone();
-        let starting = engine.generate(self.call(attempt));
+        let starting = engine.generate(self.generate_call(attempt));
         tokio::pin!(starting);
-        let mut pieces = loop {
+        let mut chunks = loop {
             tokio::select! {
                 started = &mut starting => match started {
-                    Ok(pieces) => {
+                    Ok(chunks) => {
                         self.has_run = true;
-                        break pieces;
+                        break chunks;
                     }
-                    Err(error) => return AttemptResult::Failed(self.failed_start(error)),
+                    Err(error) => return AttemptResult::Failed(self.end_of_failed_start(error)),
                 },
-                order = self.orders.recv() => if let Some(result) = self.obey(attempt, order) {
+                order = self.orders.recv() => if let Some(result) = self.on_order(attempt, order) {
                     return result;
                 },
                 () = self.caller.closed() => return AttemptResult::CallerGone,
             }
         };
-        let mut reported = Reported::new(self.delivered, self.context.now());
+        let mut reporter = ProgressReporter::new(self.delivered, self.context.now());
         loop {
             tokio::select! {
-                piece = pieces.next() => {
-                    let result = self.take(attempt, piece, &mut reported).await;
+                chunk = chunks.next() => {
+                    let result = self.on_chunk(attempt, chunk, &mut reporter).await;
                     if let Some(result) = result {
                         return result;
                     }
                 }
-                order = self.orders.recv() => if let Some(result) = self.obey(attempt, order) {
+                order = self.orders.recv() => if let Some(result) = self.on_order(attempt, order) {
                     return result;
                 },
                 () = self.caller.closed() => return AttemptResult::CallerGone,
@@ -71,7 +71,7 @@
         }
     }
 
-    fn failed_start(&self, error: EngineCallError) -> AttemptEnd {
+    fn end_of_failed_start(&self, error: EngineCallError) -> AttemptEnd {
         match error {
             EngineCallError::NotReached => AttemptEnd::NotReached,
             EngineCallError::Unavailable => AttemptEnd::Unavailable,
@@ -82,30 +82,30 @@
         }
     }
 
-    /// Takes what came from the engine; some result when the attempt is over.
-    async fn take(
+    /// Processes the next item of the engine's stream; `Some` when the attempt is over.
+    async fn on_chunk(
         &mut self,
         attempt: &EngineAttempt,
-        piece: Option<Result<Piece, EngineCallError>>,
-        reported: &mut Reported,
+        chunk: Option<Result<Piece, EngineCallError>>,
+        reporter: &mut ProgressReporter,
     ) -> Option<AttemptResult> {
         let lost = AttemptEnd::Lost {
             delivered: Tokens(self.delivered),
         };
-        let Some(Ok(piece)) = piece else {
+        let Some(Ok(chunk)) = chunk else {
             return Some(AttemptResult::Failed(lost));
         };
-        if piece.request != self.id() || piece.attempt != self.own_attempt() {
+        if chunk.request != self.id() || chunk.attempt != self.engine_attempt_number() {
             event!(Event::PieceDropped, request = self.id(), cause = "crossed");
             return None;
         }
-        match piece.event {
-            PieceEvent::Token(_) if piece.offset.0 < self.delivered => {
+        match chunk.event {
+            PieceEvent::Token(_) if chunk.offset.0 < self.delivered => {
                 event!(Event::PieceDropped, request = self.id(), cause = "repeated");
                 None
             }
-            _ if piece.offset.0 > self.delivered => Some(AttemptResult::Failed(lost)),
-            PieceEvent::Token(text) => self.deliver(attempt, text, reported).await,
+            _ if chunk.offset.0 > self.delivered => Some(AttemptResult::Failed(lost)),
+            PieceEvent::Token(text) => self.deliver(attempt, text, reporter).await,
             PieceEvent::End(reason) => Some(AttemptResult::Done(reason)),
         }
     }
@@ -114,11 +114,11 @@
         &mut self,
         attempt: &EngineAttempt,
         text: String,
-        reported: &mut Reported,
+        reporter: &mut ProgressReporter,
     ) -> Option<AttemptResult> {
         self.delivered += 1;
         self.delivered_text.push_str(&text);
-        if !self.send(CallerEvent::Text(text)).await {
+        if !self.send_to_caller(CallerEvent::Text(text)).await {
             return Some(AttemptResult::CallerGone);
         }
         let now = self.context.now();
@@ -127,7 +127,7 @@
             let seconds = now.since(self.arrived_at).0 as f64 / 1000.0;
             self.context.metrics.first_token(self.class(), seconds);
         }
-        let report = reported.next(
+        let report = reporter.next_report(
             &self.context.config.serving,
             attempt.number,
             self.delivered,
@@ -139,8 +139,8 @@
         None
     }
 
-    /// Sends to the caller; false when it is gone or reads nothing.
-    pub(super) async fn send(&self, event: CallerEvent) -> bool {
+    /// Sends an event to the caller; false when the caller is gone or doesn't read in time.
+    pub(super) async fn send_to_caller(&self, event: CallerEvent) -> bool {
         let limit = self.context.config.serving.slow_reader_timeout_ms.as_std();
         match timeout(limit, self.caller.send(event)).await {
             Ok(sent) => sent.is_ok(),
@@ -151,12 +151,12 @@
         }
     }
 
-    /// Cancels at the engine without waiting: a dead engine needs no cancelling.
+    /// Cancels the attempt at the engine, without waiting for the engine's answer.
     pub(super) fn cancel_at_engine(&self, attempt: &EngineAttempt) {
         let engine = attempt.engine.model.clone();
-        let (request, number) = (self.id(), self.own_attempt());
+        let (request, number) = (self.id(), self.engine_attempt_number());
         tokio::spawn(async move {
-            // An engine that can't be reached runs nothing that could be cancelled.
+            // A failed cancellation is ignored: an unreachable engine has nothing to cancel.
             let _ = engine.cancel(request, number).await;
         });
     }
--- a/src/modules/serve/requests/model_call.rs
+++ b/src/modules/serve/requests/model_call.rs
@@ -1,9 +1,9 @@
-//! A model call, from its HTTP request to the task that runs it.
+//! Checks a model call and starts the task that runs it.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::pools::messages::NamedOffer;
 use crate::modules::serve::requests::caller::{identify, read_body};
-use crate::modules::serve::requests::chat_format::{AnswerFormat, ModelCall, Shape};
+use crate::modules::serve::requests::chat_format::{AnswerFormat, ModelApi, ModelCall};
 use crate::modules::serve::requests::model_request::{self, CallerEvent, ModelRequest};
 use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal};
 use crate::modules::serve::requests::targets::Targets;
@@ -14,22 +14,22 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Characters that count as one prompt token before the engine has counted. Not measured, chosen
-/// because it is the usual rule of thumb for English text; engines count exactly.
+/// The number of characters that is estimated as one prompt token: the usual rule of thumb for
+/// English text. Engines count exactly.
 const CHARS_PER_TOKEN: u64 = 4;
-/// Characters of a prefix block, as the engines cut prompts. Chosen because it is 16 tokens of 4
-/// characters.
+/// The number of characters in a prefix block: 16 tokens of 4 characters, as the engines split
+/// prompts.
 const BLOCK_CHARS: usize = 64;
-/// Prompt tokens of a prefix block. From the engines' usual block size.
+/// The number of prompt tokens in a prefix block: the engines' usual block size.
 const BLOCK_TOKENS: u32 = 16;
-/// Blocks that are sent with an offer at most; a longer prompt is thinned out. Not measured, chosen
-/// because the first 256 tokens tell prompts of one customer apart.
+/// The maximum number of blocks in an offer; of a longer prompt only every n-th block is sent. The
+/// first 256 tokens distinguish the prompts of one customer.
 const MAX_BLOCKS: usize = 16;
 
-/// Hashes of the prompt's prefixes, and the tokens that one stands for. A long prompt keeps
-/// every n-th block, so that an offer stays small; the hash of a block covers all text before
-/// its end. The step is a power of two: prompts of unlike lengths meet at the larger one's
-/// blocks.
+/// Returns hashes of the prompt's prefixes, and the number of tokens that each block stands for. Of
+/// a long prompt every n-th block is kept, so that an offer stays small; the hash of a block covers
+/// all text up to its end. The step is a power of two, so that prompts of different lengths have
+/// the blocks of the larger step in common.
 pub fn prefix_blocks(prompt: &str) -> (Vec<u64>, u32) {
     let bytes = prompt.as_bytes();
     let count = bytes.len() / BLOCK_CHARS;
@@ -39,16 +39,16 @@
     (blocks, BLOCK_TOKENS * step as u32)
 }
 
-/// Checks a model call and starts it.
+/// Checks a model call and starts its request.
 pub(super) async fn start_model(
     context: &Arc<Context>,
-    shape: Shape,
+    api: ModelApi,
     request: Request,
 ) -> Result<(AnswerFormat, ModelCall, mpsc::Receiver<CallerEvent>), CallerRefusal> {
     let (head, body) = request.into_parts();
     let caller = identify(context, &head.headers)?;
-    let (kind, class) = caller.kind(&head.headers)?;
-    let class_config = caller.class(&class)?;
+    let (kind, class) = caller.kind_and_class(&head.headers)?;
+    let class_config = caller.class_config(&class)?;
     let body = read_body(context, caller.request, body).await?;
     let fingerprint = RequestFingerprint::new(
         Some(&caller.customer),
@@ -56,14 +56,14 @@
         head.uri.path(),
         &body,
     );
-    let parsed = ModelCall::parse(shape, &body);
-    let call = parsed.ok_or_else(|| caller.bad(BadRequest::MalformedBody))?;
+    let parsed = ModelCall::parse(api, &body);
+    let call = parsed.ok_or_else(|| caller.bad_request(BadRequest::MalformedBody))?;
     let served = caller
         .in_force
         .document
         .service_of_model(call.model.as_str());
-    let (service, _) = served.ok_or_else(|| caller.bad(BadRequest::UnknownModel))?;
-    let prompt = call.prompt_text(shape);
+    let (service, _) = served.ok_or_else(|| caller.bad_request(BadRequest::UnknownModel))?;
+    let prompt = call.prompt_text(api);
     let prompt_tokens = Tokens((prompt.len() as u64).div_ceil(CHARS_PER_TOKEN).max(1));
     let (blocks, block_tokens) = prefix_blocks(&prompt);
     let offer = NamedOffer {
@@ -81,7 +81,7 @@
         is_preemptible: true,
     };
     let format = AnswerFormat {
-        shape,
+        api,
         request: caller.request,
         model: call.model.clone(),
         created_s: seconds_since_epoch(),
--- a/src/modules/serve/requests/model_outcome.rs
+++ b/src/modules/serve/requests/model_outcome.rs
@@ -1,17 +1,17 @@
-//! What became of a model request: reported to its pool and its caller, counted in metrics and burn,
-//! logged.
+//! The outcome of a model request: reported to its pool and its caller, logged, and counted in the
+//! metrics and the service levels.
 
 use crate::modules::serve::observation::burn::RequestEnd;
-use crate::modules::serve::requests::model_request::{CallerEvent, EngineAttempt, Runner};
+use crate::modules::serve::requests::model_request::{CallerEvent, EngineAttempt, RequestRunner};
 use crate::modules::serve::requests::refusal::CallerRefusal;
 use bridgevane_adapters::EndReason;
 use bridgevane_decisions::AttemptEnd;
 use bridgevane_events::{Event, event};
 use bridgevane_types::{AttemptNumber, DurationMs, Outcome, Tokens};
 
-impl Runner {
-    /// Tells the pool that the caller is gone.
-    pub(super) async fn leave(&self) {
+impl RequestRunner {
+    /// Reports to the pool that the caller has disconnected.
+    pub(super) async fn finish_caller_gone(&self) {
         let number = AttemptNumber(self.attempts.saturating_sub(1));
         self.finish_attempt(number, AttemptEnd::CallerGone).await;
         self.context
@@ -38,7 +38,7 @@
             first_token_ms: DurationMs(first_token_ms),
         };
         self.context.burn.ended(now, self.class(), ended);
-        self.send(CallerEvent::End(reason, tokens)).await;
+        self.send_to_caller(CallerEvent::End(reason, tokens)).await;
     }
 
     pub(super) async fn refuse(&self, refusal: CallerRefusal) {
@@ -63,17 +63,18 @@
             class = self.class(),
             code = refusal.code
         );
-        self.send(CallerEvent::Refused(refusal)).await;
+        self.send_to_caller(CallerEvent::Refused(refusal)).await;
     }
 
-    /// A resumption computes prompt and delivered tokens again, less what is cached.
+    /// Counts the tokens that a resumption computes again: prompt and delivered tokens less the
+    /// cached ones.
     pub(super) fn count_recomputed(&self, attempt: &EngineAttempt) {
         let computed = self.request.offer.prompt_tokens.0 + self.delivered;
         let again = computed.saturating_sub(attempt.cached_tokens.0);
-        self.waste(self.interrupted_by, again);
+        self.count_wasted(self.interrupted_by, again);
     }
 
-    pub(super) fn waste(&self, cause: &'static str, tokens: u64) {
+    pub(super) fn count_wasted(&self, cause: &'static str, tokens: u64) {
         let tokens = Tokens(tokens);
         self.context.metrics.wasted(cause, tokens);
         self.context
--- a/src/modules/serve/requests/model_request.rs
+++ b/src/modules/serve/requests/model_request.rs
@@ -1,15 +1,14 @@
-//! One model request, from its offer to its final answer: it obeys its pool's orders.
+//! Runs one model request, from its offer to its final answer, by the orders of its pool.
 //!
-//! Owns what was delivered so far and how often the request was attempted. An attempt's stream is
-//! read in [`super::model_attempt`], what became of the request is recorded in
-//! [`super::model_outcome`].
+//! Owns the delivered text and the number of attempts. [`super::model_attempt`] reads an attempt's
+//! stream, [`super::model_outcome`] records the outcome of the request.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::pools::endpoint_link::EndpointLink;
 use crate::modules::serve::pools::homes;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderReceiver;
-use crate::modules::serve::requests::engine_state::with_state_of_model;
+use crate::modules::serve::requests::engine_state::with_model_engine_state;
 use crate::modules::serve::requests::refusal::CallerRefusal;
 use crate::modules::serve::requests::targets::Targets;
 use bridgevane_adapters::EndReason;
@@ -20,30 +19,30 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// What the caller gets.
+/// A part of the answer to the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum CallerEvent {
-    /// A piece of the answer.
+    /// The text of one token.
     Text(String),
-    /// The answer is whole.
+    /// The answer is complete.
     End(EndReason, Tokens),
-    /// The final answer without a whole result.
+    /// The final answer of a request that has no complete result.
     Refused(CallerRefusal),
 }
 
-/// What a request needs to run.
+/// A model request with all that it needs to run.
 pub(crate) struct ModelRequest {
     /// The offer to the pool.
     pub offer: NamedOffer,
-    /// The model.
+    /// The requested model.
     pub model: ModelName,
     /// The prompt.
     pub prompt: String,
-    /// The class's targets.
+    /// The latency targets of the class.
     pub targets: Targets,
 }
 
-/// How an attempt left the loop that reads its pieces.
+/// The result of reading an attempt's stream.
 pub(super) enum AttemptResult {
     Done(EndReason),
     Cancelled(CancelCause),
@@ -52,7 +51,7 @@
     Refused(CallerRefusal),
 }
 
-/// An attempt as the pool ordered it.
+/// An attempt that the pool has ordered.
 pub(super) struct EngineAttempt {
     pub(super) number: AttemptNumber,
     pub(super) engine: Arc<EndpointLink>,
@@ -60,7 +59,7 @@
     pub(super) cached_tokens: Tokens,
 }
 
-pub(super) struct Runner {
+pub(super) struct RequestRunner {
     pub(super) context: Arc<Context>,
     pub(super) request: ModelRequest,
     pub(super) caller: mpsc::Sender<CallerEvent>,
@@ -70,13 +69,13 @@
     pub(super) delivered_text: String,
     pub(super) delivered: u64,
     pub(super) attempts: u64,
-    /// Some engine has begun to work on it.
+    /// Whether an engine has started to process the request.
     pub(super) has_run: bool,
-    /// What took it from its last engine.
+    /// Why the previous attempt ended, as a metric label.
     pub(super) interrupted_by: &'static str,
 }
 
-/// Runs `request` in a task of its own; its answer comes out of the receiver.
+/// Runs `request` in its own task and returns the receiver of its answer.
 pub fn spawn(context: Arc<Context>, request: ModelRequest) -> mpsc::Receiver<CallerEvent> {
     let (caller, answers) = mpsc::channel(context.config.serving.max_buffered_pieces);
     tokio::spawn(async move {
@@ -85,8 +84,8 @@
         let (sender, orders) = mpsc::unbounded_channel();
         let arrived_at = context.now();
         let offer = request.offer.clone();
-        let is_taken = homes::offer(&context, offer, sender);
-        let mut runner = Runner {
+        let is_accepted = homes::offer(&context, offer, sender);
+        let mut runner = RequestRunner {
             context,
             request,
             caller,
@@ -99,16 +98,16 @@
             has_run: false,
             interrupted_by: "none",
         };
-        if is_taken {
+        if is_accepted {
             runner.run().await;
         } else {
-            runner.refuse_full().await;
+            runner.refuse_queue_full().await;
         }
     });
     answers
 }
 
-impl Runner {
+impl RequestRunner {
     pub(super) fn id(&self) -> RequestId {
         self.request.offer.request
     }
@@ -122,7 +121,7 @@
             let order = tokio::select! {
                 order = self.orders.recv() => order,
                 () = self.caller.closed() => {
-                    self.leave().await;
+                    self.finish_caller_gone().await;
                     return;
                 }
             };
@@ -154,14 +153,14 @@
                     return;
                 }
                 None => {
-                    self.refuse(self.pool_gone()).await;
+                    self.refuse(self.pool_gone_refusal()).await;
                     return;
                 }
             }
         }
     }
 
-    fn pool_gone(&self) -> CallerRefusal {
+    fn pool_gone_refusal(&self) -> CallerRefusal {
         let outcome = if self.attempts == 0 {
             Outcome::NotRun
         } else {
@@ -170,14 +169,14 @@
         CallerRefusal::refused(self.id(), RefusalCode::NoEngine, outcome, None)
     }
 
-    async fn refuse_full(&mut self) {
+    async fn refuse_queue_full(&mut self) {
         let retry_after_ms = Some(RETRY_SOON);
         let code = RefusalCode::QueueFull;
         let refusal = CallerRefusal::refused(self.id(), code, Outcome::NotRun, retry_after_ms);
         self.refuse(refusal).await;
     }
 
-    /// Runs an attempt; true when the request is over.
+    /// Runs an attempt and returns whether the request is over.
     async fn run_attempt(&mut self, attempt: EngineAttempt) -> bool {
         self.attempts += 1;
         if self.attempts > 1 && self.has_run {
@@ -187,7 +186,8 @@
         let result = self.stream_attempt(&attempt).await;
         match result {
             AttemptResult::Done(reason) => {
-                // First the pool: a caller that reads slowly must not hold the engine's slot.
+                // The pool is informed first: a caller that reads slowly must not hold the engine's
+                // slot.
                 let tokens = Tokens(self.delivered);
                 self.finish_attempt(number, AttemptEnd::Done(tokens)).await;
                 self.complete(reason).await;
@@ -200,14 +200,14 @@
             }
             AttemptResult::Failed(end) => {
                 self.interrupted_by = "lost";
-                let end = with_state_of_model(&attempt.engine, end).await;
+                let end = with_model_engine_state(&attempt.engine, end).await;
                 self.finish_attempt(number, end).await;
                 false
             }
             AttemptResult::CallerGone => {
                 self.cancel_at_engine(&attempt);
-                self.waste("caller_gone", self.delivered);
-                self.leave().await;
+                self.count_wasted("caller_gone", self.delivered);
+                self.finish_caller_gone().await;
                 true
             }
             AttemptResult::Refused(refusal) => {
@@ -218,8 +218,8 @@
         }
     }
 
-    /// What an order that comes while an attempt runs means for it.
-    pub(super) fn obey(
+    /// Handles an order while an attempt runs; returns the attempt's result if the order ends it.
+    pub(super) fn on_order(
         &self,
         attempt: &EngineAttempt,
         order: Option<PoolOrder>,
@@ -238,7 +238,7 @@
                 Some(AttemptResult::Refused(refusal))
             }
             Some(_) => None,
-            None => Some(AttemptResult::Refused(self.pool_gone())),
+            None => Some(AttemptResult::Refused(self.pool_gone_refusal())),
         }
     }
 
@@ -252,7 +252,7 @@
     }
 }
 
-/// The cause of wasted work, for metrics.
+/// Returns the metric label of work that was wasted for `cause`.
 fn cause_label(cause: CancelCause) -> &'static str {
     match cause {
         CancelCause::Preempted => "preempted",
--- a/src/modules/serve/requests/plain_call.rs
+++ b/src/modules/serve/requests/plain_call.rs
@@ -1,4 +1,4 @@
-//! A call of a plain service, from its HTTP request to its answer.
+//! Checks a call of a plain service, runs it and returns its answer.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::keys::key_homes::KeyedCall;
@@ -19,10 +19,10 @@
 };
 use std::sync::Arc;
 
-/// By which a caller makes a call safe to send again.
+/// The header with which a caller makes a call safe to retry.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Tells calls under the same idempotency key apart.
+/// Returns a digest that distinguishes calls with the same idempotency key.
 fn call_digest(call: &PlainCall) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     hasher.update(call.method.as_str().as_bytes());
@@ -34,11 +34,11 @@
 }
 
 fn text_header(headers: &HeaderMap, name: header::HeaderName) -> Option<String> {
-    // A header that is no text is treated as absent.
+    // A header that isn't visible ASCII is treated as absent.
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
 
-/// Checks a call, runs it, and answers it.
+/// Checks a call, runs it and returns its answer.
 pub(super) async fn answer_plain(
     context: &Arc<Context>,
     service: ServiceName,
@@ -65,7 +65,7 @@
         key,
         targets,
     };
-    // In a task of its own: a caller that goes away must not cut the call.
+    // The call runs in its own task: a caller that disconnects must not cut it.
     let running = tokio::spawn(plain_request::run(context.clone(), plain_request));
     let unknown = || {
         let code = RefusalCode::OutcomeUnknown;
@@ -75,7 +75,7 @@
     Ok(response(caller.request, answer))
 }
 
-/// The route of a path of a plain service, and the targets of its class.
+/// Returns the route for a path of a plain service, and the latency targets of its class.
 fn route_of(
     caller: &Caller,
     service: &ServiceName,
@@ -84,10 +84,10 @@
     let config = caller.in_force.document.service.get(service);
     let config = config
         .filter(|config| config.kind == ServiceKind::Plain)
-        .ok_or_else(|| caller.bad(BadRequest::UnknownService))?;
+        .ok_or_else(|| caller.bad_request(BadRequest::UnknownService))?;
     let route = config.route_of(path);
-    let route = route.ok_or_else(|| caller.bad(BadRequest::UnknownRoute))?;
-    let targets = Targets::of_class(caller.class(&route.class)?);
+    let route = route.ok_or_else(|| caller.bad_request(BadRequest::UnknownRoute))?;
+    let targets = Targets::of_class(caller.class_config(&route.class)?);
     Ok((route.clone(), targets))
 }
 
@@ -96,7 +96,7 @@
     let key = text_header(&head.headers, IDEMPOTENCY_KEY);
     PlainCall {
         request: caller.request,
-        // Without a query the path stands alone.
+        // Without a query nothing is added to the path.
         path: format!("{path}{}", query.as_deref().unwrap_or("")),
         idempotency_key: key.map(|key| IdempotencyKey::from(key.as_str())),
         content_type: text_header(&head.headers, header::CONTENT_TYPE),
--- a/src/modules/serve/requests/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service from offer to final answer.
+//! Runs one call of a plain service, from its offer to its final answer.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::keys::key_homes::{ClaimAnswer, KeyedCall};
@@ -7,7 +7,7 @@
 use crate::modules::serve::pools::homes;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderReceiver;
-use crate::modules::serve::requests::engine_state::with_state_of_plain;
+use crate::modules::serve::requests::engine_state::with_plain_worker_state;
 use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal};
 use crate::modules::serve::requests::targets::Targets;
 use axum::http::StatusCode;
@@ -19,40 +19,40 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// What a call needs to run.
+/// A call of a plain service with all that it needs to run.
 pub(crate) struct PlainRequest {
     /// The offer to the pool.
     pub offer: NamedOffer,
     /// The call.
     pub call: PlainCall,
-    /// Its key, when it may not be repeated and has one.
+    /// The idempotency key of a call that must not be repeated, if it has one.
     pub key: Option<KeyedCall>,
-    /// The class's targets.
+    /// The latency targets of the class.
     pub targets: Targets,
 }
 
-/// Runs a call, at most once for its key. It goes on to its end when the caller goes away: a call
-/// that may not be repeated must not be cut.
+/// Runs a call, at most once per idempotency key. The call runs to its end even if the caller
+/// disconnects: a call that must not be repeated must not be cut.
 ///
 /// # Errors
-/// The final answer when there is no result.
+/// Returns the refusal that is the final answer when there is no result.
 pub async fn run(
     context: Arc<Context>,
     request: PlainRequest,
 ) -> Result<PlainAnswer, CallerRefusal> {
     let _in_progress = context.leaving.begin_request();
     let Some(key) = request.key.clone() else {
-        return run_once(&context, request).await;
+        return offer_and_run(&context, request).await;
     };
     let id = request.offer.request;
     match claims::claim(&context, key).await {
-        ClaimAnswer::Run(let_run) => {
-            let result = run_once(&context, request).await;
-            ends::end(&context, &let_run, key_end(&result)).await;
+        ClaimAnswer::Granted(granted) => {
+            let result = offer_and_run(&context, request).await;
+            ends::report_end(&context, &granted, key_end(&result)).await;
             result
         }
-        ClaimAnswer::Not(Verdict::Done(answer)) => Ok(given_again(answer)),
-        ClaimAnswer::Not(verdict) => Err(refused_by(id, &verdict)),
+        ClaimAnswer::Denied(Verdict::Done(answer)) => Ok(replayed_answer(answer)),
+        ClaimAnswer::Denied(verdict) => Err(refusal_of_verdict(id, &verdict)),
     }
 }
 
@@ -60,7 +60,7 @@
     match result {
         Ok(answer) => KeyEnd::Done(StoredAnswer {
             status: answer.status.as_u16(),
-            // Empty stands for none, and is read so.
+            // An empty text stands for an absent content type, here and when it is read.
             content_type: answer.content_type.clone().unwrap_or_default(),
             body: answer.body.to_vec(),
         }),
@@ -69,7 +69,7 @@
     }
 }
 
-fn given_again(answer: StoredAnswer) -> PlainAnswer {
+fn replayed_answer(answer: StoredAnswer) -> PlainAnswer {
     PlainAnswer {
         status: StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK),
         content_type: (!answer.content_type.is_empty()).then_some(answer.content_type),
@@ -77,11 +77,11 @@
     }
 }
 
-/// When a caller may come back whose key can't be remembered. Not measured, chosen because keys are
-/// remembered for ten minutes, and some are forgotten every few seconds at the peak.
+/// The retry time of a call whose key can't be stored. Keys are kept for ten minutes, and at the
+/// peak some expire every few seconds.
 const KEYS_FULL_RETRY: DurationMs = DurationMs(10_000);
 
-fn refused_by(id: RequestId, verdict: &Verdict) -> CallerRefusal {
+fn refusal_of_verdict(id: RequestId, verdict: &Verdict) -> CallerRefusal {
     match verdict {
         Verdict::Running => CallerRefusal::bad_request(id, BadRequest::KeyInProgress),
         Verdict::Mismatch => CallerRefusal::bad_request(id, BadRequest::KeyReused),
@@ -93,7 +93,7 @@
     }
 }
 
-async fn run_once(
+async fn offer_and_run(
     context: &Arc<Context>,
     request: PlainRequest,
 ) -> Result<PlainAnswer, CallerRefusal> {
@@ -111,7 +111,7 @@
         ));
     }
     let result = follow_orders(context, &request, orders).await;
-    count(context, &request, arrived_at, &result);
+    record_result(context, &request, arrived_at, &result);
     result
 }
 
@@ -129,7 +129,7 @@
             } => {
                 let result = engine.plain.call(request.call.clone()).await;
                 has_sent |= result != Err(PlainCallError::NotReached);
-                let end = with_state_of_plain(&engine, end_of(&result)).await;
+                let end = with_plain_worker_state(&engine, attempt_end(&result)).await;
                 let report = PoolReport::Finished(attempt, end);
                 let service = &request.offer.service;
                 homes::report(context, service, id, report).await;
@@ -158,7 +158,7 @@
     ))
 }
 
-fn end_of(result: &Result<PlainAnswer, PlainCallError>) -> AttemptEnd {
+fn attempt_end(result: &Result<PlainAnswer, PlainCallError>) -> AttemptEnd {
     match result {
         Ok(_) => AttemptEnd::Done(Tokens(1)),
         Err(PlainCallError::NotReached) => AttemptEnd::NotReached,
@@ -168,7 +168,7 @@
     }
 }
 
-fn count(
+fn record_result(
     context: &Context,
     request: &PlainRequest,
     arrived_at: TimeMs,
--- a/src/modules/serve/requests/refusal.rs
+++ b/src/modules/serve/requests/refusal.rs
@@ -1,4 +1,4 @@
-//! Final answers that aren't the one asked for: status, typed code, outcome, when to come back.
+//! Refusals: HTTP status, typed code, outcome and retry time of a final answer without the result.
 
 use axum::Json;
 use axum::http::{HeaderValue, StatusCode, header::RETRY_AFTER};
@@ -6,31 +6,31 @@
 use bridgevane_types::{DurationMs, Outcome, RefusalCode, RequestId};
 use serde_json::{Value, json};
 
-/// What was wrong with a request itself.
+/// Why a request is invalid, or can't be accepted yet.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub(crate) enum BadRequest {
-    /// No or an unknown bearer key.
+    /// The bearer key is missing or unknown.
     #[display("invalid_api_key")]
     UnknownKey,
-    /// The body isn't the JSON that the call takes.
+    /// The body isn't the JSON that the call expects.
     #[display("invalid_body")]
     MalformedBody,
-    /// The body is longer than allowed.
+    /// The body is larger than the limit.
     #[display("body_too_large")]
     BodyTooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     #[display("body_timeout")]
     BodyTimeout,
     /// No service serves the model.
     #[display("model_not_found")]
     UnknownModel,
-    /// No service of this name.
+    /// No service has this name.
     #[display("service_not_found")]
     UnknownService,
     /// No route of the service matches.
     #[display("route_not_found")]
     UnknownRoute,
-    /// The kind isn't declared, or not for this customer.
+    /// The request kind isn't declared, or not for this customer.
     #[display("kind_not_allowed")]
     KindNotAllowed,
     /// The idempotency key was used for another call.
@@ -44,38 +44,38 @@
     NotReady,
 }
 
-/// A final answer without the result.
+/// The final answer of a request that has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallerRefusal {
-    /// The request.
+    /// The request's id.
     pub request: RequestId,
-    /// HTTP status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Typed code.
-    pub code: Code,
-    /// Whether it ran.
+    /// The typed code.
+    pub code: ErrorCode,
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// When to come back.
+    /// The retry time; absent: client libraries must not retry by themselves.
     pub retry_after_ms: Option<DurationMs>,
 }
 
 /// The typed code of a final answer.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
-pub(crate) enum Code {
-    /// The request was at fault.
+pub(crate) enum ErrorCode {
+    /// The request was invalid, or the daemon isn't ready.
     #[display("{_0}")]
     BadRequest(BadRequest),
-    /// The router refused or gave up.
+    /// The router refused the request, or failed to complete it.
     #[display("{_0}")]
     Refused(RefusalCode),
 }
 
-/// When to come back to a daemon that isn't ready. Not measured, chosen because a daemon that
-/// starts has its configuration within a second.
+/// The retry time at a daemon that isn't ready: a starting daemon has its configuration within a
+/// second.
 const NOT_READY_RETRY: DurationMs = DurationMs(1_000);
 
 impl CallerRefusal {
-    /// The answer to a request that is at fault: it was not run.
+    /// Returns the refusal of an invalid request, which was not run.
     pub(crate) fn bad_request(request: RequestId, bad: BadRequest) -> Self {
         let status = match bad {
             BadRequest::UnknownKey => StatusCode::UNAUTHORIZED,
@@ -94,13 +94,13 @@
         Self {
             request,
             status,
-            code: Code::BadRequest(bad),
+            code: ErrorCode::BadRequest(bad),
             outcome: Outcome::NotRun,
             retry_after_ms: is_temporary.then_some(NOT_READY_RETRY),
         }
     }
 
-    /// The answer to a request that the router refused or gave up.
+    /// Returns the refusal of a request that the router refused or failed to complete.
     pub fn refused(
         request: RequestId,
         code: RefusalCode,
@@ -121,13 +121,13 @@
         Self {
             request,
             status,
-            code: Code::Refused(code),
+            code: ErrorCode::Refused(code),
             outcome,
             retry_after_ms,
         }
     }
 
-    /// The error object that client libraries of the API read.
+    /// Returns the error object in the format that client libraries of the API read.
     pub(crate) fn error_object(&self) -> Value {
         let kind = if self.status.is_client_error() {
             "invalid_request_error"
@@ -153,7 +153,7 @@
     }
 }
 
-/// A header value of text that holds no control characters.
+/// Returns `text` as a header value, or `invalid` if it holds control characters.
 pub(crate) fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("invalid"))
 }
@@ -173,7 +173,7 @@
             let exact = retry_after_ms.to_string();
             headers.insert("retry-after-ms", header_value(&exact));
         } else {
-            // Client libraries repeat calls by themselves unless a header forbids it.
+            // Client libraries retry calls by themselves unless a header forbids it.
             headers.insert("x-should-retry", HeaderValue::from_static("false"));
         }
         response
--- a/src/modules/serve/requests/targets.rs
+++ b/src/modules/serve/requests/targets.rs
@@ -1,4 +1,4 @@
-//! Whether an answer was within its class's latency targets.
+//! The latency targets of a class, and whether an answer met them.
 
 use bridgevane_config::ClassConfig;
 use bridgevane_types::DurationMs;
@@ -6,14 +6,14 @@
 /// The latency targets of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Targets {
-    /// The latest first token.
+    /// The maximum time to the first token.
     pub first_token_ms: DurationMs,
-    /// The longest mean gap between tokens.
+    /// The maximum mean gap between tokens; absent: no target.
     pub between_tokens_ms: Option<DurationMs>,
 }
 
 impl Targets {
-    /// The targets of a class.
+    /// Returns the targets of a class.
     pub fn of_class(class: &ClassConfig) -> Self {
         Self {
             first_token_ms: class.first_token_target_ms,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether a whole answer was within target.
+    /// Whether a complete answer met the targets.
     pub(crate) fn are_met(&self, first_token_ms: u64, whole_ms: u64, tokens: u64) -> bool {
         let gaps = tokens.saturating_sub(1).max(1);
         let mean_gap_ms = whole_ms.saturating_sub(first_token_ms) / gaps;
