--- a/src/modules/serve/configuration/accept.rs
+++ b/src/modules/serve/configuration/accept.rs
@@ -64,6 +64,6 @@
     }
     event!(Event::ConfigInForce, version = version);
     if let Some(in_force) = context.in_force.load() {
-        start::follow(context, &in_force);
+        start::apply_to_pools(context, &in_force);
     }
 }
--- a/src/modules/serve/peers/connections.rs
+++ b/src/modules/serve/peers/connections.rs
@@ -57,7 +57,7 @@
         drop(receiver);
     }
     context.links.forget(address, &link);
-    homes::unreachable(&context, address);
+    homes::on_unreachable(&context, address);
 }
 
 /// Accepts connections of other daemons.
@@ -112,7 +112,7 @@
     let mut offers = OpenOffers::new();
     exchange(context, &mut framed, &peer, link, receiver, &mut offers).await;
     for (request, service) in offers {
-        homes::origin_lost(context, &service, request, link.id()).await;
+        homes::on_origin_lost(context, &service, request, link.id()).await;
     }
 }
 
--- a/src/modules/serve/peers/membership.rs
+++ b/src/modules/serve/peers/membership.rs
@@ -51,7 +51,7 @@
 /// Who lives may have changed: takes it into the view, and passes over homes that are gone.
 fn refresh(context: &Arc<Context>) {
     if context.members.refresh_view() {
-        homes::membership_changed(context);
+        homes::on_membership_changed(context);
     }
 }
 
--- a/src/modules/serve/pools/actor.rs
+++ b/src/modules/serve/pools/actor.rs
@@ -1,4 +1,4 @@
-//! A pool as a task: messages in, orders out. No lock is held across a decision.
+//! The task of a pool: it receives messages and sends orders. No lock is held across a decision.
 
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::context::Context;
@@ -21,7 +21,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Starts the pool of `service`.
+/// Starts the task of `service`'s pool and returns its handle.
 pub fn spawn(context: Arc<Context>, service: ServiceName, in_force: Arc<InForce>) -> PoolHandle {
     let (messages, receiver) = mpsc::channel(MAX_MESSAGES);
     let settings = Settings::default();
@@ -34,13 +34,13 @@
         log: Recorder::new(max_decisions),
         effects: Vec::new(),
         orders: HashMap::new(),
-        gone: Vec::new(),
+        disconnected: Vec::new(),
         service,
         messages: messages.clone(),
         context,
-        is_polled: false,
+        is_poll_started: false,
     };
-    actor.follow(&in_force);
+    actor.apply_configuration(&in_force);
     tokio::spawn(actor.run(receiver));
     PoolHandle { messages }
 }
@@ -53,10 +53,10 @@
     log: Recorder,
     effects: Vec<Effect>,
     orders: HashMap<RequestId, OrderSender>,
-    /// Requests that no longer listen.
-    gone: Vec<RequestId>,
+    /// Requests whose task or origin no longer receives orders.
+    disconnected: Vec<RequestId>,
     messages: mpsc::Sender<PoolMessage>,
-    is_polled: bool,
+    is_poll_started: bool,
 }
 
 impl PoolActor {
@@ -68,7 +68,7 @@
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                () = tokio::time::sleep_until(ticked_at + self.tick_every()) => {
+                () = tokio::time::sleep_until(ticked_at + self.tick_interval()) => {
                     ticked_at = Instant::now();
                     self.decide(|pool, context| pool.tick(context));
                 }
@@ -76,18 +76,18 @@
         }
     }
 
-    /// A pool without requests has little to notice: each daemon has a pool for each service,
-    /// and is the home of few.
-    fn tick_every(&self) -> Duration {
-        /// Not measured, chosen because an idle pool has nothing to notice; offers wake it.
-        const IDLE: Duration = Duration::from_secs(1);
+    /// Returns the interval of ticks. A pool without requests ticks rarely: each daemon has a pool
+    /// for each service, and is the home of few of them.
+    fn tick_interval(&self) -> Duration {
+        /// The interval of an idle pool, which has nothing to do until an offer wakes it.
+        const IDLE_INTERVAL: Duration = Duration::from_secs(1);
         if self.pool.in_flight() == 0 {
-            return IDLE;
+            return IDLE_INTERVAL;
         }
         self.context.config.serving.tick_every_ms.as_std()
     }
 
-    /// Runs a decision and carries out its effects.
+    /// Runs a decision and executes its effects.
     fn decide(&mut self, decide: impl FnOnce(&mut Pool, &mut PoolContext<'_, Recorder>)) {
         let mut context = PoolContext {
             now: self.context.now(),
@@ -96,21 +96,21 @@
             log: &mut self.log,
         };
         decide(&mut self.pool, &mut context);
-        self.carry_out_all();
+        self.execute_effects();
     }
 
-    /// Carries out effects, and ends requests that no longer listen, until none is left.
-    fn carry_out_all(&mut self) {
+    /// Executes effects and ends disconnected requests until no effect is left.
+    fn execute_effects(&mut self) {
         while !self.effects.is_empty() {
             for effect in std::mem::take(&mut self.effects) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
-            self.end_gone();
+            self.end_disconnected();
         }
     }
 
-    fn end_gone(&mut self) {
-        for request in std::mem::take(&mut self.gone) {
+    fn end_disconnected(&mut self) {
+        for request in std::mem::take(&mut self.disconnected) {
             self.orders.remove(&request);
             let mut context = PoolContext {
                 now: self.context.now(),
@@ -145,31 +145,33 @@
                 };
                 self.decide(|pool, context| pool.load_report(context, engine, busy, age_ms));
             }
-            PoolMessage::Cache(engine, events) => self.cache(&engine, &events),
-            PoolMessage::Reconfigure(in_force) => self.follow(&in_force),
+            PoolMessage::Cache(engine, events) => self.apply_cache_events(&engine, &events),
+            PoolMessage::Reconfigure(in_force) => self.apply_configuration(&in_force),
             PoolMessage::OriginLost(request, origin) => self.origin_lost(request, origin),
             PoolMessage::View(reply) => {
-                // Who asked may have stopped listening.
+                // The operator's request may have ended.
                 let _ = reply.send(self.view());
             }
             PoolMessage::Decisions(reply) => {
-                // Who asked may have stopped listening.
+                // The operator's request may have ended.
                 let _ = reply.send(self.log.records().cloned().collect());
             }
             PoolMessage::Explain(request, reply) => {
-                // Who asked may have stopped listening.
+                // The operator's request may have ended.
                 let _ = reply.send(self.log.about(request));
             }
         }
     }
 
-    fn named(&self, offer: &NamedOffer) -> Option<Offer> {
+    /// Returns the offer with the policy's indexes in place of names.
+    fn resolve_names(&self, offer: &NamedOffer) -> Option<Offer> {
         let policy = self.pool.policy();
         Some(Offer {
             request: offer.request,
             class: policy.class_ix(&offer.class)?,
             customer: policy.customer_ix(&offer.customer)?,
-            // A kind that isn't known here yet is estimated like the first one.
+            // A kind that this daemon's configuration doesn't have yet is estimated like the first
+            // kind.
             kind: policy.kind_ix(&offer.kind).unwrap_or_default(),
             prompt_tokens: offer.prompt_tokens,
             max_tokens: offer.max_tokens,
@@ -182,8 +184,8 @@
     }
 
     fn offer(&mut self, offer: NamedOffer, orders: OrderSender) {
-        let Some(named) = self.named(&offer) else {
-            // The configuration here doesn't know the class or customer yet.
+        let Some(resolved) = self.resolve_names(&offer) else {
+            // This daemon's configuration doesn't have the class or customer yet.
             orders.send(PoolOrder::Refuse {
                 code: RefusalCode::NoEngine,
                 outcome: Outcome::NotRun,
@@ -192,7 +194,7 @@
             return;
         };
         self.orders.insert(offer.request, orders);
-        self.decide(|pool, context| pool.offer(context, named));
+        self.decide(|pool, context| pool.offer(context, resolved));
     }
 
     fn adopt(
@@ -203,13 +205,14 @@
         delivered: Tokens,
         orders: OrderSender,
     ) {
-        let (Some(named), Some(engine)) = (self.named(offer), self.engine_ix(engine)) else {
+        let (Some(resolved), Some(engine)) = (self.resolve_names(offer), self.engine_ix(engine))
+        else {
             return;
         };
         self.orders.insert(offer.request, orders);
         let now = self.context.now();
         self.pool
-            .adopt(now, &self.settings, named, engine, attempt, delivered);
+            .adopt(now, &self.settings, resolved, engine, attempt, delivered);
     }
 
     fn report(&mut self, request: RequestId, report: PoolReport) {
@@ -232,14 +235,14 @@
     }
 
     fn origin_lost(&mut self, request: RequestId, origin: u64) {
-        let is_its = self
+        let is_from_origin = self
             .orders
             .get(&request)
             .is_some_and(|o| o.origin() == origin);
-        if is_its {
-            self.gone.push(request);
-            self.end_gone();
-            self.carry_out_all();
+        if is_from_origin {
+            self.disconnected.push(request);
+            self.end_disconnected();
+            self.execute_effects();
         }
     }
 
@@ -249,7 +252,7 @@
         Some(EndpointIx(at as u32))
     }
 
-    fn cache(&mut self, engine: &EndpointId, events: &[CacheEvent]) {
+    fn apply_cache_events(&mut self, engine: &EndpointId, events: &[CacheEvent]) {
         let Some(engine) = self.engine_ix(engine) else {
             return;
         };
@@ -265,7 +268,7 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Dispatch {
                 request,
@@ -284,7 +287,7 @@
                 attempt,
                 cause,
                 ..
-            } => self.order(request, PoolOrder::Cancel { attempt, cause }),
+            } => self.send_order(request, PoolOrder::Cancel { attempt, cause }),
             Effect::Refuse {
                 request,
                 code,
@@ -296,7 +299,7 @@
                     outcome,
                     retry_after_ms,
                 };
-                self.order(request, refusal);
+                self.send_order(request, refusal);
                 self.orders.remove(&request);
             }
         }
@@ -318,9 +321,9 @@
                     priority,
                     cached_tokens,
                 };
-                self.order(request, order);
+                self.send_order(request, order);
             }
-            // The configuration has just dropped the engine: nothing was sent.
+            // A new configuration has just removed the engine: nothing was sent.
             None => {
                 let end = AttemptEnd::NotReached;
                 self.decide(|pool, context| pool.finished(context, request, attempt, end));
@@ -328,20 +331,20 @@
         }
     }
 
-    fn order(&mut self, request: RequestId, order: PoolOrder) {
+    fn send_order(&mut self, request: RequestId, order: PoolOrder) {
         let sent = self.orders.get(&request).map(|orders| orders.send(order));
         if sent == Some(false) {
-            self.gone.push(request);
+            self.disconnected.push(request);
         }
     }
 
-    fn follow(&mut self, in_force: &InForce) {
+    fn apply_configuration(&mut self, in_force: &InForce) {
         let mut policy = self.pool.policy().clone();
         let data_centre = &self.context.config.data_centre;
         policy.update(&in_force.document, &self.service, data_centre);
         self.pool.set_policy(policy, &self.settings);
-        if !self.is_polled {
-            self.is_polled = true;
+        if !self.is_poll_started {
+            self.is_poll_started = true;
             let poll = endpoint_poll::run(
                 self.context.clone(),
                 self.service.clone(),
--- a/src/modules/serve/pools/directory.rs
+++ b/src/modules/serve/pools/directory.rs
@@ -1,4 +1,4 @@
-//! The pools of all services on this VM.
+//! The pools of all services on this VM, and the links to their endpoints.
 
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::pools::endpoint_link::EndpointLink;
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Handles of the running pools, read without locks.
+/// The handles of the running pools and the links to their endpoints, read without locks.
 #[derive(Default)]
 pub struct PoolDirectory {
     pools: ArcSwap<HashMap<ServiceName, PoolHandle>>,
@@ -16,28 +16,28 @@
 }
 
 impl PoolDirectory {
-    /// The pool of `service`.
+    /// Returns the pool of `service`.
     pub fn get(&self, service: &ServiceName) -> Option<PoolHandle> {
         self.pools.load().get(service).cloned()
     }
 
-    /// The link to a worker.
+    /// Returns the link to an endpoint of `service`.
     pub fn link(&self, service: &ServiceName, engine: &EndpointId) -> Option<Arc<EndpointLink>> {
         let key = (service.clone(), engine.clone());
         self.links.load().get(&key).cloned()
     }
 
-    /// Puts the pools of a newer configuration in place.
-    pub(super) fn put(&self, pools: HashMap<ServiceName, PoolHandle>) {
+    /// Replaces all pools by those of a newer configuration.
+    pub(super) fn replace(&self, pools: HashMap<ServiceName, PoolHandle>) {
         self.pools.store(Arc::new(pools));
     }
 
-    /// All pools, to change a copy of them.
-    pub(super) fn copy(&self) -> HashMap<ServiceName, PoolHandle> {
+    /// Returns a copy of the pools by service, for changes.
+    pub(super) fn cloned(&self) -> HashMap<ServiceName, PoolHandle> {
         HashMap::clone(&self.pools.load())
     }
 
-    /// All pools.
+    /// Returns all pools with their services.
     pub fn all(&self) -> Vec<(ServiceName, PoolHandle)> {
         let pools = self.pools.load();
         pools
@@ -46,8 +46,9 @@
             .collect()
     }
 
-    /// Keeps links, and so their open connections, while names and addresses stay.
-    pub(super) fn follow_links(&self, in_force: &InForce) {
+    /// Updates the links to a configuration. Links whose name and address stay are kept, with their
+    /// open connections.
+    pub(super) fn update_links(&self, in_force: &InForce) {
         let known = self.links.load();
         let mut links = HashMap::new();
         for (service, config) in &in_force.document.service {
--- a/src/modules/serve/pools/endpoint_link.rs
+++ b/src/modules/serve/pools/endpoint_link.rs
@@ -1,24 +1,24 @@
-//! A worker that requests are sent to.
+//! The link to an endpoint that requests are sent to.
 
 use bridgevane_adapters::{HttpEngine, HttpPlainService};
 use bridgevane_types::EndpointId;
 use std::net::SocketAddr;
 
-/// One worker of a service; the service's kind says which of the two adapters is used.
+/// The adapters for one endpoint of a service; the service's kind decides which of the two is used.
 #[derive(Debug)]
 pub struct EndpointLink {
-    /// Name.
+    /// The endpoint's name.
     pub name: EndpointId,
-    /// Address.
+    /// The endpoint's address.
     pub address: SocketAddr,
-    /// As a model engine.
+    /// The adapter for a model engine.
     pub model: HttpEngine,
-    /// As a worker of a plain service.
+    /// The adapter for a worker of a plain service.
     pub plain: HttpPlainService,
 }
 
 impl EndpointLink {
-    /// The worker at `address`.
+    /// Creates the link to the endpoint at `address`.
     pub fn new(name: EndpointId, address: SocketAddr) -> Self {
         Self {
             name,
--- a/src/modules/serve/pools/endpoint_poll.rs
+++ b/src/modules/serve/pools/endpoint_poll.rs
@@ -1,4 +1,4 @@
-//! Reads load reports and cache events of a pool's engines.
+//! Polls the engines of a pool for load reports and cache events.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::pools::endpoint_link::EndpointLink;
@@ -13,28 +13,28 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// What is remembered of one engine between reads.
-struct Polled {
+/// The state of one engine between polls.
+struct PolledEngine {
     link: Arc<EndpointLink>,
     kind: ServiceKind,
     cache_sequence: u64,
     is_reachable: bool,
 }
 
-/// Reads until the pool ends.
+/// Polls the engines until the pool ends.
 pub async fn run(context: Arc<Context>, service: ServiceName, messages: mpsc::Sender<PoolMessage>) {
     let mut version = ConfigVersion(0);
-    let mut polled: Vec<Polled> = Vec::new();
+    let mut polled: Vec<PolledEngine> = Vec::new();
     let mut polls = 0;
     while !messages.is_closed() {
         if let Some(in_force) = context.in_force.load()
             && in_force.version > version
         {
             version = in_force.version;
-            polled = engines_of(&context, &service, polled);
+            polled = engines_to_poll(&context, &service, polled);
         }
         let serving = &context.config.serving;
-        // Only who decides for the pool needs reports: engines are asked by one daemon.
+        // Only the daemon that decides for the pool polls: engines are polled by one daemon.
         if !homes::is_home(&context, &service) {
             tokio::time::sleep(serving.poll_without_home_ms.as_std()).await;
             continue;
@@ -55,8 +55,12 @@
     }
 }
 
-/// The engines to read, keeping what is remembered of known ones.
-fn engines_of(context: &Context, service: &ServiceName, known: Vec<Polled>) -> Vec<Polled> {
+/// Returns the engines to poll in the configuration in force, with the state of known ones.
+fn engines_to_poll(
+    context: &Context,
+    service: &ServiceName,
+    known: Vec<PolledEngine>,
+) -> Vec<PolledEngine> {
     let Some(in_force) = context.in_force.load() else {
         return known;
     };
@@ -69,10 +73,11 @@
         if engine.data_centre != context.config.data_centre {
             continue;
         }
-        let same = |old: &Polled| old.link.name == *name && old.link.address == engine.address;
+        let same =
+            |old: &PolledEngine| old.link.name == *name && old.link.address == engine.address;
         let entry = match known.iter().position(same) {
             Some(found) => known.swap_remove(found),
-            None => Polled {
+            None => PolledEngine {
                 link: Arc::new(EndpointLink::new(name.clone(), engine.address)),
                 kind: config.kind,
                 cache_sequence: 0,
@@ -84,7 +89,7 @@
     polled
 }
 
-/// Why a load report can't be read.
+/// An error of reading a load report.
 #[derive(Clone, Copy, Debug, Display, Error, From)]
 enum LoadError {
     #[display("{_0}")]
@@ -93,14 +98,14 @@
     Plain(PlainCallError),
 }
 
-async fn read_load(polled: &Polled) -> Result<LoadReport, LoadError> {
+async fn read_load(polled: &PolledEngine) -> Result<LoadReport, LoadError> {
     Ok(match polled.kind {
         ServiceKind::Model => polled.link.model.load().await?,
         ServiceKind::Plain => polled.link.plain.load().await?,
     })
 }
 
-async fn poll(polled: &mut Polled, messages: &mpsc::Sender<PoolMessage>, reads_cache: bool) {
+async fn poll(polled: &mut PolledEngine, messages: &mpsc::Sender<PoolMessage>, reads_cache: bool) {
     match read_load(polled).await {
         Ok(report) => {
             polled.is_reachable = true;
@@ -109,7 +114,7 @@
                 busy: report.running.0 + report.waiting.0,
                 age_ms: report.age_ms,
             };
-            // The pool has ended, and so will this task.
+            // This fails only if the pool has ended; then this task ends too.
             let _ = messages.send(message).await;
         }
         Err(error) => {
@@ -133,7 +138,7 @@
     if let Some(last) = events.last() {
         polled.cache_sequence = last.sequence;
         let name = polled.link.name.clone();
-        // The pool has ended, and so will this task.
+        // This fails only if the pool has ended; then this task ends too.
         let _ = messages.send(PoolMessage::Cache(name, events)).await;
     }
 }
--- a/src/modules/serve/pools/handle.rs
+++ b/src/modules/serve/pools/handle.rs
@@ -1,4 +1,4 @@
-//! A pool's mailbox: the messages that its task takes, and the views that it answers with.
+//! The handle of a pool: the messages that its task receives, and the views that it returns.
 
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolReport};
@@ -9,25 +9,25 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that wait for a pool at most; beyond them a caller is refused. Chosen because it is
-/// over the 10,000 requests in flight that were measured (docs/CAPACITY.md).
+/// The maximum number of messages that wait for a pool; when it is reached, callers are refused. It
+/// is above the 10,000 requests in flight of docs/CAPACITY.md.
 pub(crate) const MAX_MESSAGES: usize = 16_384;
 
 /// A message to a pool's task.
 pub enum PoolMessage {
-    /// A request asks to be served.
+    /// A request is offered to the pool.
     Offer(Box<NamedOffer>, OrderSender),
-    /// A request reports.
+    /// A request reports its progress or end.
     Report(RequestId, PoolReport),
-    /// A request that already runs is taken over.
+    /// The pool takes over a request that already runs.
     Adopt {
         /// The request.
         offer: Box<NamedOffer>,
-        /// Its engine.
+        /// The engine that runs it.
         engine: EndpointId,
-        /// Its attempt.
+        /// The running attempt.
         attempt: AttemptNumber,
-        /// Tokens delivered.
+        /// The number of tokens delivered so far.
         delivered: Tokens,
         /// Where its orders go.
         orders: OrderSender,
@@ -36,50 +36,50 @@
     Load {
         /// The engine.
         engine: EndpointId,
-        /// Requests there.
+        /// The number of requests that run or wait at the engine.
         busy: u32,
-        /// Age of the report.
+        /// The age of the report.
         age_ms: DurationMs,
     },
-    /// Changes of an engine's prefix cache.
+    /// An engine's prefix cache has changed.
     Cache(EndpointId, Vec<CacheEvent>),
-    /// A new configuration.
+    /// A new configuration is in force.
     Reconfigure(Arc<InForce>),
-    /// The daemon that offered a request is gone; the number tells its connection.
+    /// The daemon that offered a request is gone; the number is the id of its connection.
     OriginLost(RequestId, u64),
-    /// An operator looks.
+    /// An operator asks for the pool's state.
     View(oneshot::Sender<PoolView>),
-    /// All decisions that are remembered.
+    /// An operator asks for all recorded decisions.
     Decisions(oneshot::Sender<Vec<DecisionRecord>>),
-    /// An operator asks about a request.
+    /// An operator asks for the decisions about a request.
     Explain(RequestId, oneshot::Sender<Vec<DecisionRecord>>),
 }
 
-/// What operators see of a pool.
+/// The state of a pool as operators see it.
 #[derive(Clone, Debug)]
 pub struct PoolView {
-    /// Requests in flight.
+    /// The requests in flight.
     pub requests: Vec<RequestView>,
-    /// Engines.
+    /// The pool's engines.
     pub engines: Vec<EngineView>,
-    /// Classes.
+    /// The service classes.
     pub classes: Vec<ClassView>,
 }
 
-/// The way to a pool.
+/// A handle that sends messages to a pool's task.
 #[derive(Clone)]
 pub struct PoolHandle {
     pub(crate) messages: mpsc::Sender<PoolMessage>,
 }
 
 impl PoolHandle {
-    /// Offers a request; false when the pool has more messages than it can take.
+    /// Offers a request; false when the pool's message queue is full.
     pub fn offer(&self, offer: NamedOffer, orders: OrderSender) -> bool {
         let message = PoolMessage::Offer(Box::new(offer), orders);
         self.messages.try_send(message).is_ok()
     }
 
-    /// Reports on a request. Reports must not get lost, so this waits for room.
+    /// Reports on a request. Waits while the queue is full, since reports must not be lost.
     pub async fn report(&self, request: RequestId, report: PoolReport) {
         // A pool ends only with the daemon.
         let _ = self
@@ -88,29 +88,29 @@
             .await;
     }
 
-    /// Sends any other message, waiting for room.
+    /// Sends any other message. Waits while the queue is full.
     pub async fn send(&self, message: PoolMessage) {
         let _ = self.messages.send(message).await;
     }
 
-    /// Tells the pool a new configuration.
+    /// Sends a new configuration to the pool, without waiting.
     pub(crate) fn reconfigure(&self, in_force: Arc<InForce>) {
         let messages = self.messages.clone();
         tokio::spawn(async move {
-            // The pool has ended: it needs no configuration.
+            // A pool that has ended needs no configuration.
             let _ = messages.send(PoolMessage::Reconfigure(in_force)).await;
         });
     }
 
-    /// What operators see.
+    /// Returns the pool's state; `None` when the pool has ended.
     pub async fn view(&self) -> Option<PoolView> {
         let (sender, receiver) = oneshot::channel();
-        // A pool that has ended shows nothing.
+        // A pool that has ended has no state.
         self.messages.send(PoolMessage::View(sender)).await.ok()?;
         receiver.await.ok()
     }
 
-    /// All decisions that are remembered; none when the pool has ended.
+    /// Returns all recorded decisions; empty when the pool has ended.
     pub async fn decisions(&self) -> Vec<DecisionRecord> {
         let (sender, receiver) = oneshot::channel();
         let message = PoolMessage::Decisions(sender);
@@ -121,7 +121,7 @@
         receiver.await.unwrap_or_default()
     }
 
-    /// The decisions about a request.
+    /// Returns the recorded decisions about a request; empty when the pool has ended.
     pub async fn explain(&self, request: RequestId) -> Vec<DecisionRecord> {
         let (sender, receiver) = oneshot::channel();
         let message = PoolMessage::Explain(request, sender);
--- a/src/modules/serve/pools/homes.rs
+++ b/src/modules/serve/pools/homes.rs
@@ -1,8 +1,8 @@
 //! The home of each pool: the one daemon of the data centre that decides for it.
 //!
-//! A request asks the home of its pool, on whatever daemon it came in. When the home can't
-//! be reached or doesn't answer at once, the request is decided here: own knowledge and
-//! lagged reports are worse than the home's, and better than none.
+//! The daemon that receives a request offers it to the home of the request's pool. When the home
+//! can't be reached or doesn't accept the offer in time, this daemon bypasses it and decides
+//! itself: its own knowledge and delayed reports are worse than the home's, but better than none.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::peers::links::{LinkHandle, OpenOffers, Peer};
@@ -12,7 +12,8 @@
 use crate::modules::serve::pools::orders::OrderSender;
 use crate::modules::serve::pools::remote_requests::RemoteRequest;
 use crate::modules::serve::pools::wire::{
-    code_of, offer_from_wire, offer_to_wire, outcome_of, report_from_wire, report_to_wire,
+    offer_from_wire, offer_to_wire, parse_outcome, parse_refusal_code, report_from_wire,
+    report_to_wire,
 };
 use bridgevane_decisions::{AttemptEnd, CancelCause};
 use bridgevane_events::{Event, event};
@@ -29,31 +30,32 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// A home that doesn't take an offer in this time is passed over. Not measured, chosen because a
-/// home that is well takes an offer within milliseconds; twice as long costs a first token.
-const TAKE_MS: u64 = 400;
-/// How often offers are looked through for such as weren't taken. Chosen because it is a quarter of
-/// the time that it looks for.
-const SWEEP_EVERY: Duration = Duration::from_millis(100);
+/// The time after which a home that hasn't accepted an offer is bypassed, in milliseconds. A
+/// healthy home accepts an offer within milliseconds; twice this time would delay the first token
+/// too much.
+const ACCEPT_MS: u64 = 400;
+/// The interval of the search for offers that weren't accepted in time: a quarter of
+/// [`ACCEPT_MS`].
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pool's name among the keys that have homes.
+/// Returns the key by which the pool's home is found.
 fn home_key(service: &ServiceName) -> String {
     format!("pool/{service}")
 }
 
-/// Whether this daemon decides for `service` now.
+/// Whether this daemon decides for `service` now, as its home or because the home is bypassed.
 pub fn is_home(context: &Context, service: &ServiceName) -> bool {
     let home = context.members.remote_home(&home_key(service));
-    home.is_none_or(|(vm, _)| context.homes.is_avoided(context.now(), &vm))
+    home.is_none_or(|(vm, _)| context.homes.is_bypassed(context.now(), &vm))
 }
 
-/// Whether this daemon is the home of `service` by its view of who lives, so that nobody
-/// else decides on its engines.
+/// Whether this daemon is the home of `service` in its view of the membership, so that no other
+/// daemon decides on its engines.
 pub(crate) fn is_sole_home(context: &Context, service: &ServiceName) -> bool {
     context.members.remote_home(&home_key(service)).is_none()
 }
 
-/// Offers a request to the home of its pool; false when no pool takes it.
+/// Offers a request to the home of its pool; false when no pool accepts it.
 pub fn offer(
     context: &Arc<Context>,
     offer: NamedOffer,
@@ -61,8 +63,8 @@
 ) -> bool {
     let home = context.members.remote_home(&home_key(&offer.service));
     let now = context.now();
-    let Some((vm, address)) = home.filter(|(vm, _)| !context.homes.is_avoided(now, vm)) else {
-        return offer_here(context, offer, orders);
+    let Some((vm, address)) = home.filter(|(vm, _)| !context.homes.is_bypassed(now, vm)) else {
+        return offer_locally(context, offer, orders);
     };
     let request = offer.request;
     let frame = Body::PoolOffer(offer_to_wire(&offer));
@@ -72,25 +74,25 @@
         home: vm.clone(),
         address,
         sent_at: now,
-        is_taken: false,
+        is_accepted: false,
         running: None,
         delivered: Tokens(0),
     };
     context.homes.lock().insert(request, remote);
     if !context.links.to(address).send(frame) {
-        pass_over(context, &vm);
+        bypass(context, &vm);
     }
     true
 }
 
-/// Reports on a request to whoever decides on it.
+/// Sends a request's report to the daemon that decides on it.
 pub async fn report(
     context: &Arc<Context>,
     service: &ServiceName,
     request: RequestId,
     report: PoolReport,
 ) {
-    if report_remote(context, request, report) {
+    if report_to_home(context, request, report) {
         return;
     }
     if let Some(pool) = context.pools.get(service) {
@@ -98,7 +100,7 @@
     }
 }
 
-fn report_remote(context: &Arc<Context>, request: RequestId, report: PoolReport) -> bool {
+fn report_to_home(context: &Arc<Context>, request: RequestId, report: PoolReport) -> bool {
     let mut remotes = context.homes.lock();
     let Some(remote) = remotes.get_mut(&request) else {
         return false;
@@ -118,7 +120,7 @@
     true
 }
 
-/// The home of a request of this daemon has decided.
+/// Handles an order of another daemon for a request of this daemon.
 pub(crate) fn on_order(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, order: &WireOrder) {
     let Some(request) = request_of(&order.request) else {
         return;
@@ -129,57 +131,53 @@
         .filter(|remote| remote.home == peer.vm);
     let Some(remote) = remote else {
         drop(remotes);
-        // It was passed over meanwhile: it must forget the request.
+        // The home was bypassed meanwhile and must drop the request.
         if matches!(order.order, Some(pool_order::Order::Dispatch(_))) {
             let gone = PoolReport::Finished(AttemptNumber(0), AttemptEnd::CallerGone);
-            // The service isn't known any more; the home finds it by its own offers.
+            // The service isn't known any more; without it the home informs all its pools.
             let report = report_to_wire(&ServiceName::new(""), request, gone);
             link.send(Body::PoolReport(report));
         }
         return;
     };
-    remote.is_taken = true;
-    let (sent, is_over) = follow_order(context, remote, order);
+    remote.is_accepted = true;
+    let (sent, is_over) = forward_order(context, remote, order);
     if is_over || !sent {
         remotes.remove(&request);
     }
 }
 
-/// No connection to `address` is left.
-pub fn unreachable(context: &Arc<Context>, address: SocketAddr) {
-    let lost = {
+/// Bypasses the home at `address`, to which no connection is left.
+pub fn on_unreachable(context: &Arc<Context>, address: SocketAddr) {
+    let home = {
         let remotes = context.homes.lock();
         let at = remotes.values().find(|remote| remote.address == address);
         at.map(|remote| remote.home.clone())
     };
-    if let Some(home) = lost {
-        pass_over(context, &home);
+    if let Some(home) = home {
+        bypass(context, &home);
     }
 }
 
-/// Takes back every request that `home` decides on, and decides here.
-fn pass_over(context: &Arc<Context>, home: &VmId) {
-    context.homes.avoid(context.now(), home);
-    let taken_back: Vec<RemoteRequest> = {
+/// Bypasses `home`: this daemon decides on all its requests that were offered there.
+fn bypass(context: &Arc<Context>, home: &VmId) {
+    context.homes.start_bypass(context.now(), home);
+    let requests: Vec<RemoteRequest> = {
         let mut remotes = context.homes.lock();
-        let is_its = |_: &RequestId, remote: &mut RemoteRequest| remote.home == *home;
+        let is_at_home = |_: &RequestId, remote: &mut RemoteRequest| remote.home == *home;
         remotes
-            .extract_if(is_its)
+            .extract_if(is_at_home)
             .map(|(_, remote)| remote)
             .collect()
     };
-    event!(
-        Event::HomePassedOver,
-        vm = home,
-        requests = taken_back.len()
-    );
-    for remote in taken_back {
-        decide_here(context, remote);
+    event!(Event::HomePassedOver, vm = home, requests = requests.len());
+    for remote in requests {
+        decide_locally(context, remote);
     }
 }
 
-/// Who lives has changed: homes that are gone are passed over.
-pub(crate) fn membership_changed(context: &Arc<Context>) {
+/// Bypasses the homes that the changed membership no longer contains.
+pub(crate) fn on_membership_changed(context: &Arc<Context>) {
     let homes: Vec<VmId> = context
         .homes
         .lock()
@@ -188,13 +186,13 @@
         .collect();
     for home in homes {
         if context.members.address_of(&home).is_none() {
-            pass_over(context, &home);
+            bypass(context, &home);
         }
     }
 }
 
-/// A daemon whose offers are decided here is gone.
-pub(crate) async fn origin_lost(
+/// Informs the pool that the daemon which offered `request` is gone.
+pub(crate) async fn on_origin_lost(
     context: &Arc<Context>,
     service: &ServiceName,
     request: RequestId,
@@ -205,15 +203,16 @@
     }
 }
 
-/// Passes over homes that don't take offers, until the daemon ends.
+/// Bypasses homes that don't accept offers in time, until the daemon ends.
 pub async fn run(context: Arc<Context>) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         let now = context.now();
         let slow: Vec<VmId> = {
             let remotes = context.homes.lock();
-            let is_slow =
-                |remote: &&RemoteRequest| !remote.is_taken && now.since(remote.sent_at).0 > TAKE_MS;
+            let is_slow = |remote: &&RemoteRequest| {
+                !remote.is_accepted && now.since(remote.sent_at).0 > ACCEPT_MS
+            };
             remotes
                 .values()
                 .filter(is_slow)
@@ -221,14 +220,14 @@
                 .collect()
         };
         for home in slow {
-            if !context.homes.is_avoided(now, &home) {
-                pass_over(&context, &home);
+            if !context.homes.is_bypassed(now, &home) {
+                bypass(&context, &home);
             }
         }
     }
 }
 
-fn offer_here(
+fn offer_locally(
     context: &Arc<Context>,
     offer: NamedOffer,
     orders: UnboundedSender<PoolOrder>,
@@ -239,15 +238,16 @@
     pool.offer(offer, OrderSender::local(orders))
 }
 
-/// Goes on with a request here: one that runs is taken over, one that waits is offered anew.
-fn decide_here(context: &Arc<Context>, remote: RemoteRequest) {
+/// Continues a request on this daemon: a running request is taken over, a waiting one is offered
+/// again.
+fn decide_locally(context: &Arc<Context>, remote: RemoteRequest) {
     let Some(pool) = context.pools.get(&remote.offer.service) else {
         return;
     };
     let orders = OrderSender::local(remote.orders);
     match remote.running {
         None => {
-            // A full pool drops the sender, by which the request learns it.
+            // A full pool drops the sender, and the request ends with a refusal.
             let _ = pool.offer(remote.offer, orders);
         }
         Some((engine, attempt)) => {
@@ -263,8 +263,9 @@
     }
 }
 
-/// Passes an order on to its request; gives whether that listens, and whether it is over.
-fn follow_order(context: &Context, remote: &mut RemoteRequest, order: &WireOrder) -> (bool, bool) {
+/// Forwards an order to its request; returns whether the request received it and whether it is
+/// over.
+fn forward_order(context: &Context, remote: &mut RemoteRequest, order: &WireOrder) -> (bool, bool) {
     match &order.order {
         None => (true, false),
         Some(pool_order::Order::Dispatch(dispatch)) => {
@@ -296,8 +297,8 @@
         }
         Some(pool_order::Order::Refuse(refuse)) => {
             let order = PoolOrder::Refuse {
-                code: code_of(&refuse.code),
-                outcome: outcome_of(&refuse.outcome),
+                code: parse_refusal_code(&refuse.code),
+                outcome: parse_outcome(&refuse.outcome),
                 retry_after_ms: refuse.retry_after_ms.map(DurationMs),
             };
             (remote.orders.send(order).is_ok(), true)
@@ -305,7 +306,7 @@
     }
 }
 
-/// Another daemon offers a request for this one to decide on.
+/// Handles another daemon's offer of a request that this daemon is to decide on.
 pub(crate) fn on_offer(
     context: &Arc<Context>,
     link: &LinkHandle,
@@ -317,23 +318,23 @@
         return;
     };
     let orders = OrderSender::peer(offer.request, link.clone());
-    let taken = Body::PoolOrder(WireOrder {
+    let accepted = Body::PoolOrder(WireOrder {
         request,
         order: None,
     });
-    link.send(taken);
+    link.send(accepted);
     let Some(pool) = context.pools.get(&offer.service) else {
-        refuse(&orders, RefusalCode::NoEngine);
+        send_refusal(&orders, RefusalCode::NoEngine);
         return;
     };
     let (id, service) = (offer.request, offer.service.clone());
     offers.insert(id, service);
     if !pool.offer(offer, orders.clone()) {
-        refuse(&orders, RefusalCode::QueueFull);
+        send_refusal(&orders, RefusalCode::QueueFull);
     }
 }
 
-fn refuse(orders: &OrderSender, code: RefusalCode) {
+fn send_refusal(orders: &OrderSender, code: RefusalCode) {
     orders.send(PoolOrder::Refuse {
         code,
         outcome: Outcome::NotRun,
@@ -341,7 +342,7 @@
     });
 }
 
-/// Another daemon reports on a request that is decided on here.
+/// Handles another daemon's report on a request that this daemon decides on.
 pub async fn on_report(context: &Arc<Context>, report: &WireReport) {
     let (Some(request), Some(read)) = (request_of(&report.request), report_from_wire(report))
     else {
--- a/src/modules/serve/pools/messages.rs
+++ b/src/modules/serve/pools/messages.rs
@@ -1,4 +1,4 @@
-//! What passes between a request and the pool that decides on it, wherever the pool is.
+//! The messages between a request and the pool that decides on it, on this daemon or another.
 
 use crate::modules::serve::pools::endpoint_link::EndpointLink;
 use bridgevane_decisions::{AttemptEnd, CancelCause};
@@ -8,78 +8,79 @@
 };
 use std::sync::Arc;
 
-/// When a caller may come back whose request found no pool, no engine or a full queue. Not
-/// measured, chosen because a configuration or a queue changes within seconds.
+/// The retry time of a request that found no pool, no engine or a full queue: configurations and
+/// queues change within seconds.
 pub(crate) const RETRY_SOON: DurationMs = DurationMs(1_000);
 
-/// A request that asks a pool to be served, by names.
+/// A request that is offered to a pool, with names in place of the pool's indexes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedOffer {
     /// The pool's service.
     pub service: ServiceName,
-    /// The request.
+    /// The request's id.
     pub request: RequestId,
-    /// Class.
+    /// The service class.
     pub class: ClassName,
-    /// Customer.
+    /// The customer.
     pub customer: CustomerId,
-    /// Kind.
+    /// The request kind.
     pub kind: KindName,
-    /// Tokens of the prompt.
+    /// The length of the prompt.
     pub prompt_tokens: Tokens,
-    /// The longest answer.
+    /// The maximum length of the answer.
     pub max_tokens: Tokens,
-    /// Chained hashes of the prompt's blocks.
+    /// The hashes of the prompt's prefixes, one per block.
     pub blocks: Vec<u64>,
-    /// Prompt tokens that one block stands for.
+    /// The number of prompt tokens that one block stands for.
     pub block_tokens: u32,
-    /// What it has in common with equal requests; none: a daemon that doesn't say it.
+    /// The fingerprint that equal requests share; `None` if the daemon that sent the offer doesn't
+    /// send fingerprints.
     pub fingerprint: Option<RequestFingerprint>,
-    /// Whether it may be sent again when its outcome isn't known.
+    /// Whether the request may be sent again when its outcome isn't known.
     pub is_repeatable: bool,
     /// Whether a running attempt may be cancelled and resumed.
     pub is_preemptible: bool,
 }
 
-/// What a pool tells a request to do.
+/// An order of a pool to a request.
 #[derive(Clone, Debug)]
 pub enum PoolOrder {
-    /// Send an attempt to an engine.
+    /// Starts an attempt at an engine.
     Dispatch {
         /// The attempt.
         attempt: AttemptNumber,
         /// The engine.
         engine: Arc<EndpointLink>,
-        /// Priority inside the engine.
+        /// The priority inside the engine.
         priority: Tier,
-        /// Prompt tokens that are expected in its prefix cache.
+        /// The number of prompt tokens that are expected in the engine's prefix cache.
         cached_tokens: Tokens,
     },
-    /// Cancel the attempt and wait for the next order.
+    /// Cancels the attempt; the request waits for the next order.
     Cancel {
         /// The attempt.
         attempt: AttemptNumber,
-        /// Why.
+        /// The reason of the cancellation.
         cause: CancelCause,
     },
-    /// Give the final answer now.
+    /// Ends the request with a refusal.
     Refuse {
-        /// Why.
+        /// The refusal's code.
         code: RefusalCode,
-        /// Whether it ran.
+        /// Whether the request ran.
         outcome: Outcome,
-        /// When to come back.
+        /// The retry time.
         retry_after_ms: Option<DurationMs>,
     },
 }
 
-/// What a request tells its pool.
+/// A report of a request to its pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolReport {
-    /// The attempt's first token came.
+    /// The attempt's first token has arrived.
     FirstToken(AttemptNumber),
-    /// The attempt has delivered so many tokens, the last one so long after the one before.
+    /// The number of tokens delivered, and the time between the last two tokens.
     Progress(AttemptNumber, Tokens, DurationMs),
-    /// The attempt ended.
+    /// The attempt has ended.
     Finished(AttemptNumber, AttemptEnd),
 }
--- a/src/modules/serve/pools/mod.rs
+++ b/src/modules/serve/pools/mod.rs
@@ -1,4 +1,4 @@
-//! The pools of each service's endpoints in this data centre, and which daemon decides on each.
+//! The pools of each service's endpoints in this data centre, and the daemon that decides for each.
 
 pub(crate) mod actor;
 pub(crate) mod directory;
--- a/src/modules/serve/pools/orders.rs
+++ b/src/modules/serve/pools/orders.rs
@@ -1,4 +1,5 @@
-//! Where a pool's orders go: to a request's task here, or to the daemon that it came in at.
+//! The channel of a pool's orders to a request, on this daemon or the one that received the
+//! request.
 
 use crate::modules::serve::peers::links::LinkHandle;
 use crate::modules::serve::pools::messages::PoolOrder;
@@ -6,31 +7,31 @@
 use bridgevane_types::RequestId;
 use tokio::sync::mpsc;
 
-/// Where a pool's orders for one request go: to a task here, or to the daemon that the
-/// request came in at.
+/// Sends a pool's orders for one request, to its task on this daemon or to the daemon that received
+/// the request.
 #[derive(Clone, Debug)]
 pub enum OrderSender {
-    /// A request of this daemon.
+    /// The request runs on this daemon.
     Local(mpsc::UnboundedSender<PoolOrder>),
-    /// A request of another daemon.
+    /// The request was received by another daemon.
     Peer(RequestId, LinkHandle),
 }
 
-/// Origin of requests of this daemon. Chosen because connections are counted from 0.
+/// The origin of requests of this daemon. Connections are numbered from 0 and never reach it.
 const LOCAL_ORIGIN: u64 = u64::MAX;
 
 impl OrderSender {
-    /// Orders to a task of this daemon.
+    /// Creates a sender to a task of this daemon.
     pub fn local(orders: mpsc::UnboundedSender<PoolOrder>) -> Self {
         Self::Local(orders)
     }
 
-    /// Orders to another daemon.
+    /// Creates a sender to another daemon.
     pub fn peer(request: RequestId, link: LinkHandle) -> Self {
         Self::Peer(request, link)
     }
 
-    /// Sends an order; false when nobody listens any more.
+    /// Sends an order; false when the receiver is gone or its queue is full.
     pub fn send(&self, order: PoolOrder) -> bool {
         match self {
             Self::Local(orders) => orders.send(order).is_ok(),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Tells apart where requests come from.
+    /// Returns the id of the connection that the request came by, or [`LOCAL_ORIGIN`].
     pub(crate) fn origin(&self) -> u64 {
         match self {
             Self::Local(_) => LOCAL_ORIGIN,
@@ -47,5 +48,5 @@
     }
 }
 
-/// Where a request gets its orders. The pool sends a handful an attempt.
+/// The receiver of a request's orders. A pool sends a handful of orders per attempt.
 pub(crate) type OrderReceiver = mpsc::UnboundedReceiver<PoolOrder>;
--- a/src/modules/serve/pools/remote_requests.rs
+++ b/src/modules/serve/pools/remote_requests.rs
@@ -1,7 +1,7 @@
-//! Requests of this daemon that other daemons decide on, and homes that are passed over for a
-//! while.
+//! The requests of this daemon that other daemons decide on, and the homes that are bypassed for a
+//! time.
 //!
-//! Owns both behind locks; what is done with them is [`super::homes`]'.
+//! Owns both behind locks; [`super::homes`] uses them.
 
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder};
 use bridgevane_types::{AttemptNumber, DurationMs, EndpointId, RequestId, TimeMs, Tokens, VmId};
@@ -10,27 +10,27 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// How long a home that was passed over is left alone, in milliseconds. Not measured, chosen
-/// because a process that hangs for longer is confirmed dead by then.
-const AVOID_MS: u64 = 2_000;
+/// The time for which a home is bypassed, in milliseconds. A process that hangs for longer is
+/// confirmed dead by then.
+const BYPASS_MS: u64 = 2_000;
 
-/// A request of this daemon that another one decides on.
+/// A request of this daemon that another daemon decides on.
 pub(super) struct RemoteRequest {
     pub(super) offer: NamedOffer,
     pub(super) orders: UnboundedSender<PoolOrder>,
     pub(super) home: VmId,
     pub(super) address: SocketAddr,
     pub(super) sent_at: TimeMs,
-    pub(super) is_taken: bool,
+    pub(super) is_accepted: bool,
     pub(super) running: Option<(EndpointId, AttemptNumber)>,
     pub(super) delivered: Tokens,
 }
 
-/// Requests that other daemons decide on.
+/// The requests that other daemons decide on, and the bypassed homes.
 #[derive(Default)]
 pub struct RemoteRequests {
     remote: Mutex<HashMap<RequestId, RemoteRequest>>,
-    avoided: Mutex<HashMap<VmId, TimeMs>>,
+    bypassed_until: Mutex<HashMap<VmId, TimeMs>>,
 }
 
 impl RemoteRequests {
@@ -38,14 +38,20 @@
         self.remote.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn is_avoided(&self, now: TimeMs, vm: &VmId) -> bool {
-        let avoided = self.avoided.lock().unwrap_or_else(PoisonError::into_inner);
-        avoided.get(vm).is_some_and(|until| now < *until)
+    pub(super) fn is_bypassed(&self, now: TimeMs, vm: &VmId) -> bool {
+        let bypassed_until = self
+            .bypassed_until
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        bypassed_until.get(vm).is_some_and(|until| now < *until)
     }
 
-    pub(super) fn avoid(&self, now: TimeMs, vm: &VmId) {
-        let mut avoided = self.avoided.lock().unwrap_or_else(PoisonError::into_inner);
-        avoided.retain(|_, until| now < *until);
-        avoided.insert(vm.clone(), now + DurationMs(AVOID_MS));
+    pub(super) fn start_bypass(&self, now: TimeMs, vm: &VmId) {
+        let mut bypassed_until = self
+            .bypassed_until
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        bypassed_until.retain(|_, until| now < *until);
+        bypassed_until.insert(vm.clone(), now + DurationMs(BYPASS_MS));
     }
 }
--- a/src/modules/serve/pools/start.rs
+++ b/src/modules/serve/pools/start.rs
@@ -1,14 +1,14 @@
-//! Starts pools of new services when the configuration changes, and tells the others of it.
+//! Starts the pools of new services when the configuration changes, and reconfigures the others.
 
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::context::Context;
 use crate::modules::serve::pools::actor;
 use std::sync::Arc;
 
-/// Follows a configuration.
-pub fn follow(context: &Arc<Context>, in_force: &Arc<InForce>) {
-    context.pools.follow_links(in_force);
-    let mut pools = context.pools.copy();
+/// Applies a configuration to the pools.
+pub fn apply_to_pools(context: &Arc<Context>, in_force: &Arc<InForce>) {
+    context.pools.update_links(in_force);
+    let mut pools = context.pools.cloned();
     for name in in_force.document.service.keys() {
         match pools.get(name) {
             Some(pool) => pool.reconfigure(in_force.clone()),
@@ -18,5 +18,5 @@
             }
         }
     }
-    context.pools.put(pools);
+    context.pools.replace(pools);
 }
--- a/src/modules/serve/pools/wire.rs
+++ b/src/modules/serve/pools/wire.rs
@@ -1,4 +1,4 @@
-//! Offers, orders and reports between a request and the home of its pool, as messages.
+//! Conversion of offers, orders and reports to and from messages between daemons.
 
 use crate::modules::serve::peers::request_on_wire::{request_bytes, request_of};
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport};
@@ -12,8 +12,8 @@
     AttemptNumber, DurationMs, Outcome, RefusalCode, RequestId, ServiceName, Tokens,
 };
 
-/// The refusal code of a text; an unknown one tells nothing for sure.
-pub(crate) fn code_of(text: &str) -> RefusalCode {
+/// Parses a refusal code. An unknown code becomes `OutcomeUnknown`, which claims nothing.
+pub(crate) fn parse_refusal_code(text: &str) -> RefusalCode {
     const CODES: [RefusalCode; 9] = [
         RefusalCode::CannotMeetTarget,
         RefusalCode::QueueFull,
@@ -29,8 +29,8 @@
     found.unwrap_or(RefusalCode::OutcomeUnknown)
 }
 
-/// The outcome of a text; anything unknown is unknown.
-pub(crate) fn outcome_of(text: &str) -> Outcome {
+/// Parses an outcome. An unknown text becomes `Unknown`.
+pub(crate) fn parse_outcome(text: &str) -> Outcome {
     match text {
         "not-run" => Outcome::NotRun,
         "ran" => Outcome::Ran,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The order as a frame for the daemon that its request came in at.
+/// Converts an order to a frame for the daemon that received its request.
 pub(crate) fn order_to_wire(request: RequestId, order: &PoolOrder) -> Body {
     let order = match order {
         PoolOrder::Dispatch {
@@ -74,7 +74,7 @@
     })
 }
 
-/// The offer as a message.
+/// Converts an offer to a message.
 pub(crate) fn offer_to_wire(offer: &NamedOffer) -> PoolOffer {
     PoolOffer {
         service: offer.service.to_string(),
@@ -92,7 +92,7 @@
     }
 }
 
-/// The offer of a message; none when it isn't one.
+/// Converts a message to an offer; `None` when the message is malformed.
 pub(crate) fn offer_from_wire(offer: PoolOffer) -> Option<NamedOffer> {
     Some(NamedOffer {
         request: request_of(&offer.request)?,
@@ -110,7 +110,7 @@
     })
 }
 
-/// The report as a message.
+/// Converts a report to a message.
 pub(crate) fn report_to_wire(
     service: &ServiceName,
     request: RequestId,
@@ -150,7 +150,7 @@
     }
 }
 
-/// The report of a message; none when it isn't one.
+/// Converts a message to a report; `None` when the message is malformed.
 pub(crate) fn report_from_wire(report: &WireReport) -> Option<PoolReport> {
     use pool_report::Report;
     let attempt = AttemptNumber(report.attempt);
