--- a/src/modules/serve/configuration/accept.rs
+++ b/src/modules/serve/configuration/accept.rs
@@ -1,7 +1,7 @@
-//! Accepting a version of the configuration, wherever it came from: into the replica, in force, and
-//! on to others.
+//! Accepts a version of the configuration from any source: stores it in the replica, activates it
+//! and announces it to other daemons.
 //!
-//! Versions only rise; one that isn't newer changes nothing.
+//! Versions only rise; a version that isn't newer changes nothing.
 
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::context::Context;
@@ -12,7 +12,7 @@
 use bridgevane_types::ConfigVersion;
 use std::sync::Arc;
 
-/// Takes a version that came whole, from the platform or an operator's change.
+/// Accepts a complete document, from the platform or an operator's change.
 pub(crate) fn accept_document(context: &Arc<Context>, version: ConfigVersion, document: Document) {
     let sections = match Sections::of(&document) {
         Ok(sections) => sections,
@@ -23,17 +23,18 @@
     };
     let accepted = context.replica.lock().accept_snapshot(version, sections);
     if accepted.is_ok() {
-        take_over(context, version, document);
+        activate_and_announce(context, version, document);
     }
 }
 
-fn take_over(context: &Arc<Context>, version: ConfigVersion, document: Document) {
-    put_in_force(context, InForce::new(version, document));
+fn activate_and_announce(context: &Arc<Context>, version: ConfigVersion, document: Document) {
+    activate(context, InForce::new(version, document));
     membership::announce(context);
 }
 
-/// Reads what changed on top of the version in force, or all when that is another one.
-pub(super) fn take_over_changes(
+/// Activates `version` by changes to the version in force, or from the replica if that isn't
+/// `from`.
+pub(super) fn activate_changes(
     context: &Arc<Context>,
     from: ConfigVersion,
     version: ConfigVersion,
@@ -42,22 +43,22 @@
     let in_force = context.in_force.load();
     let base = in_force.filter(|in_force| in_force.version == from);
     match base.and_then(|base| base.document.changed_by(changes).ok()) {
-        Some(document) => take_over(context, version, document),
-        None => take_over_sections(context, version),
+        Some(document) => activate_and_announce(context, version, document),
+        None => activate_sections(context, version),
     }
 }
 
-/// Puts what the replica holds in force.
-pub(super) fn take_over_sections(context: &Arc<Context>, version: ConfigVersion) {
+/// Activates the version that the replica holds.
+pub(super) fn activate_sections(context: &Arc<Context>, version: ConfigVersion) {
     let document = context.replica.lock().sections().document();
     match document {
-        Ok(document) => take_over(context, version, document),
+        Ok(document) => activate_and_announce(context, version, document),
         Err(error) => event!(Event::ConfigRejected, version = version, cause = error),
     }
 }
 
-/// Puts a version in force if it is newer, and tells the pools.
-fn put_in_force(context: &Arc<Context>, next: InForce) {
+/// Activates a version if it is newer than the one in force, and applies it to the pools.
+fn activate(context: &Arc<Context>, next: InForce) {
     let version = next.version;
     if !context.in_force.advance(next) {
         return;
--- a/src/modules/serve/configuration/change.rs
+++ b/src/modules/serve/configuration/change.rs
@@ -1,8 +1,9 @@
 //! Changes of the configuration by operators: compare-and-swap with an operation id.
 //!
-//! The answer is exact: it took effect, it did not, or nobody can tell yet and the same
-//! operation may be sent again. Changes of different sections are carried out one after the
-//! other; of two changes of the same section one wins, the other's answer says what changed.
+//! The answer is exact: the change took effect, it did not, or its outcome is unknown and the same
+//! operation may be sent again. Concurrent changes of different sections are applied one after the
+//! other. Of two changes of the same section one takes effect; the answer to the other lists what
+//! changed meanwhile.
 
 use crate::modules::serve::configuration::accept;
 use crate::modules::serve::configuration::follow::CONFIG_KEY;
@@ -18,140 +19,146 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// How often a change is tried on top of others' changes of other sections. Not measured, chosen
-/// because each failed try means that another operator's change went through meanwhile.
-const TRIES: u32 = 5;
+/// The maximum number of attempts to apply a change. Each failed attempt means that another
+/// operator's change of other sections took effect meanwhile.
+const MAX_ATTEMPTS: u32 = 5;
 
 /// A change that an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ProposedChange {
     /// A statement of the language.
     Statement(Statement),
-    /// A whole document, made on top of a version.
+    /// A complete document, and the version that it is based on.
     Document(Box<Document>, ConfigVersion),
 }
 
-/// Who asks for what.
+/// A change, with the operator who proposes it.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
-    /// The operation's id.
+    /// The id of the operation; the same id may be sent again.
     pub operation_id: OperationId,
-    /// The operator.
+    /// The proposing operator.
     pub operator: OperatorName,
-    /// The change.
+    /// The proposed change.
     pub change: ProposedChange,
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
-pub(crate) enum Decided {
-    /// It took effect, now or before.
+pub(crate) enum ProposalOutcome {
+    /// The change took effect, now or when it was sent before.
     TookEffect {
-        /// The version that it made.
+        /// The version that the change created.
         version: ConfigVersion,
     },
-    /// It changes nothing.
+    /// The proposal doesn't change the configuration.
     NoChange,
-    /// It did not take effect: another operator changed the same.
+    /// The change did not take effect: another operator changed the same sections.
     Conflict {
-        /// What was accepted meanwhile.
+        /// The operations that were accepted since the base version.
         meanwhile: Vec<AcceptedOperation>,
     },
 }
 
-/// Why a proposal was not decided as asked.
+/// An error of a proposal; it tells whether the change took effect.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ChangeError {
-    /// It would make an invalid configuration; it did not take effect.
+    /// The change would make the configuration invalid; it did not take effect.
     #[display("it did not take effect:\n{_0}")]
     Invalid(ConfigProblems),
-    /// There is no such class, customer, route, engine or field; it did not take effect.
+    /// The class, customer, route, engine or field doesn't exist; the change did not take effect.
     #[display("it did not take effect: {what}")]
     #[from(ignore)]
-    NoSuch {
-        /// What is missing, and what there is.
+    NotFound {
+        /// The missing name, and the existing ones.
         #[error(not(source))]
         what: String,
     },
-    /// The stored configuration can't be read; it did not take effect.
+    /// The stored configuration can't be read; the change did not take effect.
     #[display("it did not take effect: {_0}")]
-    Stored(EnvelopeError),
-    /// The platform's service can't be reached; it did not take effect.
+    InvalidStoredConfig(EnvelopeError),
+    /// The platform's service is unavailable; the change did not take effect.
     #[display("it did not take effect: {_0}; changes are not possible now, serving goes on")]
     #[from(ignore)]
-    Away(KvError),
-    /// Nobody can tell.
+    Unavailable(KvError),
+    /// The answer of the platform's service was lost: the outcome is unknown.
     #[display("it isn't known whether it took effect ({_0}); send the same operation again")]
     #[from(ignore)]
     Unknown(KvError),
-    /// Others' changes came between too often; it did not take effect.
+    /// Too many concurrent changes; the change did not take effect.
     #[display("it did not take effect: too many changes at once, try again")]
     #[from(ignore)]
-    Busy,
+    Contended,
 }
 
-struct Read {
+/// The stored configuration and its revision.
+struct StoredConfig {
     envelope: Envelope,
     revision: Option<KvRevision>,
 }
 
-/// Carries a proposal out.
+/// Applies a proposal to the stored configuration.
 ///
 /// # Errors
-/// [`ChangeError`], which tells whether it took effect.
-pub async fn propose(context: &Arc<Context>, proposal: Proposal) -> Result<Decided, ChangeError> {
+/// Returns a [`ChangeError`], which tells whether the change took effect.
+pub async fn propose(
+    context: &Arc<Context>,
+    proposal: Proposal,
+) -> Result<ProposalOutcome, ChangeError> {
     let mut base = match &proposal.change {
         ProposedChange::Document(_, base) => Some(*base),
         ProposedChange::Statement(_) => None,
     };
-    for _ in 0..TRIES {
-        let read = read(context).await.map_err(ChangeError::Away)??;
-        let based_on = *base.get_or_insert(read.envelope.version);
-        let status = read.envelope.status_of(&proposal.operation_id, based_on);
+    for _ in 0..MAX_ATTEMPTS {
+        let stored = read_stored(context)
+            .await
+            .map_err(ChangeError::Unavailable)??;
+        let based_on = *base.get_or_insert(stored.envelope.version);
+        let status = stored.envelope.status_of(&proposal.operation_id, based_on);
         if let OperationStatus::TookEffect(version) = status {
-            return Ok(Decided::TookEffect { version });
+            return Ok(ProposalOutcome::TookEffect { version });
         }
-        let changed = apply(&proposal.change, &read.envelope.document)?;
+        let changed = apply(&proposal.change, &stored.envelope.document)?;
         changed.check()?;
-        let paths = changed_paths(&read.envelope.document, &changed);
+        let paths = changed_paths(&stored.envelope.document, &changed);
         if paths.is_empty() {
-            return Ok(Decided::NoChange);
+            return Ok(ProposalOutcome::NoChange);
         }
-        let meanwhile = read.envelope.since(based_on);
+        let meanwhile = stored.envelope.since(based_on);
         if overlaps(&proposal.change, meanwhile, &paths) {
             let meanwhile = meanwhile.to_vec();
-            return Ok(Decided::Conflict { meanwhile });
+            return Ok(ProposalOutcome::Conflict { meanwhile });
         }
-        let next = read.envelope.succeed(
+        let next = stored.envelope.succeed(
             changed,
             proposal.operation_id.clone(),
             proposal.operator.clone(),
             paths,
         );
-        match store(context, &next, read.revision).await? {
-            Ok(()) => return Ok(accepted(context, &proposal, next)),
+        match store(context, &next, stored.revision).await? {
+            Ok(()) => return Ok(accept_stored(context, &proposal, next)),
             Err(KvError::Conflict) => {}
             Err(error) if error.may_have_taken_effect() => {
-                return resolve(context, &proposal, based_on, error).await;
+                return resolve_lost_answer(context, &proposal, based_on, error).await;
             }
-            Err(error) => return Err(ChangeError::Away(error)),
+            Err(error) => return Err(ChangeError::Unavailable(error)),
         }
     }
-    Err(ChangeError::Busy)
+    Err(ChangeError::Contended)
 }
 
-async fn read(context: &Context) -> Result<Result<Read, ChangeError>, KvError> {
+async fn read_stored(context: &Context) -> Result<Result<StoredConfig, ChangeError>, KvError> {
     context.metrics.platform_call("get");
     let value = context.platform.get(CONFIG_KEY).await?;
     let Some(value) = value else {
-        return Ok(Ok(Read {
+        return Ok(Ok(StoredConfig {
             envelope: Envelope::default(),
             revision: None,
         }));
     };
-    let envelope = Envelope::parse(&value.text).map_err(ChangeError::Stored);
-    Ok(envelope.map(|envelope| Read {
+    let envelope = Envelope::parse(&value.text).map_err(ChangeError::InvalidStoredConfig);
+    Ok(envelope.map(|envelope| StoredConfig {
         envelope,
         revision: Some(value.revision),
     }))
@@ -172,7 +179,7 @@
     Ok(context.platform.compare_and_swap(cas).await.map(|_| ()))
 }
 
-fn accepted(context: &Arc<Context>, proposal: &Proposal, next: Envelope) -> Decided {
+fn accept_stored(context: &Arc<Context>, proposal: &Proposal, next: Envelope) -> ProposalOutcome {
     let version = next.version;
     event!(
         Event::ConfigProposed,
@@ -181,31 +188,31 @@
         version = version,
     );
     accept::accept_document(context, version, next.document);
-    Decided::TookEffect { version }
+    ProposalOutcome::TookEffect { version }
 }
 
-/// The answer was lost: the stored operations tell.
-async fn resolve(
+/// Looks up the outcome of a change whose answer was lost in the stored operations.
+async fn resolve_lost_answer(
     context: &Arc<Context>,
     proposal: &Proposal,
     base: ConfigVersion,
     error: KvError,
-) -> Result<Decided, ChangeError> {
-    let Ok(Ok(read)) = read(context).await else {
+) -> Result<ProposalOutcome, ChangeError> {
+    let Ok(Ok(stored)) = read_stored(context).await else {
         return Err(ChangeError::Unknown(error));
     };
-    match read.envelope.status_of(&proposal.operation_id, base) {
+    match stored.envelope.status_of(&proposal.operation_id, base) {
         OperationStatus::TookEffect(version) => {
-            accept::accept_document(context, read.envelope.version, read.envelope.document);
-            Ok(Decided::TookEffect { version })
+            accept::accept_document(context, stored.envelope.version, stored.envelope.document);
+            Ok(ProposalOutcome::TookEffect { version })
         }
-        // The write may still be on its way: it can't be ruled out here.
+        // The write may still arrive at the platform, so its absence proves nothing.
         OperationStatus::DidNot | OperationStatus::TooOldToTell => Err(ChangeError::Unknown(error)),
     }
 }
 
-/// Whether someone else changed the same sections since the proposal's base. A whole document
-/// replaces everything, so any change overlaps.
+/// Whether an operation since the proposal's base version changed the same sections. A complete
+/// document replaces everything, so it overlaps with any change.
 fn overlaps(change: &ProposedChange, meanwhile: &[AcceptedOperation], paths: &[String]) -> bool {
     match change {
         ProposedChange::Document(..) => !meanwhile.is_empty(),
@@ -228,7 +235,7 @@
         .collect()
 }
 
-/// The document after the change.
+/// Returns the document after the change.
 fn apply(change: &ProposedChange, document: &Document) -> Result<Document, ChangeError> {
     match change {
         ProposedChange::Document(next, _) => Ok((**next).clone()),
@@ -236,8 +243,8 @@
     }
 }
 
-fn no_such(what: impl Into<String>) -> ChangeError {
-    ChangeError::NoSuch { what: what.into() }
+fn not_found(what: impl Into<String>) -> ChangeError {
+    ChangeError::NotFound { what: what.into() }
 }
 
 fn apply_statement(statement: &Statement, document: &Document) -> Result<Document, ChangeError> {
@@ -246,7 +253,7 @@
             target,
             field,
             value,
-        } => set(document, target, field, value),
+        } => set_field(document, target, field, value),
         Statement::DrainEngine {
             service,
             engine,
@@ -258,7 +265,7 @@
                 .get_mut(service)
                 .and_then(|service| service.engine.get_mut(engine));
             let Some(found) = found else {
-                return Err(no_such(format!(
+                return Err(not_found(format!(
                     "there is no engine '{engine}' in '{service}'"
                 )));
             };
@@ -271,11 +278,12 @@
             batch,
             watch_ms,
         } => roll_out(document, model, *version, *batch, *watch_ms),
-        _ => Err(no_such("the statement changes no configuration")),
+        _ => Err(not_found("the statement changes no configuration")),
     }
 }
 
-/// A rollout starts from the version that the one before it went to.
+/// Returns the document with a new rollout, which starts from the target version of the previous
+/// one.
 fn roll_out(
     document: &Document,
     model: &ModelName,
@@ -302,34 +310,34 @@
     }
     let rollout = entry
         .try_into()
-        .map_err(|_| no_such("the rollout can't be written"))?;
+        .map_err(|_| not_found("the rollout can't be written"))?;
     let mut next = document.clone();
     next.rollout.insert(model.clone(), rollout);
     Ok(next)
 }
 
-/// Sets one field by way of TOML, so that each field has the one meaning of the format.
-fn set(
+/// Sets one field in the TOML form of the document, so that values are parsed as in a file.
+fn set_field(
     document: &Document,
     target: &Target,
     field: &str,
     value: &Operand,
 ) -> Result<Document, ChangeError> {
-    let mut table = toml::Table::try_from(document).map_err(|_| no_such("the document"))?;
-    let entry = find(&mut table, target)?;
+    let mut table = toml::Table::try_from(document).map_err(|_| not_found("the document"))?;
+    let entry = find_entry(&mut table, target)?;
     let before = entry.get(field).cloned();
     entry.insert(field.to_owned(), to_toml(value, before.as_ref()));
     let known: Vec<String> = entry.keys().cloned().collect();
     table.try_into().map_err(|error: toml::de::Error| {
         let reason = error.message().replace('\n', " ");
-        no_such(format!(
+        not_found(format!(
             "{reason}; the fields set now are {}",
             known.join(", ")
         ))
     })
 }
 
-fn find<'a>(
+fn find_entry<'a>(
     table: &'a mut toml::Table,
     target: &Target,
 ) -> Result<&'a mut toml::Table, ChangeError> {
@@ -347,7 +355,7 @@
         .and_then(toml::Value::as_table_mut);
     let Some(entry) = entry else {
         let known = names.join(", ");
-        return Err(no_such(format!(
+        return Err(not_found(format!(
             "there is no {family} '{name}'; there are {known}"
         )));
     };
@@ -355,15 +363,15 @@
         return Ok(entry);
     };
     let routes = entry.get_mut("route").and_then(toml::Value::as_array_mut);
-    let is_it = |route: &&mut toml::Value| {
+    let has_prefix = |route: &&mut toml::Value| {
         route.get("prefix").and_then(toml::Value::as_str) == Some(prefix.as_str())
     };
-    let route = routes.into_iter().flatten().find(is_it);
+    let route = routes.into_iter().flatten().find(has_prefix);
     let route = route.and_then(toml::Value::as_table_mut);
-    route.ok_or_else(|| no_such(format!("'{name}' has no route '{prefix}'")))
+    route.ok_or_else(|| not_found(format!("'{name}' has no route '{prefix}'")))
 }
 
-/// The value in the type that the field has now, else whole numbers as integers.
+/// Converts a value to the type that the field has now; if it has none, whole numbers to integers.
 fn to_toml(value: &Operand, before: Option<&toml::Value>) -> toml::Value {
     match value {
         Operand::Text(text) if text == "true" || text == "false" => {
@@ -380,11 +388,13 @@
     }
 }
 
-/// The accepted operations that the platform's service holds.
+/// Returns the accepted operations that the platform's service holds.
 ///
 /// # Errors
-/// [`ChangeError`] when it can't be reached or read.
+/// Returns a [`ChangeError`] when the configuration can't be reached or read.
 pub async fn history(context: &Context) -> Result<Vec<AcceptedOperation>, ChangeError> {
-    let read = read(context).await.map_err(ChangeError::Away)??;
-    Ok(read.envelope.operation)
+    let stored = read_stored(context)
+        .await
+        .map_err(ChangeError::Unavailable)??;
+    Ok(stored.envelope.operation)
 }
--- a/src/modules/serve/configuration/follow.rs
+++ b/src/modules/serve/configuration/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the configuration in the platform's key-value service, where this daemon is one
-//! of its data centre's watchers. The others get it from their peers.
+//! Watches the configuration in the platform's key-value service while this daemon is one of its
+//! data centre's watchers. The other daemons get the configuration from their peers.
 
 use crate::modules::serve::configuration::accept;
 use crate::modules::serve::context::Context;
@@ -12,20 +12,21 @@
 
 /// The key under which the platform's service holds the configuration.
 pub const CONFIG_KEY: &str = "bridgevane/config";
-/// How long one watch waits. Not measured, chosen because a waiting watch counts as one call,
-/// whatever its length.
+/// The longest time for which one watch call waits. A watch counts as one call, whatever its
+/// length.
 const WATCH_MS: DurationMs = DurationMs(30_000);
-/// How often it is looked whether this daemon is a watcher, or may call again. Not measured, chosen
-/// because a watcher that died must be replaced within the 5 s of a change.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// The interval at which a daemon checks whether it has become a watcher, or may call the platform
+/// again. A watcher that died must be replaced within the 5 s that a change may take.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Follows until the daemon ends.
+/// Watches the configuration until the daemon ends.
 pub async fn run(context: Arc<Context>) {
     let mut after = KvRevision(0);
     loop {
-        let is_due = context.members.is_watcher() && context.replica.may_call(context.now());
+        let is_due =
+            context.members.is_watcher() && context.replica.try_acquire_call(context.now());
         if !is_due {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(RECHECK_INTERVAL).await;
             continue;
         }
         context.metrics.platform_call("watch");
@@ -34,7 +35,7 @@
                 context.replica.call_succeeded();
                 if let Some(value) = value {
                     after = value.revision;
-                    take(&context, &value);
+                    accept_value(&context, &value);
                 }
                 context.replica.note_contact();
             }
@@ -43,7 +44,7 @@
     }
 }
 
-fn take(context: &Arc<Context>, value: &KvValue) {
+fn accept_value(context: &Arc<Context>, value: &KvValue) {
     match Envelope::parse(&value.text) {
         Ok(envelope) => {
             accept::accept_document(context, envelope.version, envelope.document);
--- a/src/modules/serve/configuration/in_force.rs
+++ b/src/modules/serve/configuration/in_force.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this VM, read without locks.
+//! The configuration in force: the version that this VM's requests use, read without locks.
 
 use arc_swap::ArcSwapOption;
 use bridgevane_config::{CustomerConfig, Document};
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// A version of the configuration with the indexes that requests need.
+/// A version of the configuration with the index by which requests find their customer.
 #[derive(Debug)]
 pub struct InForce {
     /// The version.
@@ -18,7 +18,7 @@
 }
 
 impl InForce {
-    /// Indexes `document`.
+    /// Creates the version, and the index of the customers' bearer keys.
     pub fn new(version: ConfigVersion, document: Document) -> Self {
         let mut customer_of_digest = HashMap::new();
         for (name, customer) in &document.customer {
@@ -33,31 +33,31 @@
         }
     }
 
-    /// The customer whose bearer key is `key`.
+    /// Returns the customer whose bearer key is `key`.
     pub(crate) fn customer_of_key(&self, key: &str) -> Option<(&CustomerId, &CustomerConfig)> {
         let name = self.customer_of_digest.get(&key_digest(key))?;
         self.document.customer.get_key_value(name)
     }
 }
 
-/// The digest under which the configuration knows a bearer key.
+/// Returns the digest of a bearer key, as it is stored in the configuration.
 pub fn key_digest(key: &str) -> String {
     format!("{:032x}", xxh3_128(key.as_bytes()))
 }
 
-/// The version in force; it only rises.
+/// The configuration in force. Its version only rises.
 #[derive(Debug, Default)]
 pub struct ConfigInForce {
     current: ArcSwapOption<InForce>,
 }
 
 impl ConfigInForce {
-    /// The configuration, once there is one.
+    /// Returns the configuration in force, once there is one.
     pub fn load(&self) -> Option<Arc<InForce>> {
         self.current.load_full()
     }
 
-    /// Puts a version in force unless the one in force is as new; true when it was put.
+    /// Puts `next` in force if it is newer than the version in force; returns whether it was.
     pub fn advance(&self, next: InForce) -> bool {
         let next = Arc::new(next);
         let previous = self.current.rcu(|current| match current {
--- a/src/modules/serve/configuration/mod.rs
+++ b/src/modules/serve/configuration/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' document: followed at the platform, passed on between daemons, in force, changed.
+//! The operators' configuration: read from the platform, replicated between daemons, put in force,
+//! and changed.
 
 pub(crate) mod accept;
 pub(crate) mod change;
--- a/src/modules/serve/configuration/relay.rs
+++ b/src/modules/serve/configuration/relay.rs
@@ -1,6 +1,7 @@
-//! The configuration between daemons: versions go in heartbeats, changes as deltas on demand.
+//! Replicates the configuration between daemons: heartbeats carry versions, changes are sent as
+//! deltas on request.
 
-use crate::modules::serve::configuration::accept::{take_over_changes, take_over_sections};
+use crate::modules::serve::configuration::accept::{activate_changes, activate_sections};
 use crate::modules::serve::context::Context;
 use crate::modules::serve::peers::links::LinkHandle;
 use bridgevane_config::{Delta, SectionChange, Sections};
@@ -11,7 +12,7 @@
 use bridgevane_types::ConfigVersion;
 use std::sync::Arc;
 
-/// A daemon that is behind asks for what is missing.
+/// Answers a daemon that has an older version with a delta or a snapshot.
 pub(crate) fn on_wanted(context: &Arc<Context>, link: &LinkHandle, wanted: &ConfigWanted) {
     let answer = context
         .replica
@@ -48,7 +49,7 @@
     }
 }
 
-/// A change came.
+/// Accepts a delta.
 pub(crate) fn on_delta(context: &Arc<Context>, link: &LinkHandle, delta: ConfigDelta) {
     let version = ConfigVersion(delta.to_version);
     let from_wire = |change: WireChange| SectionChange {
@@ -64,17 +65,17 @@
     let (from, changes) = (delta.from, delta.changes.clone());
     let accepted = context.replica.lock().accept_delta(delta);
     match accepted {
-        Ok(()) => take_over_changes(context, from, version, &changes),
+        Ok(()) => activate_changes(context, from, version, &changes),
         Err(NotAccepted::NotNewer { .. }) => {}
         Err(NotAccepted::Unfit(error)) => {
             event!(Event::ConfigRejected, version = version, cause = error);
-            // What was at hand moved meanwhile, or differs: ask again from scratch.
+            // The local version has changed meanwhile, or differs: request a full snapshot.
             link.send(Body::ConfigWanted(ConfigWanted { have_version: 0 }));
         }
     }
 }
 
-/// A whole version came.
+/// Accepts a snapshot.
 pub(crate) fn on_snapshot(context: &Arc<Context>, snapshot: ConfigSnapshot) {
     let version = ConfigVersion(snapshot.version);
     let entry = |section: WireChange| Some((section.path, section.text?));
@@ -85,6 +86,6 @@
     }
     let accepted = context.replica.lock().accept_snapshot(version, sections);
     if accepted.is_ok() {
-        take_over_sections(context, version);
+        activate_sections(context, version);
     }
 }
--- a/src/modules/serve/configuration/replica.rs
+++ b/src/modules/serve/configuration/replica.rs
@@ -1,7 +1,6 @@
-//! This daemon's copy of the configuration as it goes between daemons, and its budget of the
-//! platform's calls.
+//! This daemon's replica of the configuration, and its budget of calls to the platform.
 //!
-//! Owns both behind locks that no request takes; what requests read is [`super::in_force`].
+//! Owns both behind locks that no request takes; requests read [`super::in_force`].
 
 use bridgevane_adapters::KvError;
 use bridgevane_coordination::configs::CallBudgetConfig;
@@ -12,18 +11,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// This daemon's copy, and its budget of calls for it.
+/// This daemon's replica of the configuration, and its budget of calls to the platform.
 pub struct ConfigCopy {
     replica: Mutex<ConfigReplica>,
     budget: Mutex<CallBudget>,
-    /// Some peer or the platform has answered since the start.
+    /// Whether a peer or the platform has answered since the daemon started.
     has_contact: AtomicBool,
-    /// Requests are taken; from then on a newer version is put in force as it comes.
+    /// Whether the daemon has started to accept requests; it then accepts them under any version.
     has_served: AtomicBool,
 }
 
 impl ConfigCopy {
-    /// An empty copy.
+    /// Creates an empty replica.
     pub fn new(seed: u64) -> Self {
         Self {
             replica: Mutex::default(),
@@ -41,19 +40,20 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The version at hand and the highest one heard of.
+    /// Returns the version of the replica and the highest version that any daemon has announced.
     pub fn versions(&self) -> (ConfigVersion, ConfigVersion) {
         let replica = self.lock();
         (replica.version(), replica.highest_heard())
     }
 
-    /// Notes that someone who knows versions has answered.
+    /// Records that a daemon or the platform has answered.
     pub(crate) fn note_contact(&self) {
         self.has_contact.store(true, Ordering::Release);
     }
 
-    /// Whether requests may be taken: not before someone was asked for the newest version,
-    /// and at first not under an older one than any peer holds.
+    /// Whether requests may be accepted. A started daemon needs a configuration, an answer from a
+    /// peer or the platform, and no peer with a newer version; once it has accepted requests, it
+    /// continues.
     pub(crate) fn may_serve(&self) -> bool {
         if self.has_served.load(Ordering::Acquire) {
             return true;
@@ -68,12 +68,12 @@
         is_ready
     }
 
-    /// Takes a read of the platform's service from the budget.
-    pub(crate) fn may_call(&self, now: TimeMs) -> bool {
+    /// Takes one read call from the budget; false when the budget allows none now.
+    pub(crate) fn try_acquire_call(&self, now: TimeMs) -> bool {
         self.budget().take(now, CallKind::Read).is_ok()
     }
 
-    /// Notes that the platform's service answered.
+    /// Records that the platform answered a call.
     pub(crate) fn call_succeeded(&self) {
         let was_failing = {
             let mut budget = self.budget();
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Whether the latest call of the platform's service failed.
+    /// Whether the latest call to the platform failed.
     pub(crate) fn is_platform_unavailable(&self) -> bool {
         self.budget().is_failing()
     }
 
-    /// Notes that a call of the platform's service failed.
+    /// Records that a call to the platform failed.
     pub(crate) fn call_failed(&self, now: TimeMs, error: &KvError) {
         let retry_after_ms = match error {
             KvError::RateLimited { retry_after_ms } => *retry_after_ms,
@@ -108,8 +108,9 @@
         }
     }
 
-    /// A heartbeat names its sender's versions; gives what is to be asked for when they are newer.
-    pub fn hear(&self, heartbeat: &Heartbeat) -> Option<ConfigWanted> {
+    /// Records the versions in a heartbeat; returns the request for the newer version, if there is
+    /// one.
+    pub fn observe_versions(&self, heartbeat: &Heartbeat) -> Option<ConfigWanted> {
         let mut replica = self.lock();
         replica.hear(ConfigVersion(heartbeat.highest_config_version));
         replica.hear(ConfigVersion(heartbeat.config_version));
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -65,7 +65,7 @@
         call_digest: call.call_digest,
         is_asked_before,
     });
-    context.links.to(address).send(frame);
+    context.links.link_to(address).send(frame);
     let verdict = tokio::time::timeout(ANSWER_TIMEOUT, receiver).await;
     context.keys.pending_claims().remove(&claim);
     // No answer in time, or the claim was dropped: the verdict isn't known.
--- a/src/modules/serve/keys/ends.rs
+++ b/src/modules/serve/keys/ends.rs
@@ -88,7 +88,7 @@
     context.keys.unacknowledged().insert(claim, sender);
     let is_sent = context
         .links
-        .to(home)
+        .link_to(home)
         .send(Body::KeyEnded(KeyEnded { claim, ..ended }));
     let is_acknowledged = is_sent && matches!(timeout(ACK_TIMEOUT, acknowledged).await, Ok(Ok(())));
     context.keys.unacknowledged().remove(&claim);
--- a/src/modules/serve/keys/key_homes.rs
+++ b/src/modules/serve/keys/key_homes.rs
@@ -109,7 +109,7 @@
     }
 
     /// Records the VMs of this data centre on the platform's list.
-    pub fn listed(&self, now: TimeMs, listed: &[VmId]) {
+    pub fn on_platform_list(&self, now: TimeMs, listed: &[VmId]) {
         self.registry().listed(now, listed);
     }
 
--- a/src/modules/serve/operators/fan_out.rs
+++ b/src/modules/serve/operators/fan_out.rs
@@ -40,7 +40,7 @@
             query,
             text: text.to_owned(),
         });
-        context.links.to(address).send(frame);
+        context.links.link_to(address).send(frame);
         expected.insert(vm);
     }
     let mut answer = Answer::default();
--- a/src/modules/serve/operators/interface.rs
+++ b/src/modules/serve/operators/interface.rs
@@ -1,7 +1,7 @@
 //! The operators' HTTP interface: statements in, answers out, by name and bearer token.
 
 use crate::modules::serve::configuration::change::{
-    self, ChangeError, Decided, Proposal, ProposedChange,
+    self, ChangeError, Proposal, ProposalOutcome, ProposedChange,
 };
 use crate::modules::serve::context::Context;
 use crate::modules::serve::operators::fan_out;
@@ -228,7 +228,7 @@
         change,
     };
     match change::propose(context, proposal).await {
-        Ok(decided @ Decided::Conflict { .. }) => {
+        Ok(decided @ ProposalOutcome::Conflict { .. }) => {
             (StatusCode::CONFLICT, Json(decided)).into_response()
         }
         Ok(decided) => Json(decided).into_response(),
@@ -238,9 +238,9 @@
 
 fn change_error(problem: &ChangeError) -> Response {
     let status = match problem {
-        ChangeError::Invalid(_) | ChangeError::NoSuch { .. } => StatusCode::BAD_REQUEST,
-        ChangeError::Stored(_) => StatusCode::INTERNAL_SERVER_ERROR,
-        ChangeError::Away(_) | ChangeError::Busy => StatusCode::SERVICE_UNAVAILABLE,
+        ChangeError::Invalid(_) | ChangeError::NotFound { .. } => StatusCode::BAD_REQUEST,
+        ChangeError::InvalidStoredConfig(_) => StatusCode::INTERNAL_SERVER_ERROR,
+        ChangeError::Unavailable(_) | ChangeError::Contended => StatusCode::SERVICE_UNAVAILABLE,
         ChangeError::Unknown(_) => StatusCode::GATEWAY_TIMEOUT,
     };
     error(status, problem.to_string())
--- a/src/modules/serve/peers/connections.rs
+++ b/src/modules/serve/peers/connections.rs
@@ -1,8 +1,8 @@
-//! Connections between daemons: dialled or accepted, greeted, framed, served until either side
-//! ends.
+//! Connections between daemons: opened or accepted, authenticated by a greeting, and served until
+//! either side closes them.
 //!
-//! Owns each socket while it lasts; the sending queues are [`super::links`]', what a frame means is
-//! [`super::frames`]'.
+//! Owns the sockets. [`super::links`] owns the sending queues, [`super::frames`] processes the
+//! frames.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::peers::frames;
@@ -20,8 +20,8 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// The pause after a failed accept, such as for want of descriptors. Not measured, chosen because
-/// without one the daemon would spin until a descriptor is free.
+/// The pause after a failed accept, for example when no file descriptor is free. Without it the
+/// daemon would spin until one is.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 fn own_hello(context: &Context) -> Hello {
@@ -35,15 +35,15 @@
     }
 }
 
-/// Opens the connections that are asked for, until the daemon ends.
-pub(crate) async fn dial_all(context: Arc<Context>, mut asked: mpsc::UnboundedReceiver<Dial>) {
-    while let Some(dial) = asked.recv().await {
-        tokio::spawn(call(context.clone(), dial));
+/// Opens the requested connections until the daemon ends.
+pub(crate) async fn dial_all(context: Arc<Context>, mut requested: mpsc::UnboundedReceiver<Dial>) {
+    while let Some(dial) = requested.recv().await {
+        tokio::spawn(connect(context.clone(), dial));
     }
 }
 
 /// Opens a connection and serves it until it ends.
-async fn call(context: Arc<Context>, dial: Dial) {
+async fn connect(context: Arc<Context>, dial: Dial) {
     let Dial {
         address,
         link,
@@ -60,7 +60,7 @@
     homes::on_unreachable(&context, address);
 }
 
-/// Accepts connections of other daemons.
+/// Accepts connections of other daemons until the daemon ends.
 pub async fn accept(context: Arc<Context>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -80,7 +80,7 @@
         vm: VmId::new(&hello.vm),
         data_centre: DataCentreId::new(&hello.data_centre),
         incarnation: Incarnation(hello.incarnation),
-        // A daemon without an address can't be called back, and is refused.
+        // A daemon without a valid address can't be connected to, and is refused.
         address: hello.peer_address.parse().ok()?,
     })
 }
@@ -92,7 +92,7 @@
     link: &LinkHandle,
     receiver: mpsc::Receiver<Frame>,
 ) {
-    // Without it, small frames wait for acknowledgements.
+    // With Nagle's algorithm, small frames would wait for acknowledgements.
     let _ = stream.set_nodelay(true);
     let mut framed = Framed::new(stream, FrameCodec::default());
     let key = context.config.peer_key.0.as_bytes();
@@ -116,7 +116,7 @@
     }
 }
 
-/// Sends and receives until either side ends or nothing passes for long.
+/// Sends and receives frames until either side closes, or no frame passes for the idle timeout.
 async fn exchange(
     context: &Arc<Context>,
     framed: &mut Framed<TcpStream, FrameCodec>,
@@ -130,15 +130,15 @@
         tokio::select! {
             frame = receiver.recv() => {
                 let Some(frame) = frame else { return };
-                frames::count(context, "sent", &frame);
-                frames::note_sent(&frame, offers);
+                frames::count_bytes(context, "sent", &frame);
+                frames::on_sent(&frame, offers);
                 if framed.send(frame).await.is_err() {
                     return;
                 }
             }
             frame = framed.next() => {
                 let Some(Ok(frame)) = frame else { return };
-                frames::count(context, "received", &frame);
+                frames::count_bytes(context, "received", &frame);
                 frames::handle(context, peer, link, frame, offers).await;
             }
             () = tokio::time::sleep(idle) => return,
--- a/src/modules/serve/peers/frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -1,4 +1,4 @@
-//! What each frame from another daemon means.
+//! Processing of the frames that other daemons send.
 
 use crate::modules::serve::configuration::relay;
 use crate::modules::serve::context::Context;
@@ -13,12 +13,11 @@
 use prost::Message;
 use std::sync::Arc;
 
-/// Bytes that framing adds to a frame. From the codec: a length of four bytes goes before each
-/// frame.
+/// The number of bytes that the codec adds to a frame: a length of four bytes precedes each frame.
 const LENGTH_BYTES: u64 = 4;
 
-/// Counts a frame's bytes, those for control apart from those on the path of a request.
-pub fn count(context: &Context, direction: &'static str, frame: &Frame) {
+/// Counts a frame's bytes in the metrics, separately for control and for the path of a request.
+pub fn count_bytes(context: &Context, direction: &'static str, frame: &Frame) {
     let is_control = matches!(
         frame.body,
         Some(
@@ -34,8 +33,8 @@
     context.metrics.peer_bytes(direction, purpose, bytes);
 }
 
-/// A refusal that goes out ends an offer of the other side.
-pub(crate) fn note_sent(frame: &Frame, offers: &mut OpenOffers) {
+/// Removes the offer of the other side that a sent refusal ends.
+pub(crate) fn on_sent(frame: &Frame, offers: &mut OpenOffers) {
     let Some(Body::PoolOrder(order)) = &frame.body else {
         return;
     };
@@ -46,7 +45,7 @@
     }
 }
 
-/// Acts on a frame.
+/// Processes a received frame.
 pub async fn handle(
     context: &Arc<Context>,
     peer: &Peer,
@@ -55,11 +54,11 @@
     offers: &mut OpenOffers,
 ) {
     let Some(body) = frame.body else {
-        // A message of a later version.
+        // A message of a newer protocol version.
         return;
     };
     match body {
-        // Greetings come first and once.
+        // Greetings are exchanged before and only once; later ones are ignored.
         Body::Hello(_) | Body::Proof(_) => {}
         Body::Heartbeat(heartbeat) => membership::on_heartbeat(context, peer, link, heartbeat),
         Body::HeartbeatAck(heartbeat) => membership::on_ack(context, peer, link, heartbeat),
--- a/src/modules/serve/peers/links.rs
+++ b/src/modules/serve/peers/links.rs
@@ -1,8 +1,7 @@
-//! Connections between daemons as others use them: a sending queue each, and the daemon at the
-//! other end.
+//! The sending queues of the connections to other daemons.
 //!
-//! Owns the queues by address. Whoever sends to an address without a connection asks for one;
-//! [`super::connections`] dials it and serves it.
+//! Owns the queues by address. Sending to an address without a connection requests one;
+//! [`super::connections`] opens and serves it.
 
 use bridgevane_protocol::{Frame, frame::Body};
 use bridgevane_types::{DataCentreId, Incarnation, RequestId, ServiceName, VmId};
@@ -12,21 +11,20 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc;
 
-/// Frames that wait for one connection at most; beyond them frames are dropped, and what they were
-/// for is sent again or decided here. Not measured, chosen because it is a second of frames at the
-/// peak of one daemon.
+/// The maximum number of frames that wait for one connection: one second of frames at the peak of
+/// one daemon. Further frames are dropped; their senders send again or decide locally.
 const MAX_QUEUED_FRAMES: usize = 4_096;
 
 /// The daemon at the other end of a connection.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its VM.
+    /// The VM that it runs on.
     pub vm: VmId,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentreId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// The address that it listens on for other daemons.
     pub address: SocketAddr,
 }
 
@@ -38,7 +36,7 @@
 }
 
 impl LinkHandle {
-    /// Sends a frame; false when the connection is gone or can't keep up.
+    /// Queues a frame; false when the connection has ended or its queue is full.
     pub fn send(&self, body: Body) -> bool {
         self.frames.try_send(Frame { body: Some(body) }).is_ok()
     }
@@ -48,27 +46,27 @@
         self.frames.is_closed()
     }
 
-    /// Tells connections apart.
+    /// Returns the id of the connection, unique in this daemon.
     pub fn id(&self) -> u64 {
         self.id
     }
 }
 
-/// Requests that the daemon at the other end has offered here.
+/// The open requests that the daemon at the other end has offered to this one.
 pub(crate) type OpenOffers = HashMap<RequestId, ServiceName>;
 
-/// A connection that is to be opened.
+/// A request to open a connection.
 #[derive(Debug)]
 pub struct Dial {
-    /// Where to.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// Its sending side, in use already.
+    /// The sending side, which is already in use.
     pub link: LinkHandle,
-    /// The frames to send.
+    /// The queue of frames to send.
     pub frames: mpsc::Receiver<Frame>,
 }
 
-/// Connections that this daemon opened, by address.
+/// The connections that this daemon has opened, by address.
 #[derive(Debug)]
 pub struct PeerLinks {
     links: Mutex<HashMap<SocketAddr, LinkHandle>>,
@@ -77,30 +75,30 @@
 }
 
 impl PeerLinks {
-    /// No connections yet, and the connections that will be asked for.
+    /// Creates an empty set of connections, and the receiver of the connections to open.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Dial>) {
-        let (dials, asked) = mpsc::unbounded_channel();
+        let (dials, requested) = mpsc::unbounded_channel();
         let links = Self {
             links: Mutex::default(),
             next_id: AtomicU64::new(0),
             dials,
         };
-        (links, asked)
+        (links, requested)
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, LinkHandle>> {
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The two sides of a new connection's queue.
+    /// Creates the sending queue of a new connection.
     pub(super) fn new_link(&self) -> (LinkHandle, mpsc::Receiver<Frame>) {
         let (frames, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         (LinkHandle { frames, id }, receiver)
     }
 
-    /// The connection to `address`; one is asked for when there is none.
-    pub fn to(&self, address: SocketAddr) -> LinkHandle {
+    /// Returns the connection to `address`, and requests one when there is none.
+    pub fn link_to(&self, address: SocketAddr) -> LinkHandle {
         let mut links = self.lock();
         if let Some(link) = links.get(&address)
             && !link.is_closed()
@@ -114,12 +112,12 @@
             link: link.clone(),
             frames,
         };
-        // Nobody dials once the daemon ends; the queue is closed then, and its sender learns it.
+        // Once the daemon ends no connections are opened; the queue is then closed, and sends fail.
         let _ = self.dials.send(dial);
         link
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub(super) fn forget(&self, address: SocketAddr, link: &LinkHandle) {
         let mut links = self.lock();
         if links.get(&address).is_some_and(|known| known.id == link.id) {
--- a/src/modules/serve/peers/member_wire.rs
+++ b/src/modules/serve/peers/member_wire.rs
@@ -1,10 +1,10 @@
-//! What daemons say of each other's state, as messages, and back.
+//! Conversion of membership updates to and from messages.
 
 use bridgevane_coordination::{MemberState, MemberUpdate};
 use bridgevane_protocol::{MemberState as WireState, MemberUpdate as WireUpdate};
 use bridgevane_types::{Incarnation, VmId};
 
-/// An update as a message.
+/// Converts an update to a message.
 pub(super) fn to_wire(update: MemberUpdate) -> WireUpdate {
     let state = match update.state {
         MemberState::Alive => WireState::Alive,
@@ -18,12 +18,12 @@
         incarnation: update.incarnation.0,
         refutation: update.refutation,
         state: state.into(),
-        // Empty: nobody accuses it.
+        // Empty: no daemon suspects it.
         accuser: update.accuser.map(|vm| vm.to_string()).unwrap_or_default(),
     }
 }
 
-/// The update of a message; none when it isn't one.
+/// Converts a message to an update; `None` when the message is malformed.
 pub(super) fn from_wire(update: &WireUpdate) -> Option<MemberUpdate> {
     let state = match update.state() {
         WireState::Unspecified => return None,
@@ -34,7 +34,7 @@
     };
     Some(MemberUpdate {
         vm: VmId::new(&update.vm),
-        // Without an address it can't be reached, and counts as unknown.
+        // A daemon without a valid address can't be reached: the update is malformed.
         address: update.peer_address.parse().ok()?,
         incarnation: Incarnation(update.incarnation),
         refutation: update.refutation,
--- a/src/modules/serve/peers/members.rs
+++ b/src/modules/serve/peers/members.rs
@@ -1,7 +1,7 @@
-//! Who lives in this data centre, as all parts of the daemon read it.
+//! The membership of this data centre: the state that all parts of the daemon read.
 //!
-//! Owns the pure membership behind a lock, and a view of it that requests read without one. What
-//! drives it is [`super::membership`].
+//! Owns the membership state machine behind a lock, and a view of it that requests read without a
+//! lock. [`super::membership`] drives it.
 
 use arc_swap::ArcSwap;
 use bridgevane_adapters::VmEntry;
@@ -12,21 +12,21 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Daemons of a data centre that call the platform for all. Chosen because the second one goes on
-/// when the first dies; more cost calls.
+/// The number of daemons of a data centre that call the platform for all. The second one continues
+/// when the first dies; more would cost calls.
 const WATCHERS: usize = 2;
 
-/// Who lives, as the path of a request reads it.
+/// The live members, as the path of a request reads them.
 #[derive(Debug, Default)]
 pub struct LiveView {
-    /// Live VMs that take work.
+    /// The live VMs that accept requests.
     pub live: Vec<VmId>,
-    /// The same with their lives, for the homes of keys.
+    /// The same VMs with their incarnations, for the homes of keys.
     pub key_members: Vec<KeyMember>,
 }
 
 impl LiveView {
-    fn of(membership: &Membership) -> Self {
+    fn of_membership(membership: &Membership) -> Self {
         let live = membership.live();
         let incarnations = membership.live_incarnations();
         let member = |(vm, incarnation): (&VmId, Incarnation)| KeyMember {
@@ -43,18 +43,18 @@
     own_vm: VmId,
     membership: Mutex<Membership>,
     view: ArcSwap<LiveView>,
-    /// When everything was last sent to a neighbour whose view differs, in milliseconds; 0: never.
-    pub(super) sent_all_at: AtomicU64,
-    /// Heartbeats sent.
+    /// When all updates were last sent to a daemon whose view differs, in milliseconds; 0: never.
+    pub(super) full_state_sent_at: AtomicU64,
+    /// The sequence number of the next heartbeat.
     pub(super) sequence: AtomicU64,
-    /// The platform's newest list.
-    pub(super) listed: ArcSwap<Vec<VmEntry>>,
-    /// When other data centres were last asked, in milliseconds; 0: never.
-    pub(super) asked_remote_at: AtomicU64,
+    /// The newest list of VMs from the platform.
+    pub(super) platform_list: ArcSwap<Vec<VmEntry>>,
+    /// When other data centres were last polled, in milliseconds; 0: never.
+    pub(super) remote_polled_at: AtomicU64,
 }
 
 impl Members {
-    /// A daemon that knows nobody yet.
+    /// Creates the state of a daemon that knows no other member yet.
     pub fn new(vm: VmId, address: SocketAddr, incarnation: Incarnation) -> Self {
         let config = MembershipConfig::default();
         let membership = Membership::new(config, vm.clone(), address, incarnation, TimeMs(0));
@@ -62,12 +62,12 @@
             own_vm: vm,
             membership: Mutex::new(membership),
             view: ArcSwap::default(),
-            sent_all_at: AtomicU64::new(0),
+            full_state_sent_at: AtomicU64::new(0),
             sequence: AtomicU64::new(0),
-            listed: ArcSwap::default(),
-            asked_remote_at: AtomicU64::new(0),
+            platform_list: ArcSwap::default(),
+            remote_polled_at: AtomicU64::new(0),
         };
-        let view = LiveView::of(&members.lock());
+        let view = LiveView::of_membership(&members.lock());
         members.view.store(Arc::new(view));
         members
     }
@@ -78,12 +78,12 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Live VMs that take work.
+    /// Returns the live VMs that accept requests.
     pub fn live(&self) -> Arc<LiveView> {
         self.view.load_full()
     }
 
-    /// The home of a key, and where it listens; none: this daemon itself.
+    /// Returns the home of a key and its address; `None` when it is this daemon.
     pub(crate) fn remote_home(&self, key: &str) -> Option<(VmId, SocketAddr)> {
         let view = self.view.load();
         let home = home_of(key, view.live.iter())?;
@@ -94,12 +94,12 @@
         Some((home.clone(), address))
     }
 
-    /// Where a VM listens.
+    /// Returns the address on which a VM's daemon listens for other daemons.
     pub fn address_of(&self, vm: &VmId) -> Option<SocketAddr> {
         self.lock().address_of(vm)
     }
 
-    /// All known VMs with what they are, this one left out.
+    /// Returns all known VMs except this one, with state, incarnation and address.
     pub fn known(&self) -> Vec<(VmId, MemberState, Incarnation, SocketAddr)> {
         let membership = self.lock();
         let known = membership.members();
@@ -108,25 +108,26 @@
             .collect()
     }
 
-    /// Whether this daemon is one of those that call the platform for its data centre.
+    /// Whether this daemon is one of the watchers, which call the platform for the data centre.
     pub(crate) fn is_watcher(&self) -> bool {
         let view = self.view.load();
-        let mut rest: Vec<&VmId> = view.live.iter().collect();
+        let mut candidates: Vec<&VmId> = view.live.iter().collect();
         for _ in 0..WATCHERS {
-            let Some(watcher) = home_of("platform-watch", rest.iter().copied()).cloned() else {
+            let Some(watcher) = home_of("platform-watch", candidates.iter().copied()).cloned()
+            else {
                 return true;
             };
             if watcher == self.own_vm {
                 return true;
             }
-            rest.retain(|vm| **vm != watcher);
+            candidates.retain(|vm| **vm != watcher);
         }
         false
     }
 
-    /// Takes what has changed into the view; false when it is the same.
+    /// Updates the view from the membership; false when nothing has changed.
     pub(super) fn refresh_view(&self) -> bool {
-        let view = LiveView::of(&self.lock());
+        let view = LiveView::of_membership(&self.lock());
         if self.view.load().key_members == view.key_members {
             return false;
         }
--- a/src/modules/serve/peers/membership.rs
+++ b/src/modules/serve/peers/membership.rs
@@ -1,6 +1,6 @@
-//! Drives the membership of this data centre: by time, by heartbeats, by the platform's list.
+//! Drives the membership of this data centre: by ticks, heartbeats and the platform's list of VMs.
 //!
-//! Owns nothing: the state is [`super::members`]', the rules are `bridgevane-coordination`'s.
+//! Owns nothing: [`super::members`] holds the state, `bridgevane-coordination` has the rules.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::leaving::LeavingSource;
@@ -18,23 +18,21 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// How often the pure part sees time pass. Not measured, chosen because it is a fifth of a
-/// heartbeat's interval.
-const TICK: Duration = Duration::from_millis(200);
-/// How often watchers read the platform's list, from the platform's rates: 14 calls a second for 7
-/// data centres (docs/CAPACITY.md).
-const LIST_EVERY: Duration = Duration::from_millis(1_000);
-/// How often a seed that isn't a member yet is greeted. Not measured, chosen because daemons start
-/// within seconds.
-const SEED_EVERY: Duration = Duration::from_millis(1_000);
-/// How often everything is sent to a neighbour whose view differs, in milliseconds. Not measured,
-/// chosen because differences heal by ordinary heartbeats in seconds.
-const SEND_ALL_EVERY_MS: u64 = 10_000;
-/// How often daemons of other data centres are asked for their configuration's version, in
-/// milliseconds. Not measured, chosen because a change must be in force within 5 s of a cut's end.
-const REMOTE_EVERY_MS: u64 = 5_000;
+/// The interval of the membership's ticks: a fifth of the heartbeat interval.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// The interval at which watchers read the platform's list. It follows from the platform's rates:
+/// 14 calls per second for 7 data centres (docs/CAPACITY.md).
+const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The interval of heartbeats to a seed that isn't a member yet. Daemons start within seconds.
+const SEED_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The minimum interval between full states that are sent to daemons whose view differs, in
+/// milliseconds. Ordinary heartbeats resolve differences within seconds.
+const FULL_STATE_INTERVAL_MS: u64 = 10_000;
+/// The interval at which daemons of other data centres are polled for their configuration version,
+/// in milliseconds. A change must be in force within 5 s of the end of a network cut.
+const REMOTE_POLL_INTERVAL_MS: u64 = 5_000;
 
-/// This VM leaves or stays; the others hear of it at once.
+/// Marks this VM as leaving or staying, and informs other daemons at once.
 pub(crate) fn set_leaving(context: &Arc<Context>, is_leaving: bool) {
     {
         let mut membership = context.members.lock();
@@ -48,14 +46,14 @@
     announce(context);
 }
 
-/// Who lives may have changed: takes it into the view, and passes over homes that are gone.
+/// Updates the view of the live members, and bypasses homes that are gone.
 fn refresh(context: &Arc<Context>) {
     if context.members.refresh_view() {
         homes::on_membership_changed(context);
     }
 }
 
-fn heartbeat_of(context: &Context, updates: Vec<MemberUpdate>) -> Heartbeat {
+fn new_heartbeat(context: &Context, updates: Vec<MemberUpdate>) -> Heartbeat {
     let (version, highest) = context.replica.versions();
     let members = &context.members;
     Heartbeat {
@@ -67,7 +65,7 @@
     }
 }
 
-/// Whether it is time again, at most once in `every_ms`.
+/// Whether `every_ms` has passed since `last_at`; if so, `last_at` becomes `now`.
 fn is_due(last_at: &AtomicU64, now: TimeMs, every_ms: u64) -> bool {
     let last = last_at.load(Ordering::Relaxed);
     if last != 0 && now.0 < last + every_ms {
@@ -79,18 +77,18 @@
 
 /// Drives the membership until the daemon ends.
 pub async fn run(context: Arc<Context>) {
-    tokio::spawn(greet_seeds(context.clone()));
-    tokio::spawn(read_list(context.clone()));
+    tokio::spawn(contact_seeds(context.clone()));
+    tokio::spawn(poll_list(context.clone()));
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let mut effects = Vec::new();
         context.members.lock().tick(context.now(), &mut effects);
-        carry_out(&context, effects);
-        ask_far(&context);
+        execute(&context, effects);
+        poll_other_data_centres(&context);
     }
 }
 
-fn carry_out(context: &Arc<Context>, effects: Vec<MembershipEffect>) {
+fn execute(context: &Arc<Context>, effects: Vec<MembershipEffect>) {
     let mut is_changed = false;
     for effect in effects {
         match effect {
@@ -119,22 +117,25 @@
 
 fn send_heartbeat(context: &Arc<Context>, address: SocketAddr) {
     let updates = context.members.lock().updates();
-    let heartbeat = heartbeat_of(context, updates);
-    context.links.to(address).send(Body::Heartbeat(heartbeat));
+    let heartbeat = new_heartbeat(context, updates);
+    context
+        .links
+        .link_to(address)
+        .send(Body::Heartbeat(heartbeat));
 }
 
-/// Sends heartbeats now, to neighbours and a few others: news travels without waiting.
+/// Sends heartbeats at once to the neighbours and a few other daemons, to spread a change quickly.
 pub(crate) fn announce(context: &Arc<Context>) {
-    /// Not measured, chosen because neighbours pass news on; two more reach the far side of the
-    /// ring sooner.
-    const OTHERS: usize = 2;
+    /// The number of other daemons. The neighbours forward changes; two more daemons spread them
+    /// faster to the far side of the ring.
+    const OTHER_DAEMONS: usize = 2;
     let mut addresses: Vec<SocketAddr> = Vec::new();
     {
         let membership = context.members.lock();
         let neighbours = membership.neighbours();
         let live: Vec<VmId> = membership.live();
         let mut others: Vec<&VmId> = live.iter().filter(|vm| !neighbours.contains(vm)).collect();
-        for _ in 0..OTHERS.min(others.len()) {
+        for _ in 0..OTHER_DAEMONS.min(others.len()) {
             let at = rand::random_range(0..others.len());
             addresses.extend(membership.address_of(others.swap_remove(at)));
         }
@@ -145,37 +146,48 @@
     }
 }
 
-/// A heartbeat came: answer it.
+/// Applies a heartbeat and answers it.
 pub(crate) fn on_heartbeat(
     context: &Arc<Context>,
     peer: &Peer,
     link: &LinkHandle,
     heartbeat: Heartbeat,
 ) {
-    let is_new = take(context, peer, link, &heartbeat);
+    let is_new = apply_heartbeat(context, peer, link, &heartbeat);
     let differs = heartbeat.members_digest != context.members.lock().digest();
     let now = context.now();
-    let is_near = peer.data_centre == context.config.data_centre;
-    let tells_all = is_near
-        && (is_new || differs && is_due(&context.members.sent_all_at, now, SEND_ALL_EVERY_MS));
-    let updates = match (is_near, tells_all) {
+    let is_same_data_centre = peer.data_centre == context.config.data_centre;
+    let sends_full_state = is_same_data_centre
+        && (is_new
+            || differs
+                && is_due(
+                    &context.members.full_state_sent_at,
+                    now,
+                    FULL_STATE_INTERVAL_MS,
+                ));
+    let updates = match (is_same_data_centre, sends_full_state) {
         (false, _) => Vec::new(),
         (true, true) => context.members.lock().all_updates(),
         (true, false) => context.members.lock().updates(),
     };
-    let ack = heartbeat_of(context, updates);
+    let ack = new_heartbeat(context, updates);
     link.send(Body::HeartbeatAck(ack));
 }
 
-/// A heartbeat was answered.
+/// Applies the answer to a heartbeat.
 pub(crate) fn on_ack(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, heartbeat: Heartbeat) {
-    take(context, peer, link, &heartbeat);
+    apply_heartbeat(context, peer, link, &heartbeat);
     context.replica.note_contact();
 }
 
-/// Takes what a heartbeat tells; true when its sender is new here.
-fn take(context: &Arc<Context>, peer: &Peer, link: &LinkHandle, heartbeat: &Heartbeat) -> bool {
-    if let Some(wanted) = context.replica.hear(heartbeat) {
+/// Applies the versions and updates of a heartbeat; returns whether its sender is a new member.
+fn apply_heartbeat(
+    context: &Arc<Context>,
+    peer: &Peer,
+    link: &LinkHandle,
+    heartbeat: &Heartbeat,
+) -> bool {
+    if let Some(wanted) = context.replica.observe_versions(heartbeat) {
         link.send(Body::ConfigWanted(wanted));
     }
     if peer.data_centre != context.config.data_centre {
@@ -192,12 +204,12 @@
         membership.receive(now, updates, &mut effects);
         is_new
     };
-    carry_out(context, effects);
+    execute(context, effects);
     is_new
 }
 
-/// Greets the daemons that the settings name until they are members.
-async fn greet_seeds(context: Arc<Context>) {
+/// Sends heartbeats to the seeds of the settings until they are members.
+async fn contact_seeds(context: Arc<Context>) {
     loop {
         for seed in context.config.peers.seeds.clone() {
             let is_member = context
@@ -209,35 +221,36 @@
                 send_heartbeat(&context, seed);
             }
         }
-        tokio::time::sleep(SEED_EVERY).await;
+        tokio::time::sleep(SEED_INTERVAL).await;
     }
 }
 
-/// Reads the platform's list, where this daemon is a watcher.
-async fn read_list(context: Arc<Context>) {
+/// Polls the platform's list of VMs while this daemon is a watcher.
+async fn poll_list(context: Arc<Context>) {
     loop {
         let pause = rand::random_range(0.8..1.2);
-        tokio::time::sleep(LIST_EVERY.mul_f64(pause)).await;
-        if !context.members.is_watcher() || !context.replica.may_call(context.now()) {
+        tokio::time::sleep(LIST_INTERVAL.mul_f64(pause)).await;
+        if !context.members.is_watcher() || !context.replica.try_acquire_call(context.now()) {
             continue;
         }
         context.metrics.platform_call("list");
         match context.platform.list().await {
             Ok(list) => {
                 context.replica.call_succeeded();
-                take_list(&context, list);
+                apply_list(&context, list);
             }
             Err(error) => context.replica.call_failed(context.now(), &error),
         }
     }
 }
 
-fn take_list(context: &Arc<Context>, list: Vec<VmEntry>) {
+/// Applies the platform's list of VMs.
+fn apply_list(context: &Arc<Context>, list: Vec<VmEntry>) {
     let now = context.now();
     let mut effects = Vec::new();
     let mut newly_leaving = Vec::new();
-    let is_near = |entry: &&VmEntry| entry.data_centre == context.config.data_centre;
-    for entry in list.iter().filter(is_near) {
+    let is_same_data_centre = |entry: &&VmEntry| entry.data_centre == context.config.data_centre;
+    for entry in list.iter().filter(is_same_data_centre) {
         if entry.vm == context.config.vm {
             if entry.leaving && !context.leaving.is_leaving() {
                 effects.push(MembershipEffect::LeavingRequested);
@@ -250,40 +263,44 @@
             newly_leaving.push(entry.peer_address);
         }
     }
-    carry_out(context, effects);
+    execute(context, effects);
     refresh(context);
-    // A heartbeat says so to the VM that leaves, since its own list may be further behind.
+    // A heartbeat informs the leaving VM too, since its own list may be older.
     for address in newly_leaving {
         send_heartbeat(context, address);
     }
-    let near: Vec<VmId> = list
+    let local_vms: Vec<VmId> = list
         .iter()
-        .filter(is_near)
+        .filter(is_same_data_centre)
         .map(|entry| entry.vm.clone())
         .collect();
-    context.keys.listed(now, &near);
-    context.members.listed.store(Arc::new(list));
+    context.keys.on_platform_list(now, &local_vms);
+    context.members.platform_list.store(Arc::new(list));
 }
 
-/// Asks one daemon of each other data centre for its configuration's version: a data centre
-/// that is cut off from the platform learns it from one that isn't.
-fn ask_far(context: &Arc<Context>) {
+/// Polls one daemon of each other data centre for its configuration version: a data centre that is
+/// cut off from the platform learns the version from one that isn't.
+fn poll_other_data_centres(context: &Arc<Context>) {
     let members = &context.members;
-    let is_due = is_due(&members.asked_remote_at, context.now(), REMOTE_EVERY_MS);
+    let is_due = is_due(
+        &members.remote_polled_at,
+        context.now(),
+        REMOTE_POLL_INTERVAL_MS,
+    );
     if !is_due || !members.is_watcher() {
         return;
     }
-    let listed = members.listed.load_full();
-    let mut asked = Vec::new();
+    let listed = members.platform_list.load_full();
+    let mut polled = Vec::new();
     let start = rand::random_range(0..listed.len().max(1));
     for entry in listed.iter().cycle().skip(start).take(listed.len()) {
-        let is_far = entry.data_centre != context.config.data_centre;
-        if is_far && !entry.leaving && !asked.contains(&&entry.data_centre) {
-            asked.push(&entry.data_centre);
-            let heartbeat = heartbeat_of(context, Vec::new());
+        let is_remote = entry.data_centre != context.config.data_centre;
+        if is_remote && !entry.leaving && !polled.contains(&&entry.data_centre) {
+            polled.push(&entry.data_centre);
+            let heartbeat = new_heartbeat(context, Vec::new());
             context
                 .links
-                .to(entry.peer_address)
+                .link_to(entry.peer_address)
                 .send(Body::Heartbeat(heartbeat));
         }
     }
--- a/src/modules/serve/peers/mod.rs
+++ b/src/modules/serve/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The other daemons: who lives, connections and frames between them.
+//! The other daemons: the membership of the data centre, connections and frames between daemons.
 
 pub(crate) mod connections;
 pub(crate) mod frames;
--- a/src/modules/serve/pools/homes.rs
+++ b/src/modules/serve/pools/homes.rs
@@ -79,7 +79,7 @@
         delivered: Tokens(0),
     };
     context.homes.lock().insert(request, remote);
-    if !context.links.to(address).send(frame) {
+    if !context.links.link_to(address).send(frame) {
         bypass(context, &vm);
     }
     true
@@ -116,7 +116,7 @@
         PoolReport::Finished(_, _) => remote.running = None,
     }
     drop(remotes);
-    context.links.to(address).send(Body::PoolReport(frame));
+    context.links.link_to(address).send(Body::PoolReport(frame));
     true
 }
 
