--- a/src/modules/serve/configuration/change.rs
+++ b/src/modules/serve/configuration/change.rs
@@ -149,7 +149,7 @@
 }
 
 async fn read_stored(context: &Context) -> Result<Result<StoredConfig, ChangeError>, KvError> {
-    context.metrics.platform_call("get");
+    context.metrics.count_platform_call("get");
     let value = context.platform.get(CONFIG_KEY).await?;
     let Some(value) = value else {
         return Ok(Ok(StoredConfig {
@@ -175,7 +175,7 @@
         text: Some(next.to_text()?),
         lease: None,
     };
-    context.metrics.platform_call("cas");
+    context.metrics.count_platform_call("cas");
     Ok(context.platform.compare_and_swap(cas).await.map(|_| ()))
 }
 
--- a/src/modules/serve/configuration/follow.rs
+++ b/src/modules/serve/configuration/follow.rs
@@ -29,7 +29,7 @@
             tokio::time::sleep(RECHECK_INTERVAL).await;
             continue;
         }
-        context.metrics.platform_call("watch");
+        context.metrics.count_platform_call("watch");
         match context.platform.watch(CONFIG_KEY, after, WATCH_MS).await {
             Ok(value) => {
                 context.replica.call_succeeded();
--- a/src/modules/serve/configuration/replica.rs
+++ b/src/modules/serve/configuration/replica.rs
@@ -12,7 +12,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// This daemon's replica of the configuration, and its budget of calls to the platform.
-pub struct ConfigCopy {
+pub struct LocalReplica {
     replica: Mutex<ConfigReplica>,
     budget: Mutex<CallBudget>,
     /// Whether a peer or the platform has answered since the daemon started.
@@ -21,7 +21,7 @@
     has_served: AtomicBool,
 }
 
-impl ConfigCopy {
+impl LocalReplica {
     /// Creates an empty replica.
     pub fn new(seed: u64) -> Self {
         Self {
--- a/src/modules/serve/context.rs
+++ b/src/modules/serve/context.rs
@@ -1,14 +1,14 @@
-//! The state of `serve`: one owner a concern, handed down instead of globals.
+//! The shared state of `serve`, passed down in place of globals.
 //!
-//! It knows the owners; no owner knows it. What acts on them (the modules that take a context) uses
-//! each other one way only.
+//! The context knows the owners of all state; no owner knows the context. The modules that take a
+//! context depend on each other in one direction only.
 
 use crate::configs::serve::ServeConfig;
 use crate::modules::serve::configuration::in_force::ConfigInForce;
-use crate::modules::serve::configuration::replica::ConfigCopy;
+use crate::modules::serve::configuration::replica::LocalReplica;
 use crate::modules::serve::keys::key_homes::KeyHomes;
 use crate::modules::serve::leaving::Leaving;
-use crate::modules::serve::observation::burn::Burn;
+use crate::modules::serve::observation::burn::ServiceLevels;
 use crate::modules::serve::observation::metrics::Metrics;
 use crate::modules::serve::operators::queries::Queries;
 use crate::modules::serve::peers::links::{Dial, PeerLinks};
@@ -23,46 +23,45 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// The daemon's shared state. Everything behind it is read without locks on the path of a
-/// request.
+/// The daemon's shared state. The path of a request reads all of it without locks.
 pub struct Context {
-    /// Settings.
+    /// The settings.
     pub config: ServeConfig,
-    /// The platform.
+    /// The client of the platform.
     pub platform: HttpPlatform,
-    /// The operators' configuration in force here.
+    /// The operators' configuration in force on this VM.
     pub in_force: ConfigInForce,
-    /// Pools of all services.
+    /// The pools of all services.
     pub pools: PoolDirectory,
-    /// The configuration as it goes between daemons.
-    pub replica: ConfigCopy,
-    /// Who lives in this data centre.
+    /// The replica of the configuration.
+    pub replica: LocalReplica,
+    /// The membership of this data centre.
     pub members: Members,
     /// Connections to other daemons.
     pub links: PeerLinks,
-    /// Requests that other daemons decide on.
-    pub homes: RemoteRequests,
-    /// Idempotency keys.
+    /// The requests that other daemons decide on, and the bypassed homes.
+    pub remote_requests: RemoteRequests,
+    /// The registry of idempotency keys.
     pub keys: KeyHomes,
-    /// Rollouts that this daemon carries out.
+    /// The rollouts that this daemon runs.
     pub rollouts: Rollouts,
-    /// Operators' statements under way.
+    /// The operators' statements that wait for other daemons.
     pub queries: Queries,
-    /// Metrics.
+    /// The metrics.
     pub metrics: Metrics,
-    /// Service levels by class.
-    pub burn: Burn,
-    /// Whether this VM leaves.
+    /// The service levels by class.
+    pub burn: ServiceLevels,
+    /// Whether this VM is leaving, and the requests in progress.
     pub leaving: Leaving,
-    /// This life of the VM.
+    /// The incarnation of this daemon.
     pub incarnation: Incarnation,
     started: TimeMs,
     next_request: AtomicU64,
 }
 
 impl Context {
-    /// The state of a daemon that has just started, and the connections to daemons that it will ask
-    /// for.
+    /// Creates the state of a starting daemon, and the receiver of the connections to open to other
+    /// daemons.
     pub fn new(
         config: ServeConfig,
         incarnation: Incarnation,
@@ -77,15 +76,15 @@
             platform: HttpPlatform::new(config.platform_address),
             in_force: ConfigInForce::default(),
             pools: PoolDirectory::default(),
-            replica: ConfigCopy::new(seed),
+            replica: LocalReplica::new(seed),
             members: Members::new(config.vm.clone(), config.peers.address, incarnation),
             links,
-            homes: RemoteRequests::default(),
+            remote_requests: RemoteRequests::default(),
             keys: KeyHomes::new(own, TimeMs(0)),
             rollouts: Rollouts::default(),
             queries: Queries::default(),
             metrics: Metrics::new(),
-            burn: Burn::default(),
+            burn: ServiceLevels::default(),
             leaving: Leaving::default(),
             incarnation,
             started: boot_time(),
@@ -95,17 +94,17 @@
         (context, dials)
     }
 
-    /// Now, as the pure parts see it: by the clock that counts a suspension of the VM, so that
-    /// leases, keys and members age through it as through a stop of the process.
+    /// Returns the current time for the state machines. The clock counts suspensions of the VM, so
+    /// that leases, keys and members age during a suspension as during a stop of the process.
     pub fn now(&self) -> TimeMs {
         TimeMs(boot_time().since(self.started).0)
     }
 
-    /// A new identifier: this VM, this life of it, and a counter.
+    /// Returns a new request identifier, made of the VM, its incarnation and a counter.
     pub(crate) fn new_request_id(&self) -> RequestId {
         let count = self.next_request.fetch_add(1, Ordering::Relaxed);
         let name = xxhash_rust::xxh3::xxh3_64(self.config.vm.as_str().as_bytes());
-        let life = name ^ self.incarnation.0.rotate_left(32);
-        RequestId(u128::from(life) << 64 | u128::from(count))
+        let source = name ^ self.incarnation.0.rotate_left(32);
+        RequestId(u128::from(source) << 64 | u128::from(count))
     }
 }
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -24,7 +24,8 @@
 /// The pause before a claim is sent again to a daemon that answered that it isn't the key's home.
 /// The daemons' views of the membership converge within a few heartbeats.
 const NOT_HOME_PAUSE: Duration = Duration::from_millis(200);
-/// The maximum number of such attempts. Three pauses are within the time that a caller waits.
+/// The maximum number of claims that are sent for one call. Three pauses are within the time that a
+/// caller waits.
 const NOT_HOME_MAX_ATTEMPTS: u32 = 3;
 /// Asks the key's home whether the call may run.
 pub async fn claim(context: &Arc<Context>, call: KeyedCall) -> ClaimAnswer {
@@ -146,7 +147,7 @@
         text: Some(context.config.vm.to_string()),
         lease: None,
     };
-    context.metrics.platform_call("cas");
+    context.metrics.count_platform_call("cas");
     match context.platform.compare_and_swap(cas).await {
         Ok(_) => Ok(false),
         Err(KvError::Conflict) => Ok(true),
--- a/src/modules/serve/leaving.rs
+++ b/src/modules/serve/leaving.rs
@@ -1,14 +1,16 @@
-//! Whether this VM leaves: the soonest of its stop signal, an operator's drain and the
-//! platform's list decides, and no later sign takes it back but an operator's undrain.
+//! Whether this VM is leaving, and the requests in progress.
+//!
+//! A VM is leaving from the first of: stop signal, drain by an operator, the platform's list, a
+//! newer incarnation. Only a drain can be undone, by an operator's undrain.
 
 use derive_more::Display;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use tokio::sync::Notify;
 
-/// Who said that the VM leaves.
+/// The reason why the VM is leaving.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum LeavingSource {
-    /// The process got a signal to stop.
+    /// The process received a stop signal.
     #[display("stop signal")]
     StopSignal,
     /// An operator drained the VM.
@@ -17,7 +19,7 @@
     /// The platform's list shows it as leaving.
     #[display("vm list")]
     VmList,
-    /// A later life of this VM is about.
+    /// A newer incarnation of this VM's daemon exists.
     #[display("superseded")]
     Superseded,
 }
@@ -28,7 +30,7 @@
     }
 }
 
-/// The state of leaving, and the requests that are still in progress.
+/// The reasons for which this VM is leaving, and the number of requests in progress.
 #[derive(Debug, Default)]
 pub struct Leaving {
     sources: AtomicU8,
@@ -36,7 +38,7 @@
     changed: Notify,
 }
 
-/// A request in progress; a planned stop waits until it is dropped.
+/// A guard of a request in progress; a planned stop waits until it is dropped.
 pub(crate) struct InProgress<'a> {
     leaving: &'a Leaving,
 }
@@ -49,30 +51,30 @@
 }
 
 impl Leaving {
-    /// Notes that the VM leaves.
+    /// Records a reason to leave.
     pub fn begin(&self, source: LeavingSource) {
         self.sources.fetch_or(source.bit(), Ordering::AcqRel);
         self.changed.notify_waiters();
     }
 
-    /// An operator takes the drain back; other signs stay.
+    /// Removes the drain by an operator; other reasons stay.
     pub fn undrain(&self) {
         let bit = LeavingSource::Drain.bit();
         self.sources.fetch_and(!bit, Ordering::AcqRel);
     }
 
-    /// Whether the VM takes no new work.
+    /// Whether the VM is leaving and accepts no new requests.
     pub fn is_leaving(&self) -> bool {
         self.sources.load(Ordering::Acquire) != 0
     }
 
-    /// Counts a request in progress.
+    /// Counts a request as in progress until the guard is dropped.
     pub(crate) fn begin_request(&self) -> InProgress<'_> {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         InProgress { leaving: self }
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in progress.
     pub fn in_progress(&self) -> u64 {
         self.in_progress.load(Ordering::Acquire)
     }
--- a/src/modules/serve/mod.rs
+++ b/src/modules/serve/mod.rs
@@ -1,15 +1,15 @@
-//! `bridgevane serve`: the OpenAI-style interface, pools with a home, the operators' language.
+//! `bridgevane serve`: the daemon with the OpenAI-style HTTP interface.
 //!
 //! | folder | concern |
 //! |---|---|
-//! | `requests` | what callers send and read, one request's way |
-//! | `pools` | the pools of a service's endpoints, and which daemon decides on each |
-//! | `peers` | who lives in the data centre, connections and frames between daemons |
-//! | `configuration` | the operators' document: followed, passed on, in force, changed |
+//! | `requests` | the callers' HTTP interface, and the path of a request to its answer |
+//! | `pools` | the pools of the services' endpoints, and the daemon that decides for each pool |
+//! | `peers` | the membership of the data centre, connections and frames between daemons |
+//! | `configuration` | the operators' configuration: read, replicated, put in force, changed |
 //! | `keys` | idempotency keys and their homes |
 //! | `rollouts` | rollouts of model versions, under a lease |
-//! | `operators` | the operators' language and its HTTP interface |
-//! | `observation` | metrics and service-level burn |
+//! | `operators` | the operators' query language and its HTTP interface |
+//! | `observation` | metrics, service levels and the burn rate of error budgets |
 
 pub mod configuration;
 pub(crate) mod context;
--- a/src/modules/serve/observation/burn.rs
+++ b/src/modules/serve/observation/burn.rs
@@ -1,7 +1,7 @@
-//! Service levels by class: attainment, goodput, wasted work, burn of the error budget.
+//! Service levels by class: attainment, goodput, wasted work and the burn rate of the error budget.
 //!
-//! Counts are kept by minute for the longest window, so that windows and the counts of
-//! several daemons can be added up.
+//! Counts are kept per minute for the longest window, so that the counts of windows and of several
+//! daemons can be added.
 
 use bridgevane_types::{ClassName, DurationMs, Share, TimeMs, Tokens};
 use hdrhistogram::Histogram;
@@ -9,35 +9,34 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, PoisonError};
 
-/// Milliseconds of one count. Milliseconds of a minute, since burn is kept by the minute.
+/// The time that one count covers, in milliseconds: a minute.
 const MINUTE_MS: u64 = 60_000;
-/// Minutes that are kept: six hours, the longest window. Chosen because the longest window of burn
-/// is six hours.
+/// The number of minutes that are kept: six hours, the longest window of the burn rate.
 const MINUTES: usize = 360;
 
-/// What became of a class's requests in some time.
+/// The outcomes of a class's requests in a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests that got their final answer.
+    /// The requests that got their final answer.
     pub offered: u64,
-    /// Whole answers within target.
+    /// Complete answers within the latency targets.
     pub in_target: u64,
-    /// Whole answers that were late.
+    /// Complete answers that missed a latency target.
     pub late: u64,
-    /// Refused.
+    /// Requests that were refused without having run.
     pub refused: u64,
-    /// Broken off or failed.
+    /// Requests that were cut or failed after they had started.
     pub cut: u64,
-    /// Answers that were resumed at least once.
+    /// Complete answers that were resumed at least once.
     pub resumed: u64,
-    /// Tokens of answers within target.
+    /// The tokens of answers within the latency targets.
     pub good_tokens: u64,
-    /// Tokens computed for nothing, as far as is known here.
+    /// The tokens that were computed but not used, as far as this daemon knows.
     pub wasted_tokens: u64,
 }
 
 impl Counts {
-    /// Adds the counts of another time or daemon.
+    /// Adds the counts of another period or daemon.
     pub fn add(&mut self, other: &Counts) {
         self.offered += other.offered;
         self.in_target += other.in_target;
@@ -49,7 +48,7 @@
         self.wasted_tokens += other.wasted_tokens;
     }
 
-    /// The share served within target; 1 when nothing was asked.
+    /// Returns the share of requests served within the latency targets; 1 without requests.
     pub fn attainment(&self) -> Share {
         if self.offered == 0 {
             return Share(1.0);
@@ -57,7 +56,7 @@
         Share(self.in_target as f64 / self.offered as f64)
     }
 
-    /// How many times faster than allowed the error budget is used.
+    /// Returns the burn rate: how many times faster than allowed the error budget is used.
     pub(crate) fn burn_rate(&self, objective: Share) -> f64 {
         let budget = (1.0 - objective.0).max(1e-6);
         (1.0 - self.attainment().0) / budget
@@ -67,39 +66,39 @@
 /// How one request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Whole; the flag tells whether it was within target.
-    Whole {
-        /// First token and gaps were within target.
+    /// The answer was complete.
+    Complete {
+        /// Whether first token and gaps were within the latency targets.
         is_in_target: bool,
-        /// It was resumed at least once.
+        /// Whether the answer was resumed at least once.
         is_resumed: bool,
-        /// Its tokens.
+        /// The number of tokens in the answer.
         tokens: Tokens,
-        /// Time to its first token.
+        /// The time to the first token.
         first_token_ms: DurationMs,
     },
-    /// Refused.
+    /// The request was refused without having run.
     Refused,
-    /// Broken off or failed.
+    /// The request was cut or failed after it had started.
     Cut,
 }
 
-/// First-token times, as a histogram that can be added to another one.
+/// A histogram of times to the first token. Histograms can be added.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "Vec<(u64, u64)>", into = "Vec<(u64, u64)>")]
 pub(crate) struct FirstTokens {
     histogram: Histogram<u64>,
 }
 
-/// The longest time to first token that is counted apart: ten minutes. Chosen because no caller
-/// waits longer than ten minutes.
+/// The longest time to the first token that the histogram distinguishes: ten minutes. No caller
+/// waits longer.
 const MAX_FIRST_TOKEN_MS: u64 = 600_000;
-/// Significant digits of first-token times. Chosen because percentiles are shown with two digits.
+/// The significant digits of the histogram: percentiles are shown with two digits.
 const DIGITS: u8 = 2;
 
 impl Default for FirstTokens {
     fn default() -> Self {
-        // The bounds are constants that the library accepts.
+        // The bounds are constant and valid.
         let histogram = Histogram::new_with_bounds(1, MAX_FIRST_TOKEN_MS, DIGITS);
         Self {
             histogram: histogram.expect("constant bounds are valid"),
@@ -127,28 +126,30 @@
 }
 
 impl FirstTokens {
-    /// Adds another time's or daemon's.
+    /// Adds the histogram of another period or daemon.
     pub fn add(&mut self, other: &FirstTokens) {
-        // Both have the same bounds.
+        // Adding can't fail: both histograms have the same bounds.
         let _ = self.histogram.add(&other.histogram);
     }
 
-    /// The time that this part of first tokens came within; none without any.
+    /// Returns the time within which the share `part` of the first tokens arrived; `None` without
+    /// any.
     pub(crate) fn quantile_ms(&self, part: f64) -> Option<u64> {
         (!self.histogram.is_empty()).then(|| self.histogram.value_at_quantile(part))
     }
 }
 
 #[derive(Debug, Default)]
-struct ClassBurn {
+struct ClassLevels {
     minutes: VecDeque<(u64, Counts)>,
     first_tokens: VecDeque<(u64, FirstTokens)>,
 }
 
-impl ClassBurn {
-    /// First tokens are kept by spans of five minutes: a histogram a minute would be many.
-    fn add_first_token(&mut self, now: TimeMs, first_token_ms: u64) {
-        /// Chosen because the shortest window of burn is five minutes.
+impl ClassLevels {
+    /// Records a time to the first token. Histograms cover five minutes each: one per minute would
+    /// be too many.
+    fn record_first_token(&mut self, now: TimeMs, first_token_ms: u64) {
+        /// The shortest window of the burn rate is five minutes.
         const SPAN_MINUTES: u64 = 5;
         const SPANS: usize = MINUTES / SPAN_MINUTES as usize;
         let span = now.0 / MINUTE_MS / SPAN_MINUTES * SPAN_MINUTES;
@@ -159,12 +160,14 @@
                 self.first_tokens.pop_front();
             }
         }
-        if let Some((_, current)) = self.first_tokens.back_mut() {
-            current.histogram.saturating_record(first_token_ms.max(1));
+        if let Some((_, current_span)) = self.first_tokens.back_mut() {
+            current_span
+                .histogram
+                .saturating_record(first_token_ms.max(1));
         }
     }
 
-    fn current(&mut self, now: TimeMs) -> &mut Counts {
+    fn current_minute(&mut self, now: TimeMs) -> &mut Counts {
         let minute = now.0 / MINUTE_MS;
         let is_current = self.minutes.back().is_some_and(|(at, _)| *at == minute);
         if !is_current {
@@ -178,24 +181,24 @@
     }
 }
 
-/// Service levels of this daemon. A request takes the lock once, at its end.
+/// The service levels of this daemon. A request takes the lock once, at its end.
 #[derive(Debug, Default)]
-pub struct Burn {
-    classes: Mutex<BTreeMap<ClassName, ClassBurn>>,
+pub struct ServiceLevels {
+    classes: Mutex<BTreeMap<ClassName, ClassLevels>>,
 }
 
-impl Burn {
-    /// Counts a request that ended.
-    pub fn ended(&self, now: TimeMs, class: &ClassName, ended: RequestEnd) {
+impl ServiceLevels {
+    /// Counts a request that has ended.
+    pub fn count_request(&self, now: TimeMs, class: &ClassName, ended: RequestEnd) {
         let mut classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
-        let burn = classes.entry(class.clone()).or_default();
-        if let RequestEnd::Whole { first_token_ms, .. } = ended {
-            burn.add_first_token(now, first_token_ms.0);
+        let levels = classes.entry(class.clone()).or_default();
+        if let RequestEnd::Complete { first_token_ms, .. } = ended {
+            levels.record_first_token(now, first_token_ms.0);
         }
-        let counts = burn.current(now);
+        let counts = levels.current_minute(now);
         counts.offered += 1;
         match ended {
-            RequestEnd::Whole {
+            RequestEnd::Complete {
                 is_in_target,
                 is_resumed,
                 tokens,
@@ -214,14 +217,17 @@
         }
     }
 
-    /// Counts tokens that were computed for nothing.
-    pub fn wasted(&self, now: TimeMs, class: &ClassName, tokens: Tokens) {
+    /// Counts tokens that were computed but not used.
+    pub fn count_wasted_tokens(&self, now: TimeMs, class: &ClassName, tokens: Tokens) {
         let mut classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
-        let counts = classes.entry(class.clone()).or_default().current(now);
+        let counts = classes
+            .entry(class.clone())
+            .or_default()
+            .current_minute(now);
         counts.wasted_tokens += tokens.0;
     }
 
-    /// First-token times of the last `window_ms`, by class.
+    /// Returns the times to the first token in the last `window_ms`, by class.
     pub(crate) fn first_tokens(
         &self,
         now: TimeMs,
@@ -229,10 +235,10 @@
     ) -> BTreeMap<ClassName, FirstTokens> {
         let oldest = now.0.saturating_sub(window_ms.0) / MINUTE_MS;
         let classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
-        let sum = |burn: &ClassBurn| {
+        let sum = |levels: &ClassLevels| {
             let mut sum = FirstTokens::default();
-            // A span that began before the window still counts in full.
-            let recent = burn
+            // A span that started before the window counts in full.
+            let recent = levels
                 .first_tokens
                 .iter()
                 .filter(|(span, _)| *span + 5 > oldest);
@@ -241,23 +247,26 @@
         };
         classes
             .iter()
-            .map(|(class, burn)| (class.clone(), sum(burn)))
+            .map(|(class, levels)| (class.clone(), sum(levels)))
             .collect()
     }
 
-    /// The counts of the last `window_ms`, by class.
+    /// Returns the counts of the last `window_ms`, by class.
     pub fn window(&self, now: TimeMs, window_ms: DurationMs) -> BTreeMap<ClassName, Counts> {
         let oldest = now.0.saturating_sub(window_ms.0) / MINUTE_MS;
         let classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
-        let sum = |burn: &ClassBurn| {
+        let sum = |levels: &ClassLevels| {
             let mut sum = Counts::default();
-            let recent = burn.minutes.iter().filter(|(minute, _)| *minute >= oldest);
+            let recent = levels
+                .minutes
+                .iter()
+                .filter(|(minute, _)| *minute >= oldest);
             recent.for_each(|(_, counts)| sum.add(counts));
             sum
         };
         classes
             .iter()
-            .map(|(class, burn)| (class.clone(), sum(burn)))
+            .map(|(class, levels)| (class.clone(), sum(levels)))
             .collect()
     }
 }
--- a/src/modules/serve/observation/metrics.rs
+++ b/src/modules/serve/observation/metrics.rs
@@ -1,14 +1,14 @@
-//! The metrics of `serve`: requests by class, tokens, calls of the platform, bytes between daemons.
+//! The metrics of `serve`: requests by class, tokens, calls to the platform, bytes between daemons.
 //!
-//! Names and labels are an interface to operators' dashboards and don't change.
+//! Names and labels are an interface to operators' dashboards and must not change.
 
 use crate::modules::process::metrics_page::MetricsPage;
 use bridgevane_types::{ClassName, Tokens};
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram};
 
-/// First-token buckets in seconds. Chosen because classes have targets of 0.1 to 15 s; 0.81 is the
-/// one to design for.
+/// The buckets of times to the first token, in seconds. The targets of classes range from 0.1 to
+/// 15 s; 0.81 s is the target that the design aims for.
 const LATENCY_BUCKETS_S: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.81, 1.0, 2.0, 5.0, 15.0, 60.0,
 ];
@@ -25,7 +25,7 @@
 }
 
 impl Metrics {
-    /// New instruments with a registry of their own.
+    /// Creates the instruments with their own registry.
     pub fn new() -> Self {
         let page = MetricsPage::new();
         let meter = page.meter();
@@ -43,35 +43,40 @@
         }
     }
 
-    /// A request got its final answer.
-    pub(crate) fn request_ended(&self, class: &ClassName, result: &'static str) {
+    /// Counts a request that got its final answer.
+    pub(crate) fn count_request(&self, class: &ClassName, result: &'static str) {
         let labels = [class_label(class), KeyValue::new("result", result)];
         self.requests.add(1, &labels);
     }
 
-    /// A first token, or a plain answer, reached the caller.
-    pub fn first_token(&self, class: &ClassName, seconds: f64) {
+    /// Records the time to the first token, or to the answer of a plain service.
+    pub fn record_first_token(&self, class: &ClassName, seconds: f64) {
         self.first_token_s.record(seconds, &[class_label(class)]);
     }
 
-    /// Tokens reached the caller.
-    pub fn delivered(&self, class: &ClassName, tokens: Tokens) {
+    /// Counts tokens that were delivered to the caller.
+    pub fn count_delivered_tokens(&self, class: &ClassName, tokens: Tokens) {
         self.tokens.add(tokens.0, &[class_label(class)]);
     }
 
-    /// Tokens were computed for nothing.
-    pub fn wasted(&self, cause: &'static str, tokens: Tokens) {
+    /// Counts tokens that were computed but not used.
+    pub fn count_wasted_tokens(&self, cause: &'static str, tokens: Tokens) {
         self.wasted_tokens
             .add(tokens.0, &[KeyValue::new("cause", cause)]);
     }
 
-    /// A call of the platform was made.
-    pub(crate) fn platform_call(&self, kind: &'static str) {
+    /// Counts a call to the platform.
+    pub(crate) fn count_platform_call(&self, kind: &'static str) {
         self.platform_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Bytes went to or came from another daemon.
-    pub(crate) fn peer_bytes(&self, direction: &'static str, purpose: &'static str, bytes: u64) {
+    /// Counts bytes that were sent to or received from other daemons.
+    pub(crate) fn count_peer_bytes(
+        &self,
+        direction: &'static str,
+        purpose: &'static str,
+        bytes: u64,
+    ) {
         let labels = [
             KeyValue::new("direction", direction),
             KeyValue::new("purpose", purpose),
@@ -79,7 +84,7 @@
         self.peer_bytes.add(bytes, &labels);
     }
 
-    /// The Prometheus page.
+    /// Returns the metrics in the Prometheus text format.
     pub fn page(&self) -> String {
         self.page.text()
     }
--- a/src/modules/serve/observation/mod.rs
+++ b/src/modules/serve/observation/mod.rs
@@ -1,4 +1,4 @@
-//! What one sees of the daemon: metrics and service-level burn.
+//! Observability of the daemon: metrics, service levels and the burn rate of error budgets.
 
 pub(crate) mod burn;
 pub(crate) mod metrics;
--- a/src/modules/serve/operators/fan_out.rs
+++ b/src/modules/serve/operators/fan_out.rs
@@ -1,4 +1,4 @@
-//! Operators' statements to every daemon of the data centre, and who did not answer.
+//! Sends operators' statements to all daemons of the data centre and collects their answers.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::leaving::LeavingSource;
@@ -20,19 +20,20 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-/// How long daemons may take to answer. Not measured, chosen because an operator waits for it;
-/// daemons answer within milliseconds.
+/// The time limit for the daemons' answers. An operator waits for it; daemons answer within
+/// milliseconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Answers that wait to be read. Chosen because it is well over the daemons of a data centre.
+/// The maximum number of answers that wait to be read: well above the number of daemons in a data
+/// centre.
 const MAX_ANSWERS: usize = 1_024;
 
-/// Asks every daemon of the data centre, this one included.
+/// Runs a statement on all daemons of the data centre, including this one.
 pub(crate) async fn ask_all(context: &Arc<Context>, text: &str) -> Answer {
     let query = context.queries.next.fetch_add(1, Ordering::Relaxed);
     let (sender, mut receiver) = mpsc::channel(MAX_ANSWERS);
-    context.queries.waiting().insert(query, sender);
+    context.queries.pending().insert(query, sender);
     let mut expected = BTreeSet::new();
-    for (vm, state, _, address) in context.members.known() {
+    for (vm, state, _, address) in context.members.other_members() {
         if state == MemberState::Dead {
             continue;
         }
@@ -44,7 +45,7 @@
         expected.insert(vm);
     }
     let mut answer = Answer::default();
-    match answer_here(context, text).await {
+    match answer_locally(context, text).await {
         Ok(rows) => answer.rows = rows,
         Err(error) => answer.error = Some(error),
     }
@@ -63,21 +64,21 @@
             answer.error.get_or_insert(part.error);
         }
     }
-    context.queries.waiting().remove(&query);
+    context.queries.pending().remove(&query);
     answer.answered.sort();
     answer.missing = expected.into_iter().collect();
     answer
 }
 
-/// Another daemon passes a statement on.
+/// Answers a statement that another daemon has forwarded.
 pub(crate) fn on_query(context: &Arc<Context>, link: &LinkHandle, query: Query) {
     let (context, link) = (context.clone(), link.clone());
     tokio::spawn(async move {
-        let (rows, error) = match answer_here(&context, &query.text).await {
+        let (rows, error) = match answer_locally(&context, &query.text).await {
             Ok(rows) => (rows, String::new()),
             Err(error) => (Vec::new(), error),
         };
-        // Rows are plain JSON values, which can always be written.
+        // Rows are plain JSON values, which can always be serialised.
         let rows = serde_json::to_vec(&rows).unwrap_or_default();
         link.send(Body::QueryAnswer(QueryAnswer {
             query: query.query,
@@ -87,8 +88,8 @@
     });
 }
 
-/// This daemon's part of an answer. The error is text for the operator.
-async fn answer_here(context: &Arc<Context>, text: &str) -> Result<Vec<Row>, String> {
+/// Returns this daemon's part of the answer. The error is a text for the operator.
+async fn answer_locally(context: &Arc<Context>, text: &str) -> Result<Vec<Row>, String> {
     let statement = query_language::parse(text).map_err(|error| error.to_string())?;
     match statement {
         Statement::Show { table, conditions } => {
--- a/src/modules/serve/operators/interface.rs
+++ b/src/modules/serve/operators/interface.rs
@@ -1,4 +1,5 @@
-//! The operators' HTTP interface: statements in, answers out, by name and bearer token.
+//! The operators' HTTP interface: it runs statements and accepts configurations. Operators
+//! authenticate with a bearer token.
 
 use crate::modules::serve::configuration::change::{
     self, ChangeError, Proposal, ProposalOutcome, ProposedChange,
@@ -21,29 +22,29 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// The largest document that an operator may propose: a value of the platform's service. From the
-/// platform's limit of a value.
+/// The maximum size of a request body, and so of a configuration: the platform's size limit of a
+/// value.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// What an operator sends.
+/// The request of an operator: a statement or a document.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Ask {
-    /// A statement.
+    /// A statement of the query language.
     #[serde(default)]
     pub statement: Option<String>,
-    /// A whole configuration, in place of a statement.
+    /// A complete configuration, in place of a statement.
     #[serde(default)]
     pub document: Option<String>,
-    /// The version that the document was made on.
+    /// The version that the document is based on.
     #[serde(default)]
     pub base_version: Option<ConfigVersion>,
-    /// The operation's id, for what changes something; safe to send twice.
+    /// The id of an operation that changes the configuration. The same id may be sent again.
     #[serde(default)]
     pub operation_id: Option<OperationId>,
 }
 
-/// The operators' routes.
+/// Returns the router of the operators' HTTP interface.
 pub fn router(context: Arc<Context>) -> Router {
     Router::new()
         .route("/v1/ask", post(ask))
@@ -52,7 +53,8 @@
         .with_state(context)
 }
 
-/// Compares in a time that doesn't tell how much of the token was right.
+/// Compares two tokens of equal length in constant time, so that the time doesn't show how much of
+/// a token was right.
 fn is_same(a: &str, b: &str) -> bool {
     let differs = a
         .bytes()
@@ -62,7 +64,7 @@
 }
 
 fn operator_of(context: &Context, headers: &HeaderMap) -> Option<OperatorName> {
-    // A header that is no text holds no token, and is refused as such.
+    // A header that isn't visible ASCII holds no token and is refused.
     let header = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let token = header.strip_prefix("Bearer ")?;
     let known = context.config.operators.iter();
@@ -81,7 +83,7 @@
     )
 }
 
-/// The configuration in force, as an operator edits it.
+/// Returns the configuration in force in the format that operators edit.
 async fn config(State(context): State<Arc<Context>>, headers: HeaderMap) -> Response {
     if operator_of(&context, &headers).is_none() {
         return refuse();
@@ -138,7 +140,7 @@
                 operator = operator,
                 statement = text
             );
-            drained(&vm, answer)
+            drain_response(&vm, answer)
         }
         Ok(statement) => {
             let mut answer = fan_out::ask_all(&context, text).await;
@@ -150,8 +152,8 @@
     }
 }
 
-/// A drain took effect only if its VM said so.
-fn drained(vm: &bridgevane_types::VmId, answer: Answer) -> Response {
+/// Returns the answer to a drain, which took effect only if the drained VM confirmed it.
+fn drain_response(vm: &bridgevane_types::VmId, answer: Answer) -> Response {
     if !answer.rows.is_empty() {
         return Json(answer).into_response();
     }
--- a/src/modules/serve/operators/mod.rs
+++ b/src/modules/serve/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' language and its HTTP interface.
+//! The operators' query language and its HTTP interface.
 
 pub(crate) mod fan_out;
 pub(crate) mod interface;
--- a/src/modules/serve/operators/queries.rs
+++ b/src/modules/serve/operators/queries.rs
@@ -1,4 +1,4 @@
-//! Operators' statements that wait for other daemons' answers.
+//! The operators' statements that wait for other daemons' answers.
 
 use crate::modules::serve::operators::row::Row;
 use crate::modules::serve::peers::links::Peer;
@@ -10,48 +10,48 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc;
 
-/// What one daemon answered.
+/// The answer of one daemon.
 pub(super) struct PartAnswer {
     pub(super) vm: VmId,
     pub(super) rows: Vec<Row>,
     pub(super) error: String,
 }
 
-/// Statements that wait for answers.
+/// The statements that wait for answers.
 #[derive(Default)]
 pub struct Queries {
-    waiting: Mutex<HashMap<u64, mpsc::Sender<PartAnswer>>>,
+    pending: Mutex<HashMap<u64, mpsc::Sender<PartAnswer>>>,
     pub(super) next: AtomicU64,
 }
 
-/// What the data centre answered.
+/// The answer of the data centre's daemons to a statement.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Rows of all that answered.
+    /// The rows of all daemons that answered.
     pub rows: Vec<Row>,
-    /// VMs that answered.
+    /// The VMs that answered.
     pub answered: Vec<VmId>,
-    /// VMs that should have answered and did not: the rows are a part of the whole.
+    /// The VMs that didn't answer in time; the rows are incomplete if there are any.
     pub missing: Vec<VmId>,
-    /// What went wrong, if anything.
+    /// The first error that a daemon reported, if any.
     pub error: Option<String>,
 }
 
 impl Queries {
-    pub(super) fn waiting(&self) -> MutexGuard<'_, HashMap<u64, mpsc::Sender<PartAnswer>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn pending(&self) -> MutexGuard<'_, HashMap<u64, mpsc::Sender<PartAnswer>>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A daemon has answered.
+    /// Handles another daemon's answer.
     pub(crate) fn on_answer(&self, peer: &Peer, answer: QueryAnswer) {
         let part = PartAnswer {
             vm: peer.vm.clone(),
-            // Rows of a later version that can't be read are left out.
+            // Rows of a newer version that can't be parsed are dropped.
             rows: serde_json::from_slice(&answer.rows).unwrap_or_default(),
             error: answer.error,
         };
-        if let Some(sender) = self.waiting().get(&answer.query) {
-            // Who asked may have stopped listening.
+        if let Some(sender) = self.pending().get(&answer.query) {
+            // The statement may have timed out.
             let _ = sender.try_send(part);
         }
     }
--- a/src/modules/serve/operators/query_language.rs
+++ b/src/modules/serve/operators/query_language.rs
@@ -1,7 +1,7 @@
-//! The operators' language: words into statements, with errors that point at the word.
+//! The parser of the operators' query language.
 //!
-//! The grammar is in docs/LANGUAGE.md. Words are cut by `winnow`; a statement is read word by
-//! word, so that an error names the word and what would be right in its place.
+//! The grammar is in docs/LANGUAGE.md. `winnow` splits a statement into words; the statement is
+//! parsed word by word, so that an error points at the wrong word and names what was expected.
 
 use bridgevane_types::{DurationMs, EndpointId, ModelName, RequestId, ServiceName, VmId};
 use derive_more::{Display, Error};
@@ -10,34 +10,34 @@
 use winnow::prelude::*;
 use winnow::token::{take_till, take_while};
 
-/// What can be shown.
+/// A table that `show` displays.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Table {
-    /// Requests in flight.
+    /// The requests in flight.
     #[display("requests")]
     Requests,
-    /// Engines.
+    /// The engines of all services.
     #[display("engines")]
     Engines,
-    /// VMs of the data centre.
+    /// The VMs of the data centre.
     #[display("vms")]
     Vms,
-    /// Service classes.
+    /// The service classes.
     #[display("classes")]
     Classes,
-    /// Service levels by class and window.
+    /// The service levels by class and window.
     #[display("burn")]
     Burn,
-    /// Customers.
+    /// The customers.
     #[display("customers")]
     Customers,
-    /// Rollouts of model versions.
+    /// The rollouts of model versions.
     #[display("rollouts")]
     Rollouts,
     /// The configuration in force.
     #[display("config")]
     Config,
-    /// Accepted changes of the configuration.
+    /// The accepted changes of the configuration.
     #[display("history")]
     History,
 }
@@ -57,7 +57,7 @@
     ];
 }
 
-/// A comparison.
+/// A comparison operator.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Comparison {
     /// Equal.
@@ -80,21 +80,21 @@
     GreaterOrEqual,
 }
 
-/// One condition of a `where`.
+/// One condition of a `where` clause.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
     /// The field.
     pub field: String,
     /// The comparison.
     pub comparison: Comparison,
-    /// What it is compared with: a number (durations in milliseconds) or a text.
+    /// The value that the field is compared with: a number (durations in milliseconds) or a text.
     pub value: Operand,
 }
 
 /// A value in a statement.
 #[derive(Clone, Debug, Display, PartialEq)]
 pub enum Operand {
-    /// A number; durations are milliseconds.
+    /// A number; durations are in milliseconds.
     #[display("{_0}")]
     Number(f64),
     /// A text.
@@ -102,7 +102,7 @@
     Text(String),
 }
 
-/// A part of the configuration that a command changes.
+/// The part of the configuration that a `set` statement changes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
     /// A class.
@@ -113,23 +113,23 @@
     Route(ServiceName, String),
 }
 
-/// What an operator says.
+/// A statement of the query language.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Statement {
     /// `show TABLE [where …]`
     Show {
         /// The table.
         table: Table,
-        /// All must hold.
+        /// The conditions, all of which must hold.
         conditions: Vec<Condition>,
     },
     /// `explain request ID`
     Explain(RequestId),
     /// `set class NAME FIELD = VALUE`, `set customer …`, `set route SERVICE PREFIX …`
     Set {
-        /// What is changed.
+        /// The changed part of the configuration.
         target: Target,
-        /// Its field.
+        /// The changed field.
         field: String,
         /// The new value.
         value: Operand,
@@ -140,9 +140,9 @@
         model: ModelName,
         /// The version that all engines are to run.
         version: u64,
-        /// Engines that change at the same time.
+        /// The number of engines that change at the same time.
         batch: Option<u64>,
-        /// How long each batch is watched.
+        /// The time for which each batch is watched.
         watch_ms: Option<DurationMs>,
     },
     /// `drain vm NAME`, `undrain vm NAME`
@@ -154,7 +154,7 @@
     },
     /// `drain engine SERVICE NAME`, `undrain engine SERVICE NAME`
     DrainEngine {
-        /// Its service.
+        /// The engine's service.
         service: ServiceName,
         /// The engine.
         engine: EndpointId,
@@ -163,15 +163,15 @@
     },
 }
 
-/// Why a statement can't be read.
+/// The error of a statement that can't be parsed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{statement}\n{pointer}\n{what}")]
 pub struct SyntaxError {
     /// The statement.
     pub statement: String,
-    /// Points at the word.
+    /// A line with `^` below the wrong word.
     pub pointer: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and what was expected.
     pub what: String,
 }
 
@@ -200,7 +200,7 @@
         .parse_next(input)
 }
 
-/// Cuts a statement into words with their places.
+/// Splits a statement into words with their positions.
 fn words(statement: &str) -> Result<Vec<Word>, SyntaxError> {
     let whole = statement;
     let word = |input: &mut &str| {
@@ -210,10 +210,10 @@
             .parse_next(input)
     };
     let mut input = statement;
-    let cut: ModalResult<Vec<Word>> =
+    let split: ModalResult<Vec<Word>> =
         repeat(0.., preceded(multispace0, word)).parse_next(&mut input);
-    // Nothing is left of the statement.
-    let words = cut.unwrap_or_default();
+    // `repeat` stops at the first word that can't be read; the rest is reported below.
+    let words = split.unwrap_or_default();
     let rest = input.trim_start();
     if rest.is_empty() {
         return Ok(words);
@@ -254,14 +254,15 @@
         self.words.get(self.next).map(|word| word.text.as_str())
     }
 
-    fn take(&mut self, right: &str) -> Result<String, SyntaxError> {
+    /// Reads the next word; `expected` describes it in errors.
+    fn next_word(&mut self, expected: &str) -> Result<String, SyntaxError> {
         match self.peek() {
             Some(text) => {
                 let text = text.to_owned();
                 self.next += 1;
                 Ok(text)
             }
-            None => self.fail(format!("the statement ends here; expected {right}")),
+            None => self.fail(format!("the statement ends here; expected {expected}")),
         }
     }
 
@@ -276,11 +277,13 @@
         }
     }
 
-    /// One of several words.
+    /// Reads one of several words and returns its index.
     fn choice(&mut self, words: &[&str]) -> Result<usize, SyntaxError> {
-        let right = words.join(", ");
+        let expected = words.join(", ");
         let Some(found) = self.peek() else {
-            return self.fail(format!("the statement ends here; expected one of {right}"));
+            return self.fail(format!(
+                "the statement ends here; expected one of {expected}"
+            ));
         };
         match words
             .iter()
@@ -291,24 +294,24 @@
                 Ok(at)
             }
             None => self.fail(format!(
-                "'{found}' is not known here; expected one of {right}"
+                "'{found}' is not known here; expected one of {expected}"
             )),
         }
     }
 
-    /// A whole number; durations are milliseconds.
-    fn whole_number(&mut self, right: &str) -> Result<u64, SyntaxError> {
+    /// Reads a whole number; durations are in milliseconds.
+    fn whole_number(&mut self, expected: &str) -> Result<u64, SyntaxError> {
         match self.peek().map(operand) {
             Some(Operand::Number(number)) if number >= 0.0 && number.fract() == 0.0 => {
                 self.next += 1;
                 Ok(number as u64)
             }
-            Some(_) => self.fail(format!("not a whole number; expected {right}")),
-            None => self.fail(format!("the statement ends here; expected {right}")),
+            Some(_) => self.fail(format!("not a whole number; expected {expected}")),
+            None => self.fail(format!("the statement ends here; expected {expected}")),
         }
     }
 
-    fn end(&self) -> Result<(), SyntaxError> {
+    fn expect_end(&self) -> Result<(), SyntaxError> {
         match self.peek() {
             None => Ok(()),
             Some(found) => self.fail(format!("'{found}' is too much; the statement is whole")),
@@ -316,10 +319,10 @@
     }
 }
 
-/// Reads a statement.
+/// Parses a statement.
 ///
 /// # Errors
-/// [`SyntaxError`], which points at the word.
+/// Returns a [`SyntaxError`], which points at the wrong word.
 pub fn parse(statement: &str) -> Result<Statement, SyntaxError> {
     let mut reader = Reader {
         words: words(statement)?,
@@ -334,7 +337,7 @@
         4 => drain(&mut reader, true)?,
         _ => drain(&mut reader, false)?,
     };
-    reader.end()?;
+    reader.expect_end()?;
     Ok(read)
 }
 
@@ -363,9 +366,9 @@
         Comparison::Greater,
         Comparison::GreaterOrEqual,
     ];
-    let field = reader.take("a field")?;
+    let field = reader.next_word("a field")?;
     let comparison = COMPARISONS[reader.choice(&["=", "!=", "<", "<=", ">", ">="])?];
-    let value = operand(&reader.take("a value")?);
+    let value = operand(&reader.next_word("a value")?);
     Ok(Condition {
         field,
         comparison,
@@ -373,7 +376,7 @@
     })
 }
 
-/// A number, a duration as milliseconds, or a text.
+/// Parses a number, a duration in milliseconds, or a text.
 fn operand(text: &str) -> Operand {
     if let Ok(number) = text.parse::<f64>() {
         return Operand::Number(number);
@@ -386,30 +389,30 @@
 
 fn explain(reader: &mut Reader<'_>) -> Result<Statement, SyntaxError> {
     reader.expect("request")?;
-    let right = "a request's id, as in req-0123…";
+    let expected = "a request's id, as in req-0123…";
     match reader.peek().map(str::parse::<RequestId>) {
         Some(Ok(request)) => {
             reader.next += 1;
             Ok(Statement::Explain(request))
         }
-        Some(Err(_)) => reader.fail(format!("not an id; expected {right}")),
-        None => reader.fail(format!("the statement ends here; expected {right}")),
+        Some(Err(_)) => reader.fail(format!("not an id; expected {expected}")),
+        None => reader.fail(format!("the statement ends here; expected {expected}")),
     }
 }
 
 fn set(reader: &mut Reader<'_>) -> Result<Statement, SyntaxError> {
     let target = match reader.choice(&["class", "customer", "route"])? {
-        0 => Target::Class(reader.take("a class")?),
-        1 => Target::Customer(reader.take("a customer")?),
+        0 => Target::Class(reader.next_word("a class")?),
+        1 => Target::Customer(reader.next_word("a customer")?),
         _ => {
-            let service = reader.take("a service")?;
-            let prefix = reader.take("a route's prefix")?;
+            let service = reader.next_word("a service")?;
+            let prefix = reader.next_word("a route's prefix")?;
             Target::Route(ServiceName::new(service), prefix)
         }
     };
-    let field = reader.take("a field")?;
+    let field = reader.next_word("a field")?;
     reader.expect("=")?;
-    let value = operand(&reader.take("a value")?);
+    let value = operand(&reader.next_word("a value")?);
     Ok(Statement::Set {
         target,
         field,
@@ -419,7 +422,7 @@
 
 fn roll_out(reader: &mut Reader<'_>) -> Result<Statement, SyntaxError> {
     reader.expect("out")?;
-    let model = ModelName::new(reader.take("a model")?);
+    let model = ModelName::new(reader.next_word("a model")?);
     reader.expect("version")?;
     let version = reader.whole_number("a version")?;
     let mut batch = None;
@@ -440,11 +443,11 @@
 
 fn drain(reader: &mut Reader<'_>, is_drained: bool) -> Result<Statement, SyntaxError> {
     if reader.choice(&["vm", "engine"])? == 0 {
-        let vm = VmId::new(reader.take("a VM")?);
+        let vm = VmId::new(reader.next_word("a VM")?);
         return Ok(Statement::DrainVm { vm, is_drained });
     }
-    let service = ServiceName::new(reader.take("a service")?);
-    let engine = EndpointId::new(reader.take("an engine")?);
+    let service = ServiceName::new(reader.next_word("a service")?);
+    let engine = EndpointId::new(reader.next_word("an engine")?);
     Ok(Statement::DrainEngine {
         service,
         engine,
--- a/src/modules/serve/operators/row.rs
+++ b/src/modules/serve/operators/row.rs
@@ -1,4 +1,4 @@
-//! A row of an operators' table.
+//! The rows of the operators' tables.
 
 use crate::modules::serve::observation::burn::Counts;
 use crate::modules::serve::operators::query_language::{Comparison, Condition, Operand};
@@ -9,9 +9,9 @@
 /// One field of a row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Field {
-    /// Its name, with its unit.
+    /// The field's name, with its unit.
     pub name: String,
-    /// Its value.
+    /// The field's value.
     pub value: Value,
 }
 
@@ -19,12 +19,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Row {
-    /// Its fields, in the table's order.
+    /// The row's fields, in the table's order.
     pub fields: Vec<Field>,
 }
 
 impl Row {
-    /// The row with one more field.
+    /// Returns the row with one more field.
     #[must_use]
     pub fn with(mut self, name: &str, value: impl Into<Value>) -> Self {
         self.fields.push(Field {
@@ -34,7 +34,7 @@
         self
     }
 
-    /// The row with the counts of a class.
+    /// Returns the row with the counts of a class.
     #[must_use]
     pub(super) fn with_counts(self, counts: &Counts) -> Self {
         self.with("offered", counts.offered)
@@ -47,14 +47,14 @@
             .with("wasted_tokens", counts.wasted_tokens)
     }
 
-    /// A field's value. `age` stands for `age_ms` too: the unit may be left out.
+    /// Returns a field's value. The unit `_ms` may be omitted: `age` also finds `age_ms`.
     pub fn get(&self, name: &str) -> Option<&Value> {
         let with_unit = format!("{name}_ms");
-        let is_it = |field: &&Field| field.name == name || field.name == with_unit;
-        self.fields.iter().find(is_it).map(|field| &field.value)
+        let has_name = |field: &&Field| field.name == name || field.name == with_unit;
+        self.fields.iter().find(has_name).map(|field| &field.value)
     }
 
-    /// Whether a condition holds; none: there is no such field.
+    /// Whether the row meets a condition; `None` if it has no such field.
     pub(crate) fn meets(&self, condition: &Condition) -> Option<bool> {
         let value = self.get(&condition.field)?;
         let order = compare(value, &condition.value);
@@ -83,10 +83,11 @@
     }
 }
 
-/// The field whose values daemons only send to be added up: a histogram of first tokens.
+/// The field with the histogram of times to the first token. It is only used to merge rows of
+/// several daemons.
 pub(super) const HISTOGRAM_FIELD: &str = "first_tokens";
 
-/// The rows as people read them: without histograms.
+/// Returns the rows without histograms, for people to read.
 pub(crate) fn without_histograms(rows: &[Row]) -> Vec<Row> {
     let without = |row: &Row| {
         let fields = row.fields.iter();
--- a/src/modules/serve/operators/rows.rs
+++ b/src/modules/serve/operators/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the operators' tables, as this daemon knows them.
+//! The rows of the operators' tables that this daemon contributes.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::observation::burn::{Counts, FirstTokens};
@@ -11,10 +11,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The rows of `table` that meet all conditions.
+/// Returns the rows of `table` that meet all conditions.
 ///
 /// # Errors
-/// [`UnknownField`] when a condition names a field that no row has.
+/// Returns [`UnknownField`] when a condition names a field that a row doesn't have.
 pub async fn rows(
     context: &Arc<Context>,
     table: Table,
@@ -45,13 +45,13 @@
     Ok(found)
 }
 
-/// A condition names a field that the table doesn't have.
+/// The error of a condition on a field that the table doesn't have.
 #[derive(Clone, Debug, derive_more::Display, derive_more::Error, PartialEq, Eq)]
 #[display("there is no field '{field}'; the fields are {known}")]
 pub(crate) struct UnknownField {
-    /// The name.
+    /// The unknown name.
     pub field: String,
-    /// What there is.
+    /// The names of the existing fields.
     pub known: String,
 }
 
@@ -63,7 +63,8 @@
     }
 }
 
-fn row(context: &Context) -> Row {
+/// Returns a row that begins with this daemon's VM.
+fn vm_row(context: &Context) -> Row {
     Row::default().with("vm", context.config.vm.as_str())
 }
 
@@ -77,7 +78,7 @@
             let customer = request.customer.map(|customer| customer.to_string());
             let engine = request.engine.map(|engine| engine.to_string());
             rows.push(
-                row(context)
+                vm_row(context)
                     .with("request", request.request.to_string())
                     .with("service", service.as_str())
                     .with("class", request.class.as_str())
@@ -97,7 +98,8 @@
 async fn engines(context: &Arc<Context>) -> Vec<Row> {
     let mut rows = Vec::new();
     for (service, pool) in context.pools.all() {
-        // The home of a pool knows its engines; others only what they decided themselves.
+        // Only the home of a pool knows the state of its engines; other daemons know only their own
+        // decisions.
         if !homes::is_home(context, &service) {
             continue;
         }
@@ -106,7 +108,7 @@
         };
         for engine in view.engines {
             rows.push(
-                row(context)
+                vm_row(context)
                     .with("service", service.as_str())
                     .with("engine", engine.engine.as_str())
                     .with("health", engine.health.to_string())
@@ -123,7 +125,7 @@
 async fn vms(context: &Arc<Context>) -> Vec<Row> {
     let (version, highest) = context.replica.versions();
     vec![
-        row(context)
+        vm_row(context)
             .with("data_centre", context.config.data_centre.as_str())
             .with("leaving", context.leaving.is_leaving())
             .with("ready", context.replica.may_serve())
@@ -136,7 +138,7 @@
     ]
 }
 
-/// The window of `show classes`. Chosen because it is the middle one of the burn's windows.
+/// The window of `show classes`: the middle window of the burn rate.
 const CLASS_WINDOW: DurationMs = DurationMs(3_600_000);
 
 async fn classes(context: &Arc<Context>) -> Vec<Row> {
@@ -154,26 +156,26 @@
         }
     }
     let class_row = |(name, class): (&ClassName, &ClassConfig)| {
-        // A class without requests has counted nothing.
+        // A class without requests has no counts.
         let counts = counts.get(name).copied().unwrap_or_default();
-        row(context)
+        vm_row(context)
             .with("class", name.as_str())
             .with("tier", class.tier.0)
             .with_counts(&counts)
             .with("attainment", counts.attainment().0)
             .with("burn", counts.burn_rate(class.objective))
-            // No pool has queued any.
+            // A class without an entry has no queued requests.
             .with("queued", queued.get(name).copied().unwrap_or(0))
             .with("objective", class.objective.0)
     };
     in_force.document.class.iter().map(class_row).collect()
 }
 
-/// The fast window of `show burn`, five minutes. Chosen because it shows a new fault soonest.
+/// The fast window of `show burn`, five minutes. It shows a new fault soonest.
 const FAST_WINDOW: DurationMs = DurationMs(300_000);
-/// The usual window, an hour. Chosen because it is what alerts on burn rates go by.
+/// The usual window, an hour. Alerts on burn rates use it.
 const USUAL_WINDOW: DurationMs = DurationMs(3_600_000);
-/// The slow window, six hours. Chosen because it shows what eats the error budget slowly.
+/// The slow window, six hours. It shows faults that use up the error budget slowly.
 const SLOW_WINDOW: DurationMs = DurationMs(21_600_000);
 /// The windows of `show burn`.
 pub(crate) const BURN_WINDOWS: [DurationMs; 3] = [FAST_WINDOW, USUAL_WINDOW, SLOW_WINDOW];
@@ -187,7 +189,7 @@
         let counts = context.burn.window(context.now(), window_ms);
         let first_tokens = context.burn.first_tokens(context.now(), window_ms);
         for (name, class) in &in_force.document.class {
-            // A class without requests has counted nothing.
+            // A class without requests has no counts.
             let counts = counts.get(name).copied().unwrap_or_default();
             let first_tokens = first_tokens.get(name).cloned().unwrap_or_default();
             rows.push(burn_row(name, class, window_ms, counts, &first_tokens));
@@ -218,12 +220,12 @@
         .with_counts(&counts)
         .with(
             HISTOGRAM_FIELD,
-            // A histogram can always be written.
+            // A histogram can always be serialised.
             serde_json::to_value(first_tokens).unwrap_or_default(),
         )
 }
 
-/// Adds up the rows of several daemons where a table is about the whole data centre.
+/// Merges the rows of several daemons if the table is about the whole data centre.
 pub fn merge(context: &Context, table: Table, rows: Vec<Row>) -> Vec<Row> {
     if table != Table::Burn {
         return rows;
@@ -236,7 +238,7 @@
         let Some(class) = row.get("class").and_then(Value::as_str) else {
             continue;
         };
-        // A field that a daemon of another version doesn't send counts as nothing.
+        // A field that a daemon of another version doesn't send counts as 0.
         let number = |name| row.get(name).and_then(Value::as_u64).unwrap_or(0);
         let key = (number("window_ms"), ClassName::new(class));
         let (counts, first_tokens) = merged.entry(key).or_default();
@@ -251,7 +253,7 @@
             wasted_tokens: number("wasted_tokens"),
         });
         if let Some(value) = row.get(HISTOGRAM_FIELD) {
-            // A histogram that can't be read adds nothing: the percentiles are of the others.
+            // A histogram that can't be parsed is ignored: the percentiles cover the others only.
             first_tokens.add(&serde_json::from_value(value.clone()).unwrap_or_default());
         }
     }
@@ -287,10 +289,10 @@
         }
     }
     let customer_row = |(name, customer): (&CustomerId, &CustomerConfig)| {
-        row(context)
+        vm_row(context)
             .with("customer", name.as_str())
             .with("default_kind", customer.default_kind.as_str())
-            // No pool has any of this customer.
+            // A customer without an entry has no requests in flight.
             .with("in_flight", in_flight.get(name).copied().unwrap_or(0))
             .with(
                 "concurrency_limit",
@@ -312,7 +314,7 @@
     };
     let document = &in_force.document;
     vec![
-        row(context)
+        vm_row(context)
             .with("version", in_force.version.0)
             .with("classes", document.class.len())
             .with("customers", document.customer.len())
--- a/src/modules/serve/peers/frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -30,7 +30,7 @@
     );
     let purpose = if is_control { "control" } else { "request" };
     let bytes = frame.encoded_len() as u64 + LENGTH_BYTES;
-    context.metrics.peer_bytes(direction, purpose, bytes);
+    context.metrics.count_peer_bytes(direction, purpose, bytes);
 }
 
 /// Removes the offer of the other side that a sent refusal ends.
--- a/src/modules/serve/peers/members.rs
+++ b/src/modules/serve/peers/members.rs
@@ -100,7 +100,7 @@
     }
 
     /// Returns all known VMs except this one, with state, incarnation and address.
-    pub fn known(&self) -> Vec<(VmId, MemberState, Incarnation, SocketAddr)> {
+    pub fn other_members(&self) -> Vec<(VmId, MemberState, Incarnation, SocketAddr)> {
         let membership = self.lock();
         let known = membership.members();
         known
--- a/src/modules/serve/peers/membership.rs
+++ b/src/modules/serve/peers/membership.rs
@@ -214,7 +214,7 @@
         for seed in context.config.peers.seeds.clone() {
             let is_member = context
                 .members
-                .known()
+                .other_members()
                 .iter()
                 .any(|(_, state, _, address)| *address == seed && *state != MemberState::Dead);
             if !is_member && seed != context.config.peers.address {
@@ -233,7 +233,7 @@
         if !context.members.is_watcher() || !context.replica.try_acquire_call(context.now()) {
             continue;
         }
-        context.metrics.platform_call("list");
+        context.metrics.count_platform_call("list");
         match context.platform.list().await {
             Ok(list) => {
                 context.replica.call_succeeded();
--- a/src/modules/serve/pools/homes.rs
+++ b/src/modules/serve/pools/homes.rs
@@ -46,7 +46,7 @@
 /// Whether this daemon decides for `service` now, as its home or because the home is bypassed.
 pub fn is_home(context: &Context, service: &ServiceName) -> bool {
     let home = context.members.remote_home(&home_key(service));
-    home.is_none_or(|(vm, _)| context.homes.is_bypassed(context.now(), &vm))
+    home.is_none_or(|(vm, _)| context.remote_requests.is_bypassed(context.now(), &vm))
 }
 
 /// Whether this daemon is the home of `service` in its view of the membership, so that no other
@@ -63,7 +63,8 @@
 ) -> bool {
     let home = context.members.remote_home(&home_key(&offer.service));
     let now = context.now();
-    let Some((vm, address)) = home.filter(|(vm, _)| !context.homes.is_bypassed(now, vm)) else {
+    let Some((vm, address)) = home.filter(|(vm, _)| !context.remote_requests.is_bypassed(now, vm))
+    else {
         return offer_locally(context, offer, orders);
     };
     let request = offer.request;
@@ -78,7 +79,7 @@
         running: None,
         delivered: Tokens(0),
     };
-    context.homes.lock().insert(request, remote);
+    context.remote_requests.lock().insert(request, remote);
     if !context.links.link_to(address).send(frame) {
         bypass(context, &vm);
     }
@@ -101,7 +102,7 @@
 }
 
 fn report_to_home(context: &Arc<Context>, request: RequestId, report: PoolReport) -> bool {
-    let mut remotes = context.homes.lock();
+    let mut remotes = context.remote_requests.lock();
     let Some(remote) = remotes.get_mut(&request) else {
         return false;
     };
@@ -125,7 +126,7 @@
     let Some(request) = request_of(&order.request) else {
         return;
     };
-    let mut remotes = context.homes.lock();
+    let mut remotes = context.remote_requests.lock();
     let remote = remotes
         .get_mut(&request)
         .filter(|remote| remote.home == peer.vm);
@@ -150,7 +151,7 @@
 /// Bypasses the home at `address`, to which no connection is left.
 pub fn on_unreachable(context: &Arc<Context>, address: SocketAddr) {
     let home = {
-        let remotes = context.homes.lock();
+        let remotes = context.remote_requests.lock();
         let at = remotes.values().find(|remote| remote.address == address);
         at.map(|remote| remote.home.clone())
     };
@@ -161,9 +162,9 @@
 
 /// Bypasses `home`: this daemon decides on all its requests that were offered there.
 fn bypass(context: &Arc<Context>, home: &VmId) {
-    context.homes.start_bypass(context.now(), home);
+    context.remote_requests.start_bypass(context.now(), home);
     let requests: Vec<RemoteRequest> = {
-        let mut remotes = context.homes.lock();
+        let mut remotes = context.remote_requests.lock();
         let is_at_home = |_: &RequestId, remote: &mut RemoteRequest| remote.home == *home;
         remotes
             .extract_if(is_at_home)
@@ -179,7 +180,7 @@
 /// Bypasses the homes that the changed membership no longer contains.
 pub(crate) fn on_membership_changed(context: &Arc<Context>) {
     let homes: Vec<VmId> = context
-        .homes
+        .remote_requests
         .lock()
         .values()
         .map(|remote| remote.home.clone())
@@ -209,7 +210,7 @@
         tokio::time::sleep(SWEEP_INTERVAL).await;
         let now = context.now();
         let slow: Vec<VmId> = {
-            let remotes = context.homes.lock();
+            let remotes = context.remote_requests.lock();
             let is_slow = |remote: &&RemoteRequest| {
                 !remote.is_accepted && now.since(remote.sent_at).0 > ACCEPT_MS
             };
@@ -220,7 +221,7 @@
                 .collect()
         };
         for home in slow {
-            if !context.homes.is_bypassed(now, &home) {
+            if !context.remote_requests.is_bypassed(now, &home) {
                 bypass(&context, &home);
             }
         }
--- a/src/modules/serve/requests/model_attempt.rs
+++ b/src/modules/serve/requests/model_attempt.rs
@@ -125,7 +125,9 @@
         if self.first_token_at.is_none() {
             self.first_token_at = Some(now);
             let seconds = now.since(self.arrived_at).0 as f64 / 1000.0;
-            self.context.metrics.first_token(self.class(), seconds);
+            self.context
+                .metrics
+                .record_first_token(self.class(), seconds);
         }
         let report = reporter.next_report(
             &self.context.config.serving,
--- a/src/modules/serve/requests/model_outcome.rs
+++ b/src/modules/serve/requests/model_outcome.rs
@@ -16,7 +16,7 @@
         self.finish_attempt(number, AttemptEnd::CallerGone).await;
         self.context
             .metrics
-            .request_ended(self.class(), "caller_gone");
+            .count_request(self.class(), "caller_gone");
     }
 
     pub(super) async fn complete(&mut self, reason: EndReason) {
@@ -29,15 +29,17 @@
             .targets
             .are_met(first_token_ms, whole_ms, tokens.0);
         let result = if is_in_target { "in_target" } else { "late" };
-        self.context.metrics.request_ended(self.class(), result);
-        self.context.metrics.delivered(self.class(), tokens);
-        let ended = RequestEnd::Whole {
+        self.context.metrics.count_request(self.class(), result);
+        self.context
+            .metrics
+            .count_delivered_tokens(self.class(), tokens);
+        let ended = RequestEnd::Complete {
             is_in_target,
             is_resumed: self.attempts > 1,
             tokens,
             first_token_ms: DurationMs(first_token_ms),
         };
-        self.context.burn.ended(now, self.class(), ended);
+        self.context.burn.count_request(now, self.class(), ended);
         self.send_to_caller(CallerEvent::End(reason, tokens)).await;
     }
 
@@ -49,9 +51,9 @@
         } else {
             RequestEnd::Refused
         };
-        self.context.burn.ended(now, self.class(), ended);
+        self.context.burn.count_request(now, self.class(), ended);
         let result = if is_cut { "cut" } else { "refused" };
-        self.context.metrics.request_ended(self.class(), result);
+        self.context.metrics.count_request(self.class(), result);
         let kind = if is_cut {
             Event::RequestFailed
         } else {
@@ -76,9 +78,9 @@
 
     pub(super) fn count_wasted(&self, cause: &'static str, tokens: u64) {
         let tokens = Tokens(tokens);
-        self.context.metrics.wasted(cause, tokens);
+        self.context.metrics.count_wasted_tokens(cause, tokens);
         self.context
             .burn
-            .wasted(self.context.now(), self.class(), tokens);
+            .count_wasted_tokens(self.context.now(), self.class(), tokens);
     }
 }
--- a/src/modules/serve/requests/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -179,9 +179,11 @@
     let took_ms = now.since(arrived_at).0;
     let (ended, label) = match result {
         Ok(_) => {
-            context.metrics.first_token(class, took_ms as f64 / 1000.0);
+            context
+                .metrics
+                .record_first_token(class, took_ms as f64 / 1000.0);
             let is_in_target = request.targets.are_met(took_ms, took_ms, 1);
-            let ended = RequestEnd::Whole {
+            let ended = RequestEnd::Complete {
                 is_in_target,
                 is_resumed: false,
                 tokens: Tokens(1),
@@ -208,6 +210,6 @@
             (RequestEnd::Cut, "cut")
         }
     };
-    context.burn.ended(now, class, ended);
-    context.metrics.request_ended(class, label);
+    context.burn.count_request(now, class, ended);
+    context.metrics.count_request(class, label);
 }
--- a/src/modules/serve/rollouts/carry_out.rs
+++ b/src/modules/serve/rollouts/carry_out.rs
@@ -1,15 +1,15 @@
-//! Rollouts of model versions: one daemon of a data centre carries each out, under a lease.
+//! Runs rollouts of model versions: one daemon of a data centre runs each of them, under a lease.
 //!
-//! What is to be done stands in the configuration, how far it is in the platform's service:
-//! the state is stored before its orders are given, so that another daemon carries it on.
-//! The holder looks at its own deadline right before each order.
+//! The configuration holds the plan, the platform's service the progress: the state is stored
+//! before its orders are sent, so that another daemon can continue the rollout. The holder checks
+//! its lease's deadline right before each order.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::operators::fan_out;
 use crate::modules::serve::operators::query_language::Table;
 use crate::modules::serve::operators::row::Row;
 use crate::modules::serve::operators::rows;
-use crate::modules::serve::rollouts::held::Held;
+use crate::modules::serve::rollouts::held::HeldRollout;
 use bridgevane_adapters::{
     FencedOrder, KeyValue, KvCas, KvError, LeaseId, ModelEngine, Order, OrderReply, WeightStore,
 };
@@ -25,39 +25,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a rollout is looked at. Not measured, chosen because engines take seconds to load.
-const STEP_EVERY: Duration = Duration::from_millis(500);
-/// How long a lease lasts. Chosen because it is three times the longest order.
+/// The interval of a rollout's steps. Engines take seconds to load a version.
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
+/// The duration of a lease: three times [`ORDER_MS`].
 const LEASE_TTL: DurationMs = DurationMs(6_000);
-/// The longest that an order may be on its way. From the adapters' time limit of a call.
+/// The longest time for which an order may be in transit: the adapters' time limit of a call.
 const ORDER_MS: DurationMs = DurationMs(2_000);
-/// Pause after a failure, so that the platform isn't asked without end.
+/// The pause after a failure, so that the platform isn't called continuously.
 const FAILURE_PAUSE: Duration = Duration::from_millis(2_000);
-/// The window of the burn rate that holds a rollout back. Chosen because the shortest window shows
-/// a bad version soonest.
+/// The window of the burn rate that can hold a rollout. The shortest window shows a bad version
+/// soonest.
 const BURN_WINDOW: DurationMs = rows::BURN_WINDOWS[0];
 
-/// Why a rollout can't go on now.
+/// Why a rollout can't continue now.
 #[derive(Clone, Debug, Display, Error, From)]
 pub(crate) enum RolloutError {
-    /// The platform's service.
+    /// A call to the platform failed.
     #[display("{_0}")]
     Platform(KvError),
     /// Another daemon holds the lease.
     #[display("another daemon holds the lease")]
-    HeldElsewhere,
-    /// The lease may have ended.
+    HeldByOther,
+    /// The lease may have expired, or a newer holder has sent an order.
     #[display("the lease may have ended")]
-    LeaseOver,
-    /// What is stored can't be read.
+    LeaseExpired,
+    /// The stored state can't be read or written.
     #[display("the stored state can't be read")]
     Malformed,
 }
 
-/// Carries rollouts out until the daemon ends.
+/// Runs the rollouts whose home is this daemon, until the daemon ends.
 pub async fn run(context: Arc<Context>) {
     loop {
-        tokio::time::sleep(STEP_EVERY).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
         let Some(in_force) = context.in_force.load() else {
             continue;
         };
@@ -66,18 +66,18 @@
             let Some((service, service_config)) = served else {
                 continue;
             };
-            let job = Job {
+            let step = RolloutStep {
                 context: &context,
                 model,
                 config,
                 service,
                 service_config,
             };
-            if !job.is_mine() {
+            if !step.is_home() {
                 context.rollouts.lock().remove(model);
                 continue;
             }
-            if let Err(error) = job.advance().await {
+            if let Err(error) = step.advance().await {
                 context.rollouts.lock().remove(model);
                 event!(Event::RolloutStopped, model = model, cause = error);
                 tokio::time::sleep(FAILURE_PAUSE).await;
@@ -86,8 +86,8 @@
     }
 }
 
-/// One look at one rollout.
-struct Job<'a> {
+/// One step of one rollout.
+struct RolloutStep<'a> {
     context: &'a Arc<Context>,
     model: &'a ModelName,
     config: &'a RolloutConfig,
@@ -95,13 +95,13 @@
     service_config: &'a ServiceConfig,
 }
 
-impl Job<'_> {
+impl RolloutStep<'_> {
     fn key(&self, what: &str) -> String {
         let data_centre = &self.context.config.data_centre;
         format!("bridgevane/rollout-{what}/{data_centre}/{}", self.model)
     }
 
-    fn is_mine(&self) -> bool {
+    fn is_home(&self) -> bool {
         let key = format!("rollout/{}", self.model);
         !self.context.leaving.is_leaving() && self.context.members.remote_home(&key).is_none()
     }
@@ -110,10 +110,10 @@
         let held = self.context.rollouts.lock().get(self.model).cloned();
         let mut held = match held {
             Some(held) if self.is_same_plan(&held.rollout) => held,
-            _ => self.begin().await?,
+            _ => self.load().await?,
         };
         if held.rollout.is_over() {
-            self.keep(held);
+            self.save(held);
             return Ok(());
         }
         self.renew(&mut held).await?;
@@ -128,12 +128,12 @@
         if next != held.rollout {
             self.store(&mut held, next).await?;
         }
-        let result = self.give_orders(&mut held).await;
-        self.keep(held);
+        let result = self.send_orders(&mut held).await;
+        self.save(held);
         result
     }
 
-    fn keep(&self, held: Held) {
+    fn save(&self, held: HeldRollout) {
         self.context
             .rollouts
             .lock()
@@ -162,10 +162,10 @@
         rollout.plan == self.plan()
     }
 
-    /// Reads how far the rollout is, and takes the lease if something is left to do.
-    async fn begin(&self) -> Result<Held, RolloutError> {
+    /// Reads the stored state, and acquires the lease unless the rollout is over.
+    async fn load(&self) -> Result<HeldRollout, RolloutError> {
         let platform = &self.context.platform;
-        self.context.metrics.platform_call("get");
+        self.context.metrics.count_platform_call("get");
         let stored = platform.get(&self.key("state")).await?;
         let stored_at = stored.as_ref().map(|value| value.revision);
         let before: Option<Rollout> = match &stored {
@@ -179,7 +179,7 @@
             Some(before) if self.is_same_plan(&before) => before,
             _ => Rollout::new(self.plan(), generation + 1),
         };
-        let mut held = Held {
+        let mut held = HeldRollout {
             lease_id: LeaseId(0),
             lease: HeldLease::ended(),
             rollout,
@@ -190,17 +190,17 @@
             tickets: BTreeMap::new(),
             burn: 0.0,
         };
-        // What is over needs no lease: a data centre that restarts must not ask for many.
+        // A finished rollout needs no lease: a restarting data centre must not request many.
         if !held.rollout.is_over() {
-            self.take_lease(&mut held).await?;
+            self.acquire_lease(&mut held).await?;
         }
         Ok(held)
     }
 
-    async fn take_lease(&self, held: &mut Held) -> Result<(), RolloutError> {
+    async fn acquire_lease(&self, held: &mut HeldRollout) -> Result<(), RolloutError> {
         let platform = &self.context.platform;
-        let asked_at = boot_time();
-        self.context.metrics.platform_call("lease");
+        let requested_at = boot_time();
+        self.context.metrics.count_platform_call("lease");
         let granted = platform.grant_lease(LEASE_TTL).await?;
         let cas = KvCas {
             key: self.key("holder"),
@@ -208,37 +208,37 @@
             text: Some(self.context.config.vm.to_string()),
             lease: Some(granted.id),
         };
-        self.context.metrics.platform_call("cas");
-        let taken = platform
+        self.context.metrics.count_platform_call("cas");
+        let revision = platform
             .compare_and_swap(cas)
             .await
             .map_err(|error| match error {
-                KvError::Conflict => RolloutError::HeldElsewhere,
+                KvError::Conflict => RolloutError::HeldByOther,
                 other => RolloutError::Platform(other),
             })?;
         held.lease_id = granted.id;
-        held.lease = HeldLease::granted(FenceToken(taken.0), asked_at, granted.ttl_ms);
+        held.lease = HeldLease::granted(FenceToken(revision.0), requested_at, granted.ttl_ms);
         Ok(())
     }
 
-    async fn renew(&self, held: &mut Held) -> Result<(), RolloutError> {
+    async fn renew(&self, held: &mut HeldRollout) -> Result<(), RolloutError> {
         let now = boot_time();
         if !held.lease.is_renewal_due(now) {
             return Ok(());
         }
-        self.context.metrics.platform_call("lease");
+        self.context.metrics.count_platform_call("lease");
         match self.context.platform.renew_lease(held.lease_id).await {
             Ok(_) => held.lease.renewed(now),
-            Err(KvError::LeaseGone) => return Err(RolloutError::LeaseOver),
-            // It lasts a while longer; the deadline is looked at before each order.
+            Err(KvError::LeaseGone) => return Err(RolloutError::LeaseExpired),
+            // The lease is still valid for a time; the deadline is checked before each order.
             Err(_) => {}
         }
         Ok(())
     }
 
-    async fn store(&self, held: &mut Held, next: Rollout) -> Result<(), RolloutError> {
+    async fn store(&self, held: &mut HeldRollout, next: Rollout) -> Result<(), RolloutError> {
         if !held.lease.may_act(boot_time(), ORDER_MS) {
-            return Err(RolloutError::LeaseOver);
+            return Err(RolloutError::LeaseExpired);
         }
         let text = serde_json::to_string(&next).map_err(|_| RolloutError::Malformed)?;
         let cas = KvCas {
@@ -247,8 +247,8 @@
             text: Some(text),
             lease: None,
         };
-        self.context.metrics.platform_call("cas");
-        // When the answer is lost, the state is read anew before anything else is done.
+        self.context.metrics.count_platform_call("cas");
+        // If the answer is lost, the step fails and the next one reads the stored state first.
         let revision = self.context.platform.compare_and_swap(cas).await?;
         if next.stage != held.rollout.stage {
             event!(
@@ -266,7 +266,7 @@
         Ok(())
     }
 
-    /// The highest burn rate of all classes, over the whole data centre.
+    /// Returns the highest burn rate of all classes in the data centre.
     async fn burn(&self) -> f64 {
         let answer = fan_out::ask_all(self.context, "show burn").await;
         let rows = rows::merge(self.context, Table::Burn, answer.rows);
@@ -279,11 +279,11 @@
         burns.fold(0.0, f64::max)
     }
 
-    /// Gives the orders that aren't confirmed yet.
-    async fn give_orders(&self, held: &mut Held) -> Result<(), RolloutError> {
+    /// Sends the orders that engines haven't confirmed yet.
+    async fn send_orders(&self, held: &mut HeldRollout) -> Result<(), RolloutError> {
         let checks_fence = self.service_config.checks_fence;
         if !checks_fence && !held.lease.is_past_earlier_orders(boot_time(), ORDER_MS) {
-            // An earlier holder's last order may still be on its way.
+            // An order of the previous holder may still be in transit.
             return Ok(());
         }
         for order in held.rollout.orders() {
@@ -292,7 +292,7 @@
             if confirmed.contains(&order.engine) {
                 continue;
             }
-            if self.give(held, &order).await? {
+            if self.send_order(held, &order).await? {
                 held.on_new.remove(&order.engine);
                 held.on_old.remove(&order.engine);
                 let confirmed = if is_new {
@@ -306,8 +306,12 @@
         Ok(())
     }
 
-    /// Gives one order; true when the engine confirmed it.
-    async fn give(&self, held: &mut Held, order: &RolloutEffect) -> Result<bool, RolloutError> {
+    /// Sends one order; returns whether the engine confirmed it.
+    async fn send_order(
+        &self,
+        held: &mut HeldRollout,
+        order: &RolloutEffect,
+    ) -> Result<bool, RolloutError> {
         let Some(ticket) = self.ticket(held, order.version).await else {
             return Ok(false);
         };
@@ -315,7 +319,7 @@
             return Ok(false);
         };
         if !held.lease.may_act(boot_time(), ORDER_MS) {
-            return Err(RolloutError::LeaseOver);
+            return Err(RolloutError::LeaseExpired);
         }
         let fenced = FencedOrder {
             fence: held.lease.fence(),
@@ -328,24 +332,24 @@
         };
         match link.model.order(fenced).await {
             Ok(OrderReply::Done) => Ok(true),
-            // A later holder has been there: this one must not go on.
-            Ok(OrderReply::Fenced) => Err(RolloutError::LeaseOver),
+            // The engine has an order of a newer holder: this daemon must not continue.
+            Ok(OrderReply::Fenced) => Err(RolloutError::LeaseExpired),
             Err(_) => Ok(false),
         }
     }
 
-    /// A ticket of the rate-limited weight store; none: it has to be asked for again later.
-    async fn ticket(&self, held: &mut Held, version: u64) -> Option<String> {
+    /// Returns a ticket of the rate-limited weight store; `None` if the store grants none now.
+    async fn ticket(&self, held: &mut HeldRollout, version: u64) -> Option<String> {
         if let Some(ticket) = held.tickets.get(&version) {
             return Some(ticket.clone());
         }
-        self.context.metrics.platform_call("ticket");
+        self.context.metrics.count_platform_call("ticket");
         let ticket = self
             .context
             .platform
             .ticket(self.model, version)
             .await
-            // Without a ticket nothing is ordered; the next step asks again.
+            // Without a ticket no order is sent; the next step requests one again.
             .ok()?;
         held.tickets.insert(version, ticket.clone());
         Some(ticket)
--- a/src/modules/serve/rollouts/held.rs
+++ b/src/modules/serve/rollouts/held.rs
@@ -1,5 +1,5 @@
-//! Rollouts that this daemon carries out now; lost with the process, and carried on by another
-//! daemon.
+//! The rollouts that this daemon runs. They are lost with the process, and another daemon continues
+//! them.
 
 use crate::modules::serve::operators::row::Row;
 use bridgevane_adapters::{KvRevision, LeaseId};
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A rollout that this daemon carries out.
+/// A rollout that this daemon runs, with its lease.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldRollout {
     pub(super) lease_id: LeaseId,
     pub(super) lease: HeldLease,
     pub(super) rollout: Rollout,
@@ -18,25 +18,25 @@
     pub(super) watched_since: TimeMs,
     pub(super) on_new: BTreeSet<EndpointId>,
     pub(super) on_old: BTreeSet<EndpointId>,
-    /// Tickets of the weight store, by version: one serves all engines.
+    /// The tickets of the weight store by version; one ticket serves all engines.
     pub(super) tickets: BTreeMap<u64, String>,
     pub(super) burn: f64,
 }
 
-/// Rollouts that this daemon carries out.
+/// The rollouts that this daemon runs.
 #[derive(Default)]
 pub struct Rollouts {
-    held: Mutex<BTreeMap<ModelName, Held>>,
+    held: Mutex<BTreeMap<ModelName, HeldRollout>>,
 }
 
 impl Rollouts {
-    pub(super) fn lock(&self) -> MutexGuard<'_, BTreeMap<ModelName, Held>> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, BTreeMap<ModelName, HeldRollout>> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Rows for operators.
+    /// Returns the rows of `show rollouts`.
     pub fn rows(&self, own_vm: &VmId) -> Vec<Row> {
-        let row = |(model, held): (&ModelName, &Held)| {
+        let row = |(model, held): (&ModelName, &HeldRollout)| {
             let plan = &held.rollout.plan;
             Row::default()
                 .with("vm", own_vm.as_str())
