--- a/src/modules/serve/configuration/replica.rs
+++ b/src/modules/serve/configuration/replica.rs
@@ -40,7 +40,7 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the version of the replica and the highest version that any daemon has announced.
+    /// Returns the version of the replica and the highest known version.
     pub fn versions(&self) -> (ConfigVersion, ConfigVersion) {
         let replica = self.lock();
         (replica.version(), replica.highest_heard())
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// Decides a claim as the key's home. Asks the previous home if the registry requires it.
+/// Decides a claim as the key's home. Asks the earlier home if the registry requires it.
 async fn decide_as_home(context: &Arc<Context>, claim: Claim) -> Verdict {
     let live = context.members.live();
     let verdict = context
@@ -102,7 +102,7 @@
         .registry()
         .claim(context.now(), claim.clone(), &live.key_members);
     let earlier = match verdict {
-        Verdict::AskBefore(before) => ask_previous_home(context, &before, &claim).await,
+        Verdict::AskBefore(before) => ask_earlier_home(context, &before, &claim).await,
         Verdict::NoMemory => verdict_without_memory(context).await,
         decided => return decided,
     };
@@ -112,8 +112,8 @@
         .apply_earlier_verdict(claim, earlier)
 }
 
-async fn ask_previous_home(context: &Arc<Context>, previous: &VmId, claim: &Claim) -> Verdict {
-    let address = context.members.address_of(previous);
+async fn ask_earlier_home(context: &Arc<Context>, earlier: &VmId, claim: &Claim) -> Verdict {
+    let address = context.members.address_of(earlier);
     let (Some(address), Some(call)) = (address, keyed_call_of(claim)) else {
         return Verdict::Unknown;
     };
@@ -155,7 +155,7 @@
     }
 }
 
-/// Returns the call of a claim, to ask the previous home about it.
+/// Returns the call of a claim, to ask the earlier home about it.
 fn keyed_call_of(claim: &Claim) -> Option<KeyedCall> {
     let mut parts = claim.key.splitn(4, '/').skip(1);
     Some(KeyedCall {
--- a/src/modules/serve/keys/ends.rs
+++ b/src/modules/serve/keys/ends.rs
@@ -23,9 +23,9 @@
 use tokio::time::{sleep, timeout};
 
 /// The longest time for which an answer waits for the home's acknowledgement: about ten round trips
-/// between data centres. A home that is slower, cut off or gone delays the answer of each of its
-/// keys by this time, until it is known to be gone. Without load the acknowledgement takes 30 us at
-/// the median (benches/latency.rs).
+/// between data centres. A home that is slower, unreachable or gone delays the answer of each of
+/// its keys by this time, until it is known to be gone. Without load the acknowledgement takes 30
+/// us at the median (benches/latency.rs).
 const ACK_TIMEOUT: Duration = Duration::from_millis(250);
 /// The maximum number of reports of one end, one per [`RETRY_PAUSE`]. A home that is unreachable
 /// for longer is dead, and its keys answer `unknown`.
--- a/src/modules/serve/keys/key_homes.rs
+++ b/src/modules/serve/keys/key_homes.rs
@@ -104,12 +104,12 @@
     }
 
     /// Records that a daemon was lost.
-    pub fn member_lost(&self, now: TimeMs, vm: &VmId) {
+    pub fn record_lost_member(&self, now: TimeMs, vm: &VmId) {
         self.registry().member_lost(now, vm);
     }
 
-    /// Records the VMs of this data centre on the platform's list.
-    pub fn on_platform_list(&self, now: TimeMs, listed: &[VmId]) {
+    /// Applies the platform's list of VMs, reduced to this data centre.
+    pub fn apply_vm_list(&self, now: TimeMs, listed: &[VmId]) {
         self.registry().listed(now, listed);
     }
 
--- a/src/modules/serve/peers/connections.rs
+++ b/src/modules/serve/peers/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between daemons: opened or accepted, authenticated by a greeting, and served until
+//! Connections between daemons: opened or accepted, authenticated by a handshake, and served until
 //! either side closes them.
 //!
 //! Owns the sockets. [`super::links`] owns the sending queues, [`super::frames`] processes the
--- a/src/modules/serve/peers/frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -58,7 +58,7 @@
         return;
     };
     match body {
-        // Greetings are exchanged before and only once; later ones are ignored.
+        // The frames of the handshake are exchanged before; later ones are ignored.
         Body::Hello(_) | Body::Proof(_) => {}
         Body::Heartbeat(heartbeat) => membership::on_heartbeat(context, peer, link, heartbeat),
         Body::HeartbeatAck(heartbeat) => membership::on_ack(context, peer, link, heartbeat),
--- a/src/modules/serve/peers/membership.rs
+++ b/src/modules/serve/peers/membership.rs
@@ -29,7 +29,7 @@
 /// milliseconds. Ordinary heartbeats resolve differences within seconds.
 const FULL_STATE_INTERVAL_MS: u64 = 10_000;
 /// The interval at which daemons of other data centres are polled for their configuration version,
-/// in milliseconds. A change must be in force within 5 s of the end of a network cut.
+/// in milliseconds. A change must be in force within 5 s of the end of a network partition.
 const REMOTE_POLL_INTERVAL_MS: u64 = 5_000;
 
 /// Marks this VM as leaving or staying, and informs other daemons at once.
@@ -97,7 +97,7 @@
                 is_changed = true;
                 event!(Event::MemberChanged, vm = vm, state = state);
                 if state == MemberState::Dead {
-                    context.keys.member_lost(context.now(), &vm);
+                    context.keys.record_lost_member(context.now(), &vm);
                 }
             }
             MembershipEffect::Superseded => {
@@ -274,7 +274,7 @@
         .filter(is_same_data_centre)
         .map(|entry| entry.vm.clone())
         .collect();
-    context.keys.on_platform_list(now, &local_vms);
+    context.keys.apply_vm_list(now, &local_vms);
     context.members.platform_list.store(Arc::new(list));
 }
 
--- a/src/modules/serve/requests/model_attempt.rs
+++ b/src/modules/serve/requests/model_attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt of a model request: the call of an engine, and the chunks of its answer.
+//! One attempt of a model request: the call of an engine, and the pieces of its answer.
 //!
-//! A chunk is delivered only if it belongs to this request and the running attempt and continues
-//! exactly where the delivered text ends. Late and repeated chunks and those of another request or
+//! A piece is delivered only if it belongs to this request and the running attempt and continues
+//! exactly where the delivered text ends. Late and repeated pieces and those of another request or
 //! attempt are dropped; a gap ends the attempt.
 
 use crate::modules::serve::requests::attempt_reports::ProgressReporter;
@@ -39,12 +39,12 @@
         let engine = attempt.engine.model.clone();
         let starting = engine.generate(self.generate_call(attempt));
         tokio::pin!(starting);
-        let mut chunks = loop {
+        let mut pieces = loop {
             tokio::select! {
                 started = &mut starting => match started {
-                    Ok(chunks) => {
+                    Ok(pieces) => {
                         self.has_run = true;
-                        break chunks;
+                        break pieces;
                     }
                     Err(error) => return AttemptResult::Failed(self.end_of_failed_start(error)),
                 },
@@ -57,8 +57,8 @@
         let mut reporter = ProgressReporter::new(self.delivered, self.context.now());
         loop {
             tokio::select! {
-                chunk = chunks.next() => {
-                    let result = self.on_chunk(attempt, chunk, &mut reporter).await;
+                piece = pieces.next() => {
+                    let result = self.on_piece(attempt, piece, &mut reporter).await;
                     if let Some(result) = result {
                         return result;
                     }
@@ -83,28 +83,28 @@
     }
 
     /// Processes the next item of the engine's stream; `Some` when the attempt is over.
-    async fn on_chunk(
+    async fn on_piece(
         &mut self,
         attempt: &EngineAttempt,
-        chunk: Option<Result<Piece, EngineCallError>>,
+        piece: Option<Result<Piece, EngineCallError>>,
         reporter: &mut ProgressReporter,
     ) -> Option<AttemptResult> {
         let lost = AttemptEnd::Lost {
             delivered: Tokens(self.delivered),
         };
-        let Some(Ok(chunk)) = chunk else {
+        let Some(Ok(piece)) = piece else {
             return Some(AttemptResult::Failed(lost));
         };
-        if chunk.request != self.id() || chunk.attempt != self.engine_attempt_number() {
+        if piece.request != self.id() || piece.attempt != self.engine_attempt_number() {
             event!(Event::PieceDropped, request = self.id(), cause = "crossed");
             return None;
         }
-        match chunk.event {
-            PieceEvent::Token(_) if chunk.offset.0 < self.delivered => {
+        match piece.event {
+            PieceEvent::Token(_) if piece.offset.0 < self.delivered => {
                 event!(Event::PieceDropped, request = self.id(), cause = "repeated");
                 None
             }
-            _ if chunk.offset.0 > self.delivered => Some(AttemptResult::Failed(lost)),
+            _ if piece.offset.0 > self.delivered => Some(AttemptResult::Failed(lost)),
             PieceEvent::Token(text) => self.deliver(attempt, text, reporter).await,
             PieceEvent::End(reason) => Some(AttemptResult::Done(reason)),
         }
