--- a/crates/decisions/src/crash_count.rs
+++ b/crates/decisions/src/crash_count.rs
@@ -1,15 +1,15 @@
 //! Crash count: which requests crash the endpoints that run them and must no longer be sent?
 //!
-//! Inputs: observations of this daemon and, in the gateway, of all other daemons ([`CrashObservation`]):
-//! a request was running at an endpoint when the endpoint crashed; a request was answered
-//! successfully; a request is under quarantine. Each observation has a time by this daemon's clock
-//! (ms).
+//! Inputs: observations of this daemon and, in the gateway, of all other daemons
+//! ([`CrashObservation`]): a request was running at an endpoint when the endpoint crashed; a
+//! request was answered successfully; a request is under quarantine. Each observation has a time by
+//! this daemon's clock (ms).
 //!
 //! Rules:
 //! - A request under which [`CRASHES_TO_QUARANTINE`] endpoints have crashed is put under quarantine
-//!   for [`QUARANTINE_DURATION`]. A crash counts once per request and endpoint, however many daemons report
-//!   it and however often: retries, hedges, resumed streams and repeated requests of the client all
-//!   count as one.
+//!   for [`QUARANTINE_DURATION`]. A crash counts once per request and endpoint, however many
+//!   daemons report it and however often: retries, hedges, resumed streams and repeated requests of
+//!   the client all count as one.
 //! - Crashes within [`SAME_CRASH_WINDOW`] count as one, unless the later run began after the
 //!   earlier crash. Processes that are killed together crash under whatever they run, such as
 //!   identical requests of a client that polls.
--- a/crates/decisions/src/pool/crashes.rs
+++ b/crates/decisions/src/pool/crashes.rs
@@ -39,13 +39,13 @@
             return;
         };
         self.crashes.expire(context.now);
-        let news = CrashObservation {
+        let observation = CrashObservation {
             request: fingerprint,
             at: context.now,
             started_at: Some(running.started_at),
             fact: CrashFact::Crashed(incarnation),
         };
-        if self.crashes.record(context.now, news) == ObservationOutcome::NewlyQuarantined {
+        if self.crashes.record(context.now, observation) == ObservationOutcome::NewlyQuarantined {
             self.refuse_identical(context, fingerprint);
         }
     }
@@ -59,13 +59,13 @@
     pub(super) fn record_served(&mut self, now: TimeMs, fingerprint: Option<RequestFingerprint>) {
         let suspect = fingerprint.filter(|request| self.crashes.is_suspect(*request));
         if let Some(request) = suspect {
-            let news = CrashObservation {
+            let observation = CrashObservation {
                 request,
                 at: now,
                 started_at: None,
                 fact: CrashFact::Served,
             };
-            self.crashes.record(now, news);
+            self.crashes.record(now, observation);
         }
     }
 
--- a/crates/decisions/tests/support/driver.rs
+++ b/crates/decisions/tests/support/driver.rs
@@ -261,7 +261,7 @@
                 SimEvent::Step(engine) => self.step(engine),
                 SimEvent::Tick => {
                     for scheduler in 0..self.schedulers.len() {
-                        self.decide(scheduler, |policy, context| policy.tick(context));
+                        self.decide(scheduler, |scheduler, context| scheduler.tick(context));
                     }
                     self.schedule(self.now_us + TICK_MS * 1000, SimEvent::Tick);
                 }
@@ -330,7 +330,9 @@
             is_finished: false,
         };
         self.requests.insert(request, state);
-        self.decide(scheduler, |policy, context| policy.offer(context, offer));
+        self.decide(scheduler, |scheduler, context| {
+            scheduler.offer(context, offer)
+        });
     }
 
     fn apply_effect(&mut self, effect: Effect) {
@@ -428,8 +430,8 @@
         let Some(scheduler) = self.requests.get(&request).map(|state| state.scheduler) else {
             return;
         };
-        self.decide(scheduler, |policy, context| {
-            policy.attempt_ended(context, request, attempt, end);
+        self.decide(scheduler, |scheduler, context| {
+            scheduler.attempt_ended(context, request, attempt, end);
         });
     }
 
@@ -507,13 +509,13 @@
                 self.disconnect_caller(request, attempt);
                 return;
             }
-            self.decide(scheduler, |policy, context| {
-                policy.first_token(context, request, attempt);
+            self.decide(scheduler, |scheduler, context| {
+                scheduler.first_token(context, request, attempt);
             });
         }
         if due {
-            self.decide(scheduler, |policy, context| {
-                policy.progress(context, request, attempt, Tokens(delivered), gap_ms);
+            self.decide(scheduler, |scheduler, context| {
+                scheduler.progress(context, request, attempt, Tokens(delivered), gap_ms);
             });
         }
     }
@@ -535,8 +537,8 @@
         let class = self.arrivals[state.arrival].class;
         self.result.classes[class].offered -= 1;
         let end = AttemptEnd::CallerGone;
-        self.decide(scheduler, |policy, context| {
-            policy.attempt_ended(context, request, attempt, end);
+        self.decide(scheduler, |scheduler, context| {
+            scheduler.attempt_ended(context, request, attempt, end);
         });
     }
 
@@ -552,8 +554,8 @@
         let in_time = state.delivered_in_time;
         self.count_answer(index, delivered, in_time, first_ms.unwrap_or(now_ms));
         let end = AttemptEnd::Done(Tokens(delivered));
-        self.decide(scheduler, |policy, context| {
-            policy.attempt_ended(context, request, attempt, end);
+        self.decide(scheduler, |scheduler, context| {
+            scheduler.attempt_ended(context, request, attempt, end);
         });
     }
 
@@ -594,8 +596,8 @@
             }
             for scheduler in 0..self.schedulers.len() {
                 let engine = EndpointIx(engine as u32);
-                self.decide(scheduler, |policy, context| {
-                    policy.load_report(context, engine, busy, age_ms);
+                self.decide(scheduler, |scheduler, context| {
+                    scheduler.load_report(context, engine, busy, age_ms);
                 });
             }
         }
@@ -641,8 +643,8 @@
             let end = AttemptEnd::Lost {
                 delivered: Tokens(state.delivered),
             };
-            self.decide(scheduler, |policy, context| {
-                policy.attempt_ended(context, request, attempt.number, end);
+            self.decide(scheduler, |scheduler, context| {
+                scheduler.attempt_ended(context, request, attempt.number, end);
             });
         }
     }
--- a/crates/gateway/src/control/record_order.rs
+++ b/crates/gateway/src/control/record_order.rs
@@ -19,7 +19,7 @@
     pub(crate) fn from_record(record: &EndpointRecord, revision: Revision) -> Self {
         Self {
             started_at: record.started_at,
-            // Without the time of birth, a restarted sequence can't be told from an old one.
+            // Without the start time, a restarted sequence can't be distinguished from an old one.
             sequence: record.started_at.and(record.sequence),
             revision,
         }
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -183,7 +183,7 @@
             let mut registry = self.registry();
             registry.remove_unlisted(&listed_endpoints(&records), state.revision, removal);
             if !names_duty_holder(&records) {
-                self.on_duty_holder_gone(state.revision);
+                self.on_duty_holder_removed(state.revision);
             }
             self.apply_quarantine(Arc::default(), &records);
             self.end_unlisted_evacuations(&registry, &records, state.revision);
@@ -263,7 +263,7 @@
                 }
                 // Applied above, all at once.
                 Change::Quarantined(_) | Change::QuarantineEnded(_) => {}
-                Change::DutyHolderRemoved => self.on_duty_holder_gone(revision),
+                Change::DutyHolderRemoved => self.on_duty_holder_removed(revision),
                 Change::Unreadable(what) => {
                     event!(Event::ConfigRejected, what = what, revision = revision);
                 }
@@ -347,7 +347,7 @@
         self.quarantined.store(quarantined);
     }
 
-    fn on_duty_holder_gone(&self, revision: Revision) {
+    fn on_duty_holder_removed(&self, revision: Revision) {
         let entry = self.duty_holder.load();
         let entry = entry.without_holder(revision, self.clock.now());
         self.duty_holder.store(Arc::new(entry));
--- a/crates/gateway/src/decisions/admission/body_limits.rs
+++ b/crates/gateway/src/decisions/admission/body_limits.rs
@@ -11,7 +11,7 @@
 //! endpoint; the memory of the VM that they use must be bounded.
 //!
 //! Tests: `admission.rs::bodies_are_bounded_one_by_one_and_all_together`,
-//! `exchange.rs::bad_requests_get_a_typed_answer_at_once`.
+//! `exchange.rs::invalid_requests_get_an_error_code_and_reach_no_endpoint`.
 
 use super::refusal::RefusalReason;
 use bridgevane_types::Bytes;
--- a/crates/gateway/src/decisions/admission/refusal.rs
+++ b/crates/gateway/src/decisions/admission/refusal.rs
@@ -4,7 +4,8 @@
 //! so a client may send it again, even one that may run only once. Hence once a request may have
 //! run, only 502 and 504 are left ([`RefusalReason::or_unknown_if_run`], [`Refusal::after_failure`]).
 //!
-//! Tests: `exchange.rs::outcomes_of_plain_requests`, `bad_requests_get_a_typed_answer_at_once`.
+//! Tests: `exchange.rs::plain_requests_are_repeated_only_where_the_route_allows_it`,
+//! `invalid_requests_get_an_error_code_and_reach_no_endpoint`.
 
 use crate::decisions::resend::AttemptError;
 use bridgevane_types::DurationMs;
@@ -155,8 +156,8 @@
     }
 
     /// Returns the refusal after a failed attempt that is not sent again. `runs` counts the
-    /// attempts that ran or may have run, and `time_until_available` is the time until an endpoint may get
-    /// the request (`None`: one may get it now, and only the retry isn't allowed).
+    /// attempts that ran or may have run, and `time_until_available` is the time until an endpoint
+    /// may get the request (`None`: one may get it now, and only the retry isn't allowed).
     pub fn after_failure(
         error: AttemptError,
         runs: u32,
--- a/crates/gateway/src/decisions/eligibility/rest.rs
+++ b/crates/gateway/src/decisions/eligibility/backoff.rs
@@ -14,7 +14,7 @@
 //! Reason: a request sent during a back-off is rejected at once. It costs the endpoint work, a
 //! retry of the budget, and a part of the client's time.
 //!
-//! Tests: `endpoint_rest.rs`.
+//! Tests: `endpoint_backoff.rs`.
 
 use bridgevane_types::DurationMs;
 
--- a/crates/gateway/src/decisions/eligibility/mod.rs
+++ b/crates/gateway/src/decisions/eligibility/mod.rs
@@ -1,9 +1,9 @@
 //! Rules that decide which endpoints may get a request at all, before [`super::endpoint`] compares
 //! them.
 
+pub mod backoff;
 pub mod cold_start;
 pub mod evacuation;
 pub mod leaving;
 pub mod rate_limit;
 pub mod region_limits;
-pub mod rest;
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -26,7 +26,7 @@
 //! | how many requests does a cold endpoint get? | [`eligibility::cold_start`] |
 //! | which endpoints are leaving and get no new requests? | [`eligibility::leaving`] |
 //! | how many requests does an endpoint get that announces a limit? | [`eligibility::rate_limit`] |
-//! | which endpoints asked this daemon to back off, and when may a refused request be retried? | [`eligibility::rest`] |
+//! | which endpoints asked this daemon to back off, and when may a refused request be retried? | [`eligibility::backoff`] |
 //! | which connections are kept and reused? | [`endpoint::idle_connections`] |
 //! | may the request be sent again, and if not, why? | [`resend`] |
 //! | when is a second endpoint asked while the first is silent? | [`resend::hedging`] |
--- a/crates/gateway/src/decisions/replication/record_expiry.rs
+++ b/crates/gateway/src/decisions/replication/record_expiry.rs
@@ -18,7 +18,8 @@
 //! for 3.01 s of 3 s allowed.
 //!
 //! Tests: `admission.rs::records_removed_after_an_outage…`,
-//! `freshness.rs::a_record_that_lapsed…`, `a_record_that_does_not_come_back…`.
+//! `freshness.rs::a_record_lost_in_an_outage_may_come_back`,
+//! `an_endpoint_is_dropped_when_its_record_does_not_come_back`.
 
 use bridgevane_types::{DurationMs, TimeMs};
 
--- a/crates/gateway/src/decisions/replication/upstream.rs
+++ b/crates/gateway/src/decisions/replication/upstream.rs
@@ -216,10 +216,10 @@
     /// comes; `None` if no slot is ahead.
     pub fn source_slot_at(&self, now: TimeMs) -> Option<TimeMs> {
         let is_stale = !self.is_proof_younger(now, self.limits.leave_from);
-        let has_turn = !self.is_seed() && is_stale && self.failed_searches > 0;
+        let has_slot = !self.is_seed() && is_stale && self.failed_searches > 0;
         // A slot that has come is used at the next step, unless another rule takes precedence.
-        let turn = has_turn.then(|| self.source_pacing.not_before());
-        turn.filter(|turn| *turn > now)
+        let slot_at = has_slot.then(|| self.source_pacing.not_before());
+        slot_at.filter(|slot_at| *slot_at > now)
     }
 
     /// Returns true once after a step without a result: the next step should wait a little.
--- a/crates/gateway/src/decisions/resend/hedging.rs
+++ b/crates/gateway/src/decisions/resend/hedging.rs
@@ -12,7 +12,8 @@
 //! ravaton from 0.659 to 0.624 and of solcata from 0.797 to 0.720; limited to silent engines it
 //! gave 0.698 and 0.744.
 //!
-//! Tests: `exchange.rs::outcomes_of_plain_requests` ("is silent"), `resend.rs`.
+//! Tests: `exchange.rs::plain_requests_are_repeated_only_where_the_route_allows_it` ("is silent"),
+//! `resend.rs`.
 
 use bridgevane_types::DurationMs;
 use std::time::Duration;
--- a/crates/gateway/src/decisions/resend/mod.rs
+++ b/crates/gateway/src/decisions/resend/mod.rs
@@ -18,7 +18,7 @@
 //! Reason: a call that may run once must never run twice, and retries must not make an overload
 //! worse. "Not run" is claimed only if it is proved: no byte was sent, or the endpoint says so.
 //!
-//! Tests: `resend.rs`; `exchange.rs::outcomes_of_plain_requests`.
+//! Tests: `resend.rs`; `exchange.rs::plain_requests_are_repeated_only_where_the_route_allows_it`.
 
 pub mod hedging;
 pub mod retry_budget;
--- a/crates/gateway/src/duties/engines.rs
+++ b/crates/gateway/src/duties/engines.rs
@@ -8,7 +8,7 @@
 use crate::decisions::duties::engine_orders::{EngineOrder, OrderBook, OrderInputs};
 use crate::decisions::duties::engine_plan::{EngineScaling, EnginesByDataCentre, PlanInputs, plan};
 use crate::duties::api::{DutyCallError, DutyPlatform, DutyStore};
-use crate::duties::hold::{DUTY_CALL_TIMEOUT, HolderSession, SessionEnd};
+use crate::duties::holder_session::{DUTY_CALL_TIMEOUT, HolderSession, SessionEnd};
 use crate::endpoints::directory::Directory;
 use crate::gateway::Gateway;
 use crate::route::Service;
@@ -124,14 +124,14 @@
 
     /// Returns whether no request runs, and none began in the previous window or since.
     fn is_idle(&self) -> bool {
-        let book = &self.gateway.usage_tracker;
+        let tracker = &self.gateway.usage_tracker;
         // Without usage reports the holder doesn't know whether requests have begun.
-        let Some(calendar) = book.calendar() else {
+        let Some(calendar) = tracker.calendar() else {
             return false;
         };
         let clock = &self.gateway.clock;
         let before = calendar.window_at(clock.wall_time_at(clock.now())).minus(1);
-        let is_idle = book.with_collection(|_, collection| collection.is_idle_since(before));
+        let is_idle = tracker.with_collection(|_, collection| collection.is_idle_since(before));
         let directory = self.gateway.control.directory();
         let work = self.gateway.fleet.total_work(&directory);
         is_idle.unwrap_or_default() && work.is_empty()
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -14,7 +14,7 @@
     DutyKey, DutyPlatform, DutyStore, LeaseId, Put, StoredValue, Transaction, TransactionOutcome,
 };
 use crate::duties::codec::{decode_state, encode_state};
-use crate::duties::hold::{
+use crate::duties::holder_session::{
     HolderSession, RETRY_PAUSE, STORE_CALL_TIMEOUT, SessionEnd, SessionStart,
 };
 use crate::duties::{engines, usage};
--- a/crates/gateway/src/duties/mod.rs
+++ b/crates/gateway/src/duties/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! | task | on | module |
 //! |---|---|---|
-//! | counts requests as they begin | every daemon | [`book`] |
+//! | counts requests as they begin | every daemon | [`usage_tracker`] |
 //! | reports its counts to the holder | every daemon but the holder | [`reporter`] |
-//! | tries to become the holder, and keeps the lease | daemons that follow the store | [`holder`], [`hold`] |
+//! | tries to become the holder, and keeps the lease | daemons that follow the store | [`holder`], [`holder_session`] |
 //! | submits each window's usage to the platform | the holder | [`usage`] |
 //! | orders engines | the holder | [`engines`] |
 //!
@@ -12,10 +12,10 @@
 //! a successor is in the platform's store ([`crate::decisions::duties::duty_state`]).
 
 pub(crate) mod api;
-pub(crate) mod book;
 pub(crate) mod codec;
 mod engines;
-mod hold;
 pub(crate) mod holder;
+mod holder_session;
 pub(crate) mod reporter;
 mod usage;
+pub(crate) mod usage_tracker;
--- a/crates/gateway/src/duties/usage.rs
+++ b/crates/gateway/src/duties/usage.rs
@@ -7,7 +7,7 @@
 use crate::decisions::duties::usage_ledger::retained_windows;
 use crate::decisions::duties::usage_window::{UsageCalendar, UsageDue, UsageWindow};
 use crate::duties::api::{DutyCallError, DutyPlatform, DutyStore};
-use crate::duties::hold::{DUTY_CALL_TIMEOUT, HolderSession, RETRY_PAUSE, SessionEnd};
+use crate::duties::holder_session::{DUTY_CALL_TIMEOUT, HolderSession, RETRY_PAUSE, SessionEnd};
 use crate::gateway::Gateway;
 use bridgevane_events::{Event, event};
 use bridgevane_types::WallTimeMs;
@@ -82,9 +82,9 @@
 
     async fn wait_until_due(&self, window: UsageWindow) {
         loop {
-            let book = &self.gateway.usage_tracker;
+            let tracker = &self.gateway.usage_tracker;
             let is_complete =
-                book.with_collection(|now, collection| collection.is_complete(now, window));
+                tracker.with_collection(|now, collection| collection.is_complete(now, window));
             let now = self.now();
             // Without a collection this daemon is no longer the holder, and the session is about to
             // end.
@@ -96,7 +96,7 @@
             };
             tokio::select! {
                 () = sleep(at.since(now).as_std()) => {}
-                () = book.wait_for_report() => {}
+                () = tracker.wait_for_report() => {}
             }
         }
     }
@@ -104,8 +104,8 @@
     /// Stores the usage of a window, then submits it. A window without requests isn't submitted: if
     /// all daemons were lost, its requests are unknown.
     async fn submit_window(&self, window: UsageWindow) -> Result<(), SessionEnd> {
-        let book = &self.gateway.usage_tracker;
-        let collected = book.with_collection(|now, collection| {
+        let tracker = &self.gateway.usage_tracker;
+        let collected = tracker.with_collection(|now, collection| {
             let is_complete = collection.is_complete(now, window);
             let counts = collection.total(window);
             let daemons = collection.daemons_closed(window);
--- a/crates/gateway/src/endpoints/selection.rs
+++ b/crates/gateway/src/endpoints/selection.rs
@@ -3,9 +3,9 @@
 //!
 //! Owns nothing. Takes two short locks for each endpoint, for health and for the queue.
 
+use crate::decisions::eligibility::backoff::{self, EndpointWait};
 use crate::decisions::eligibility::cold_start::ColdQuota;
 use crate::decisions::eligibility::region_limits::RegionLimits;
-use crate::decisions::eligibility::rest::{self, EndpointWait};
 use crate::decisions::endpoint::cache_fetch::CacheSource;
 use crate::decisions::endpoint::ejection::Trust;
 use crate::decisions::endpoint::placement::{self, Candidate, Estimate, Estimator};
@@ -113,7 +113,7 @@
     let allowed = service.all.iter();
     let allowed = allowed
         .filter(|endpoint| endpoint.is_usable(request.now) && request.may_serve_at(endpoint));
-    rest::time_until_available(allowed.map(|endpoint| EndpointWait {
+    backoff::time_until_available(allowed.map(|endpoint| EndpointWait {
         backoff: endpoint.backoff_remaining(request.now),
         permit: endpoint.rate_limit.wait_time(request.now, request.daemons),
     }))
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -20,7 +20,7 @@
 use crate::decisions::eligibility::cold_start::ColdQuota;
 use crate::decisions::endpoint::idle_connections;
 use crate::decisions::resend::retry_budget::RetryRounding;
-use crate::duties::book::UsageTracker;
+use crate::duties::usage_tracker::UsageTracker;
 use crate::endpoints::endpoint::Endpoint;
 use crate::endpoints::prompt_locations::PromptLocations;
 use crate::header_names::HeaderNames;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -65,7 +65,7 @@
 pub use control::patch::{Patch, PatchDoesNotFit};
 pub use control::replica::{ChangedValue, Replica, ReplicaUpdate};
 pub use decisions::resend::retry_budget::RetryRounding;
-pub use duties::book::UsageTracker;
+pub use duties::usage_tracker::UsageTracker;
 pub use endpoints::directory::ServiceEndpoints;
 pub use endpoints::endpoint::Endpoint;
 pub use endpoints::health::EndpointHealth;
--- a/crates/gateway/src/replication/client.rs
+++ b/crates/gateway/src/replication/client.rs
@@ -7,7 +7,7 @@
 use crate::control::source::Revision;
 use crate::decisions::replication::source_path::SourcePath;
 use crate::gateway::Gateway;
-use crate::replication::crash_news::{self, SentCrashObservations};
+use crate::replication::crash_observations::{self, SentCrashObservations};
 use crate::replication::endpoint_notices;
 use crate::replication::fleet::own_work;
 use crate::replication::message::{
@@ -147,7 +147,7 @@
         open.has_answered = true;
         self.open = Some(open);
         let answer = decode_answer(asked_at, parts, &own_work)?;
-        crash_news::apply(gateway, &answer.crash_news);
+        crash_observations::apply(gateway, &answer.crash_news);
         endpoint_notices::apply(gateway, &answer.endpoint_notices);
         Ok(answer)
     }
@@ -172,7 +172,7 @@
         };
         let asked_at = gateway.clock.now();
         let answer = send_question(&mut open.frames, question, PROBE_TIMEOUT).await?;
-        crash_news::apply(gateway, &answer.crash_news);
+        crash_observations::apply(gateway, &answer.crash_news);
         endpoint_notices::apply(gateway, &answer.endpoint_notices);
         self.open = Some(open);
         Ok(ProbeAnswer {
--- a/crates/gateway/src/replication/mod.rs
+++ b/crates/gateway/src/replication/mod.rs
@@ -6,12 +6,12 @@
 //! ([`crate::decisions::replication::upstream`]). The received state is its replica
 //! ([`crate::control::replica`]), from which it answers daemons that follow it ([`server`],
 //! [`client`]). Messages also carry the number of daemons and the work that they have under way
-//! ([`fleet`]), which requests crash endpoints ([`crash_news`]), and the limits that endpoints ask
-//! for ([`endpoint_notices`]). There is no consensus and nothing is stored: a replica is a cache of
-//! the source, ordered only by the source's revision.
+//! ([`fleet`]), which requests crash endpoints ([`crash_observations`]), and the limits that
+//! endpoints ask for ([`endpoint_notices`]). There is no consensus and nothing is stored: a replica
+//! is a cache of the source, ordered only by the source's revision.
 
 pub(crate) mod client;
-pub(crate) mod crash_news;
+pub(crate) mod crash_observations;
 pub(crate) mod endpoint_notices;
 pub(crate) mod fleet;
 pub(crate) mod follow;
--- a/crates/gateway/src/replication/quarantine_writer.rs
+++ b/crates/gateway/src/replication/quarantine_writer.rs
@@ -1,8 +1,8 @@
 //! Stores quarantined requests at the platform, where they outlive all daemons, and from where
 //! every daemon reads them as it reads routes and endpoints.
 //!
-//! Crash observations spread between daemons faster ([`super::crash_news`]), and also while the
-//! platform is unavailable; but daemons store nothing, and all of them may be replaced at once.
+//! Crash observations spread between daemons faster ([`super::crash_observations`]), and also while
+//! the platform is unavailable; but daemons store nothing, and all of them may be replaced at once.
 
 use crate::control::quarantine_store::QuarantineStore;
 use crate::gateway::Gateway;
--- a/crates/gateway/src/replication/server.rs
+++ b/crates/gateway/src/replication/server.rs
@@ -11,7 +11,7 @@
 use crate::decisions::replication::hold::max_hold;
 use crate::duties::codec::decode_report;
 use crate::gateway::Gateway;
-use crate::replication::crash_news::{self, SentCrashObservations};
+use crate::replication::crash_observations::{self, SentCrashObservations};
 use crate::replication::endpoint_notices;
 use crate::replication::fleet::FresherDaemon;
 use crate::replication::message::{CLOCK_RESOLUTION_MS, decode_work, encode_path, encode_work};
@@ -83,7 +83,7 @@
             _ => return Ok(()),
         };
         remember_fresher_daemon(gateway, &question);
-        crash_news::apply(gateway, &question.crash_news);
+        crash_observations::apply(gateway, &question.crash_news);
         endpoint_notices::apply(gateway, &question.endpoint_notices);
         let placement = if question.is_for_work {
             None
--- a/crates/gateway/src/requests/exchange/mod.rs
+++ b/crates/gateway/src/requests/exchange/mod.rs
@@ -261,8 +261,8 @@
         let route = &self.inbound.route;
         let is_stream = route.stream.is_some();
         let is_allowed = move || {
-            let was_heard = endpoint.load.was_active_after(sent_at);
-            hedging::is_silent(is_stream, was_heard)
+            let was_active = endpoint.load.was_active_after(sent_at);
+            hedging::is_silent(is_stream, was_active)
                 && self.may_resend(Failure::StillWaiting).is_ok()
         };
         Hedge {
--- a/crates/gateway/src/requests/exchange/outcome.rs
+++ b/crates/gateway/src/requests/exchange/outcome.rs
@@ -53,10 +53,10 @@
             self.count_run(RunResult::Failed(failed), sent_at);
             endpoint.health.on_failed(now);
         }
-        let was_heard = endpoint.load.was_active_after(sent_at);
+        let was_active = endpoint.load.was_active_after(sent_at);
         let is_lost = match error {
             AttemptError::NotSent(_) | AttemptError::Misdirected => true,
-            AttemptError::TimedOut => !was_heard,
+            AttemptError::TimedOut => !was_active,
             _ => false,
         };
         if !is_lost {
@@ -94,8 +94,8 @@
             return;
         }
         if let Some(customer) = &self.inbound.customer {
-            let book = &self.gateway.usage_tracker;
-            book.on_request_began(began_at, &customer.id);
+            let tracker = &self.gateway.usage_tracker;
+            tracker.on_request_began(began_at, &customer.id);
         }
     }
 
--- a/crates/gateway/tests/cache_fetch.rs
+++ b/crates/gateway/tests/cache_fetch.rs
@@ -65,8 +65,11 @@
     let addresses = engines.each_ref().map(|engine| engine.address.to_string());
     let mut named_sources = 0;
     for engine in &engines {
-        let seen = engine.received.lock().expect("no panic under this lock");
-        for source in seen.iter().filter_map(|seen| seen.header("x-cache-source")) {
+        let received = engine.received.lock().expect("no panic under this lock");
+        for source in received
+            .iter()
+            .filter_map(|request| request.header("x-cache-source"))
+        {
             assert!(addresses.contains(&source), "{source} is not an engine");
             assert_ne!(source, engine.address.to_string());
             named_sources += 1;
--- a/crates/gateway/tests/cold_start.rs
+++ b/crates/gateway/tests/cold_start.rs
@@ -115,7 +115,8 @@
     records::idle_service(6, 16, |at| format!("dc-{}", at / 3))
 }
 
-/// Returns the data centre that a request goes to which has found endpoints lost in `data_centres_with_lost_endpoints`.
+/// Returns the data centre that a request goes to which has found endpoints lost in some data
+/// centres.
 fn placed_after_loss(
     data_centres_with_lost_endpoints: &[DataCentreId],
     tried: &[Arc<Endpoint>],
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -60,7 +60,7 @@
 /// Guards against runs that the route doesn't allow, and against missing retries: a request that may
 /// run once must not be sent again after an endpoint may have run it.
 #[tokio::test]
-async fn outcomes_of_plain_requests() {
+async fn plain_requests_are_repeated_only_where_the_route_allows_it() {
     // The behaviour of the endpoints, then the expected status and number of runs for a request that
     // may run once, and for one that may be repeated.
     let not_run = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n".to_owned();
@@ -118,36 +118,37 @@
     assert_eq!((got.status, got.body.as_str()), (200, "fine"));
     assert_eq!(got.header("x-sign"), Some("s"));
     assert_eq!(got.header("x-id"), Some("a1"));
-    let seen: Vec<_> = endpoints
+    let received: Vec<_> = endpoints
         .iter()
         .flat_map(|endpoint| endpoint.received.lock().unwrap().clone())
         .collect();
-    let [seen] = seen.as_slice() else {
-        panic!("one request arrived: {seen:?}");
+    let [received] = received.as_slice() else {
+        panic!("one request arrived: {received:?}");
     };
     assert!(
-        seen.head.starts_with(&format!("POST {path} HTTP/1.1")),
+        received.head.starts_with(&format!("POST {path} HTTP/1.1")),
         "{}",
-        seen.head
+        received.head
     );
-    assert_eq!(seen.body, b"body bytes");
-    assert_eq!(seen.header("x-customer").as_deref(), Some("customer-1"));
+    assert_eq!(received.body, b"body bytes");
+    assert_eq!(received.header("x-customer").as_deref(), Some("customer-1"));
     assert!(
-        seen.header("x-endpoint")
+        received
+            .header("x-endpoint")
             .is_some_and(|name| name.starts_with("e-"))
     );
-    assert_eq!(seen.header("x-other").as_deref(), Some("kept"));
-    assert_eq!(seen.header("host").as_deref(), Some("host.example"));
+    assert_eq!(received.header("x-other").as_deref(), Some("kept"));
+    assert_eq!(received.header("host").as_deref(), Some("host.example"));
     for removed in ["authorization", "x-hop", "connection"] {
-        assert_eq!(seen.header(removed), None, "{removed}");
+        assert_eq!(received.header(removed), None, "{removed}");
     }
-    let remaining_ms: u64 = seen.header("x-deadline").unwrap().parse().unwrap();
+    let remaining_ms: u64 = received.header("x-deadline").unwrap().parse().unwrap();
     assert!((1..=2_000).contains(&remaining_ms), "{remaining_ms}");
 }
 
 /// Guards against invalid requests that reach an endpoint, or get the wrong status or error code.
 #[tokio::test]
-async fn bad_requests_get_a_typed_answer_at_once() {
+async fn invalid_requests_get_an_error_code_and_reach_no_endpoint() {
     let big = "x".repeat(100_001);
     let with_key = |extra: &str| request("GET", "/once/x", "a1", extra, "");
     let cases: Vec<(&str, String, u16, &str)> = vec![
@@ -287,9 +288,10 @@
     assert_eq!(got.body, expected);
     assert_eq!(runs(&endpoints), 2);
     let is_resumed = endpoints.iter().any(|endpoint| {
-        let seen = endpoint.received.lock().unwrap();
-        seen.iter()
-            .any(|seen| seen.header("last-event-id").as_deref() == Some("1"))
+        let received = endpoint.received.lock().unwrap();
+        received
+            .iter()
+            .any(|request| request.header("last-event-id").as_deref() == Some("1"))
     });
     assert!(is_resumed);
 }
@@ -341,7 +343,7 @@
 
 /// Guards against a server error that is forwarded for a stream that may run elsewhere.
 #[tokio::test]
-async fn a_resumable_stream_whose_endpoint_fails_is_asked_for_elsewhere() {
+async fn a_resumable_stream_is_retried_elsewhere_after_a_server_error() {
     static REQUESTS: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     fn script(_: usize) -> Vec<Action> {
         match REQUESTS.fetch_add(1, std::sync::atomic::Ordering::Relaxed) {
@@ -366,7 +368,7 @@
 /// Guards against a stream that is taken for complete because its body has no length, although its
 /// connection ended inside an event.
 #[tokio::test]
-async fn a_stream_that_ends_inside_an_event_never_looks_complete() {
+async fn a_stream_that_ends_inside_an_event_ends_incomplete() {
     let (running, endpoints) =
         start_gateway(Vec::new(), ends_inside_an_event_without_a_length).await;
     let got = send_request(&running, "POST", "/stream/x")
@@ -386,7 +388,7 @@
 /// counted as full, the idle old endpoint was selected first for every request, until the retry
 /// budget was empty.
 #[tokio::test]
-async fn an_endpoint_that_is_another_one_by_now_isnt_asked_by_each_request() {
+async fn a_replaced_endpoint_does_not_get_every_request() {
     let source = ScriptedSource::new();
     source.publish_configuration(1, vec![plain_route("often", Idempotent, 2)], &[KEY]);
     let misdirected = "HTTP/1.1 421 No\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
--- a/crates/gateway/tests/support/crashing.rs
+++ b/crates/gateway/tests/support/crashing.rs
@@ -69,16 +69,18 @@
     pub fn received(&self, body: &str) -> usize {
         let started = self.started.lock().unwrap();
         let received = |engine: &Endpoint| {
-            let seen = engine.received.lock().unwrap();
-            let equal = seen.iter().filter(|seen| seen.body == body.as_bytes());
+            let requests = engine.received.lock().unwrap();
+            let equal = requests
+                .iter()
+                .filter(|request| request.body == body.as_bytes());
             equal.count()
         };
         started.iter().map(received).sum()
     }
 }
 
-fn actions(run_time: Duration, seen: &ReceivedRequest) -> Vec<Action> {
-    if seen.body == CRASHING_BODY.as_bytes() {
+fn actions(run_time: Duration, request: &ReceivedRequest) -> Vec<Action> {
+    if request.body == CRASHING_BODY.as_bytes() {
         vec![Action::Wait(run_time), Action::Crash]
     } else {
         vec![Action::Wait(run_time), answer("200 OK", "fine")]
--- a/crates/gateway/tests/support/endpoint.rs
+++ b/crates/gateway/tests/support/endpoint.rs
@@ -82,9 +82,9 @@
     }
 
     /// Records a request and returns its index.
-    fn record(&self, seen: ReceivedRequest) -> usize {
+    fn record(&self, request: ReceivedRequest) -> usize {
         let mut all = self.received.lock().unwrap();
-        all.push(seen);
+        all.push(request);
         all.len() - 1
     }
 
@@ -124,10 +124,10 @@
     script: Arc<impl Fn(usize, &ReceivedRequest) -> Vec<Action> + Send + Sync + 'static>,
 ) {
     let mut unparsed = Vec::new();
-    while let Some(seen) = read_request(&mut stream, &mut unparsed).await {
-        let id = seen.header("x-id").unwrap_or_default();
-        let at = endpoint.record(seen.clone());
-        for action in script(at, &seen) {
+    while let Some(request) = read_request(&mut stream, &mut unparsed).await {
+        let id = request.header("x-id").unwrap_or_default();
+        let at = endpoint.record(request.clone());
+        for action in script(at, &request) {
             match action {
                 Action::Send(text) => {
                     let text = text.replace("{id}", &id);
--- a/crates/gateway/tests/support/source.rs
+++ b/crates/gateway/tests/support/source.rs
@@ -76,7 +76,7 @@
     fn put(&self, change: Change) {
         let mut state = self.state.lock().unwrap();
         let revision = Revision(state.log.len() as u64 + 1);
-        let (key, is_gone) = match &change {
+        let (key, is_removed) = match &change {
             Change::Routing(_) | Change::Unreadable(_) => (CONFIG.to_owned(), false),
             Change::DutyHolder(_) => (DUTY_HOLDER.to_owned(), false),
             Change::DutyHolderRemoved => (DUTY_HOLDER.to_owned(), true),
@@ -90,7 +90,7 @@
             Change::EvacuationEnded(data_centre) => (evacuation_key(data_centre), true),
         };
         // The value is the position of the change in the log.
-        let value = (!is_gone).then(|| revision.0.to_string().into());
+        let value = (!is_removed).then(|| revision.0.to_string().into());
         let record = SourceRecord {
             key,
             revision,
@@ -175,12 +175,12 @@
         id: &str,
         service: &str,
         address: SocketAddr,
-        life: IncarnationRecord,
+        incarnation: IncarnationRecord,
     ) {
         self.put(Change::Endpoint(EndpointRecord {
-            started_at: life.started_at.map(WallTimeMs),
-            sequence: Some(life.sequence),
-            ..record(id, service, address, life.is_draining)
+            started_at: incarnation.started_at.map(WallTimeMs),
+            sequence: Some(incarnation.sequence),
+            ..record(id, service, address, incarnation.is_draining)
         }));
     }
 
--- a/crates/gateway/tests/support/tree_sim/mod.rs
+++ b/crates/gateway/tests/support/tree_sim/mod.rs
@@ -462,13 +462,13 @@
                     // The parent changed, so this is a new connection.
                     self.daemons[parent].sent_proofs.remove(&at);
                 }
-                if let Some(turn) = self.daemons[at].selector.source_slot_at(now) {
+                if let Some(slot_at) = self.daemons[at].selector.source_slot_at(now) {
                     let event = Event::SourceSlot {
                         daemon: at,
                         incarnation,
                         poll,
                     };
-                    self.schedule(turn.since(now).0, event);
+                    self.schedule(slot_at.since(now).0, event);
                 }
                 self.poll_peer(at, incarnation, peer, poll, false);
             }
