--- a/crates/gateway/src/decisions/admission/refusal.rs
+++ b/crates/gateway/src/decisions/admission/refusal.rs
@@ -2,7 +2,8 @@
 //!
 //! Each status is a guarantee: 408, 421, 429 and 503 say that the request has not run and will not,
 //! so a client may send it again, even one that may run only once. Hence once a request may have
-//! run, only 502 and 504 are left ([`RefusalReason::or_unknown_if_run`], [`Refusal::after_failure`]).
+//! run, only 502 and 504 are left ([`RefusalReason::or_unknown_if_run`],
+//! [`Refusal::after_failure`]).
 //!
 //! Tests: `exchange.rs::plain_requests_are_repeated_only_where_the_route_allows_it`,
 //! `invalid_requests_get_an_error_code_and_reach_no_endpoint`.
