--- a/src/configs/gateway.rs
+++ b/src/configs/gateway.rs
@@ -1,7 +1,8 @@
-//! Settings of `gateway`: flags, then environment variables, then defaults; checked together.
+//! Settings of `gateway`, read from flags, then environment variables, then defaults, and checked
+//! together.
 //!
-//! Bounds that the platform sets (a key's removal, an endpoint's leaving, a stop) are turned here
-//! into the gateway's own times, which leave a margin for what comes after a decision.
+//! The platform's time limits (for a key's removal, an endpoint's leaving and a stop) are converted
+//! here to the gateway's shorter limits, which leave a margin for the time after a decision.
 
 use crate::configs::log::LogConfig;
 use crate::configs::settings_reader::{
@@ -15,106 +16,105 @@
 use derive_more::{Display, Error};
 use std::net::SocketAddr;
 
-/// Everything that `gateway` needs to know before it starts.
+/// All settings of `gateway`.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewayConfig {
-    /// The gateway's own.
+    /// The settings of the gateway itself.
     pub gateway: GatewaySettings,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store_address: SocketAddr,
-    /// The platform's interface for duties; none: the fleet has none.
+    /// The address of the platform's interface for duties, or `None` if the fleet has no duties.
     pub duty_address: Option<SocketAddr>,
-    /// Logs.
+    /// The settings of logs.
     pub log: LogConfig,
 }
 
-/// What is wrong with `--max-stale-s` beside strict removal of keys.
+/// The problem with `--max-stale-s` when removed keys are enforced strictly.
 const NEEDS_LENIENT_KEYS: &str =
-    "has no effect while keys are strict; give --strict-key-removal false as well";
+    "has no effect with strict key removal; add --strict-key-removal false";
 const MILLISECONDS: &str = "a number of milliseconds";
-/// Milliseconds of a second, since settings say seconds and the gateway milliseconds.
+/// The number of milliseconds in a second: some settings are in seconds, the gateway's are in
+/// milliseconds.
 const MS_PER_S: f64 = 1_000.0;
-/// Bytes of a megabyte, since settings say megabytes.
+/// The number of bytes in a megabyte, the unit of the settings.
 const BYTES_PER_MB: u64 = 1 << 20;
 
-/// Default of `--key-removal-ms`, from the users' small sites; the deploy file gives each site's
-/// own.
+/// The default of `--key-removal-ms`, from the users' small sites; the deploy file sets it per
+/// site.
 const DEFAULT_KEY_REMOVAL_MS: u64 = 5_000;
-/// Default of `--strict-key-removal`: the safe side for whoever doesn't say.
+/// The default of `--strict-key-removal`: strict is the safe choice.
 const DEFAULT_STRICT_KEY_REMOVAL: bool = true;
-/// Default of `--max-stale-s`. Not measured, chosen because the platform's store may be away for
-/// hours, and an operator can act within six.
+/// The default of `--max-stale-s`: an outage of the platform's store may last for hours, and an
+/// operator can act within six.
 const DEFAULT_MAX_STALE_S: u64 = 6 * 60 * 60;
-/// The longest `--max-stale-s`: a week. Not measured, chosen because a configuration that nobody
-/// could change for so long is no longer an outage.
+/// The maximum of `--max-stale-s`, a week: if a configuration can't be changed for longer, that is
+/// no longer an outage.
 const MAX_MAX_STALE_S: u64 = 7 * 24 * 60 * 60;
-/// Default of `--drain-ms`, from the users' small sites.
+/// The default of `--drain-ms`, from the users' small sites.
 const DEFAULT_DRAIN_MS: u64 = 2_000;
-/// Default of `--config-apply-ms`, from the users' small sites: the strictest that is known.
+/// The default of `--config-apply-ms`, from the users' small sites: the strictest known value.
 const DEFAULT_CONFIG_APPLY_MS: u64 = 2_000;
-/// Default of `--stop-s`. Not measured, chosen because sites give 8 s and more.
+/// The default of `--stop-s`; the sites allow 8 s and more.
 const DEFAULT_STOP_S: f64 = 10.0;
-/// Default of `--retry-ratio`, from the users' sites.
+/// The default of `--retry-ratio`, from the users' sites.
 const DEFAULT_RETRY_RATIO: f64 = 0.2;
-/// Default of `--retry-slack`. Not measured, chosen because it leaves one retry a window to each of
-/// twelve daemons.
+/// The default of `--retry-slack`: one retry per window for each of twelve daemons.
 const DEFAULT_RETRY_SLACK: f64 = 12.0;
-/// Default of `--retry-window-s`, from the users' sites.
+/// The default of `--retry-window-s`, from the users' sites.
 const DEFAULT_RETRY_WINDOW_S: f64 = 10.0;
-/// Default of `--lease-ms`, from the users' sites.
+/// The default of `--lease-ms`, from the users' sites.
 const DEFAULT_LEASE_MS: u64 = 3_000;
-/// The shortest `--lease-ms`: nine tenths of it, less the third after which it is renewed, must leave
-/// room for a call of the platform, which may take a second.
+/// The minimum of `--lease-ms`: nine tenths of it, minus the third after which the lease is
+/// renewed, must leave enough time for a call of the platform, which may take a second.
 const MIN_LEASE_MS: u64 = 2_000;
-/// Default of `--usage-window-s`, from the users' sites.
+/// The default of `--usage-window-s`, from the users' sites.
 const DEFAULT_USAGE_WINDOW_S: f64 = 5.0;
-/// Default of `--usage-late-s`, from the users' sites.
+/// The default of `--usage-late-s`, from the users' sites.
 const DEFAULT_USAGE_LATE_S: f64 = 10.0;
-/// The shortest `--usage-window-s`. Chosen because daemons report their counts each second.
+/// The minimum of `--usage-window-s`: daemons report their counts once per second.
 const MIN_USAGE_WINDOW: DurationMs = DurationMs(1_000);
-/// Default of `--memory-mb`, from the size that the product is designed for (docs/CAPACITY.md).
+/// The default of `--memory-mb`, for the VM size that the product is designed for. See
+/// docs/CAPACITY.md.
 const DEFAULT_MEMORY_MB: u64 = 128;
 
-/// Of the time in which a key's removal must be in force, what is left for a request to get out.
-/// Not measured, chosen because it covers a slow VM's turn between the last look at the proof and
-/// the send.
+/// The part of `--key-removal-ms` that is reserved for sending a request: it covers the time that a
+/// slow VM takes between the last check of the proof and the send.
 const KEY_REMOVAL_MARGIN_MS: u64 = 300;
-/// Of the time in which an endpoint's leaving must be in force, what is left for requests to get
-/// there. Not measured, chosen because it is the time that a connection may take to come up.
+/// The part of `--drain-ms` that is reserved for requests to reach the endpoint: the time that
+/// opening a connection may take.
 const DRAIN_MARGIN_MS: u64 = 300;
-/// How long one wait for changes lasts at the source: the configuration is proved that often.
-/// Measured with commit 19dad9b: waits of 1.7 s left proofs of up to 3.4 s when an outage began;
-/// few daemons ask, and the others' proofs are as old as theirs.
+/// The duration of one wait for changes at the source, and so the interval between proofs of the
+/// configuration. Waits of 1.7 s left proofs up to 3.4 s old when an outage began. Only few daemons
+/// poll the source, and the proofs of the other daemons are as old as theirs.
 const WATCH_WAIT: DurationMs = DurationMs(500);
-/// How long the balancer sends connections after the daemon isn't ready any more. Chosen because it
-/// asks once a second and acts on the second miss; the rest is for slow answers.
+/// The time for which the balancer still sends connections to a daemon that isn't ready any more:
+/// it checks once per second and acts on the second failure; the rest is for slow answers.
 const BALANCER_DELAY: DurationMs = DurationMs(2_600);
-/// Of the time that a stop may take, what is kept for the process to end. Not measured, chosen
-/// because logs are written out every 200 ms.
+/// The part of `--stop-s` that is reserved for the end of the process: logs are written out every
+/// 200 ms.
 const STOP_MARGIN_MS: u64 = 400;
-/// The part of the memory that bodies may take: one in so many. Not measured, chosen because a
-/// daemon needs 5 to 8 MB itself (docs/CAPACITY.md), and buffers of connections come on top of
-/// bodies.
+/// The divisor that gives the share of the memory available for buffered bodies. A daemon itself
+/// needs 5 to 8 MB (see docs/CAPACITY.md), and connections have buffers in addition to the bodies.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 
 impl GatewayConfig {
     /// Reads and checks all settings.
     ///
     /// # Errors
-    /// Every problem at once.
+    /// All problems at once.
     pub fn read(source: &impl SettingSource) -> Result<Self, SettingProblems> {
         let mut reader = SettingReader::new(source);
         let vm = reader.required("vm-id", NAME);
         let data_centre = reader.required("data-centre", NAME);
-        let regions: Vec<RegionOf> = reader.list("regions", "entries such as dc-a=region-1");
+        let regions: Vec<RegionEntry> = reader.list("regions", "entries such as dc-a=region-1");
         let client_address = reader.required("client-address", ADDRESS);
         let ready_address = reader.required("ready-address", ADDRESS);
         let store_address = reader.required("store-address", ADDRESS);
         let peer_address = reader.optional("peer-address", ADDRESS);
         let seed_addresses = reader.list("seed-addresses", ADDRESS);
-        let bounds = Bounds::read(&mut reader);
+        let bounds = PlatformBounds::read(&mut reader);
         let freshness = freshness_policy(&mut reader);
-        let retries = Retries::read(&mut reader);
+        let retries = RetrySettings::read(&mut reader);
         let duty_address = reader.optional("duty-address", ADDRESS);
         let duties = duty_settings(&mut reader);
         let memory_mb = reader.optional("memory-mb", "a number of megabytes");
@@ -125,16 +125,16 @@
             gateway: GatewaySettings {
                 vm: vm.value(&read),
                 data_centre: data_centre.value(&read),
-                regions: regions.into_iter().map(RegionOf::into_entry).collect(),
+                regions: regions.into_iter().map(RegionEntry::into_entry).collect(),
                 client_address: client_address.value(&read),
                 ready_address: ready_address.value(&read),
                 peer_address,
                 seed_addresses,
-                lapse_grace_ms: less(bounds.drain_ms, DRAIN_MARGIN_MS),
+                lapse_grace_ms: subtract_margin(bounds.drain_ms, DRAIN_MARGIN_MS),
                 config_apply_ms: DurationMs(bounds.config_apply_ms),
                 freshness,
                 watch_wait_ms: WATCH_WAIT,
-                stop_ms: less(bounds.stop_ms, STOP_MARGIN_MS),
+                stop_ms: subtract_margin(bounds.stop_ms, STOP_MARGIN_MS),
                 balancer_delay_ms: BALANCER_DELAY,
                 retry_ratio: retries.ratio,
                 retry_slack: retries.slack,
@@ -149,31 +149,31 @@
     }
 }
 
-/// The region of one data centre, as a setting says it.
+/// An entry of `--regions`: the region of one data centre.
 #[derive(Clone, Debug)]
-struct RegionOf {
+struct RegionEntry {
     data_centre: DataCentreId,
     region: RegionId,
 }
 
-impl RegionOf {
+impl RegionEntry {
     fn into_entry(self) -> (DataCentreId, RegionId) {
         (self.data_centre, self.region)
     }
 }
 
-/// An entry that isn't a data centre, an equals sign and a region.
+/// The error for an entry that isn't of the form `data-centre=region`.
 #[derive(Clone, Copy, Debug, Display, Error)]
-#[display("not a data centre and its region")]
-struct NotARegion;
+#[display("not of the form data-centre=region")]
+struct InvalidRegionEntry;
 
-impl std::str::FromStr for RegionOf {
-    type Err = NotARegion;
+impl std::str::FromStr for RegionEntry {
+    type Err = InvalidRegionEntry;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (data_centre, region) = text.split_once('=').ok_or(NotARegion)?;
+        let (data_centre, region) = text.split_once('=').ok_or(InvalidRegionEntry)?;
         if data_centre.is_empty() || region.is_empty() {
-            return Err(NotARegion);
+            return Err(InvalidRegionEntry);
         }
         Ok(Self {
             data_centre: data_centre.into(),
@@ -182,25 +182,26 @@
     }
 }
 
-/// A bound without its margin.
-fn less(bound_ms: u64, margin_ms: u64) -> DurationMs {
+/// Returns a time limit minus its margin.
+fn subtract_margin(bound_ms: u64, margin_ms: u64) -> DurationMs {
     DurationMs(bound_ms.saturating_sub(margin_ms))
 }
 
-/// How old the configuration may be: strict about removed keys, or serving on through an outage.
+/// Reads how old the configuration may be: with strict key removal only as old as a proof,
+/// otherwise up to `--max-stale-s`, so that the daemon keeps serving during an outage.
 fn freshness_policy(reader: &mut SettingReader<'_, impl SettingSource>) -> FreshnessPolicy {
     let key_removal_ms = reader.optional("key-removal-ms", MILLISECONDS);
     let is_strict = reader.optional("strict-key-removal", "true or false");
     let is_strict = is_strict.unwrap_or(DEFAULT_STRICT_KEY_REMOVAL);
     let max_stale_s: Option<u64> = reader.optional("max-stale-s", "a number of seconds");
     if is_strict && max_stale_s.is_some() {
-        reader.fail("max-stale-s", NEEDS_LENIENT_KEYS.to_owned());
+        reader.add_problem("max-stale-s", NEEDS_LENIENT_KEYS.to_owned());
     }
     if max_stale_s.is_some_and(|given_s| given_s > MAX_MAX_STALE_S) {
         let what = format!("is too long; give at most {MAX_MAX_STALE_S}");
-        reader.fail("max-stale-s", what);
+        reader.add_problem("max-stale-s", what);
     }
-    let proof_lifetime_ms = less(
+    let proof_lifetime_ms = subtract_margin(
         key_removal_ms.unwrap_or(DEFAULT_KEY_REMOVAL_MS),
         KEY_REMOVAL_MARGIN_MS,
     );
@@ -215,9 +216,9 @@
     }
 }
 
-/// The fleet's duties; none where the platform names none that is known.
+/// Reads the settings of the fleet's duties, or `None` if no known duty is named.
 fn duty_settings(reader: &mut SettingReader<'_, impl SettingSource>) -> Option<DutySettings> {
-    let duties: Vec<Duty> = reader.list("duties", "duties as the platform names them");
+    let duties: Vec<Duty> = reader.list("duties", "the platform's names of duties");
     let lease_ms = reader.optional("lease-ms", MILLISECONDS);
     let width_s: Option<f64> = reader.optional("usage-window-s", "seconds");
     let late_s: Option<f64> = reader.optional("usage-late-s", "seconds");
@@ -227,12 +228,12 @@
     };
     if calendar.width_ms < MIN_USAGE_WINDOW {
         let what = format!("is too short; give at least {MIN_USAGE_WINDOW} ms");
-        reader.fail("usage-window-s", what);
+        reader.add_problem("usage-window-s", what);
     }
     let lease_ms = lease_ms.unwrap_or(DEFAULT_LEASE_MS);
     if lease_ms < MIN_LEASE_MS {
         let what = format!("is too short; give at least {MIN_LEASE_MS}");
-        reader.fail("lease-ms", what);
+        reader.add_problem("lease-ms", what);
     }
     let settings = DutySettings {
         lease_ms: DurationMs(lease_ms),
@@ -247,14 +248,14 @@
     DurationMs((seconds * MS_PER_S) as u64)
 }
 
-/// Bounds that the platform sets.
-struct Bounds {
+/// The platform's time limits.
+struct PlatformBounds {
     drain_ms: u64,
     config_apply_ms: u64,
     stop_ms: u64,
 }
 
-impl Bounds {
+impl PlatformBounds {
     fn read(reader: &mut SettingReader<'_, impl SettingSource>) -> Self {
         let drain_ms = reader.optional("drain-ms", MILLISECONDS);
         let config_apply_ms = reader.optional("config-apply-ms", MILLISECONDS);
@@ -267,14 +268,14 @@
     }
 }
 
-/// The retry budget of the whole fleet.
-struct Retries {
+/// The settings of the retry budget of the whole fleet.
+struct RetrySettings {
     ratio: Share,
     slack: u32,
     window_ms: DurationMs,
 }
 
-impl Retries {
+impl RetrySettings {
     fn read(reader: &mut SettingReader<'_, impl SettingSource>) -> Self {
         let ratio = reader.optional("retry-ratio", "a share such as 0.2");
         let slack: Option<f64> = reader.optional("retry-slack", "a number of retries");
--- a/src/configs/log.rs
+++ b/src/configs/log.rs
@@ -1,22 +1,22 @@
-//! Settings of logs, the same for all commands that log.
+//! Settings of logs, shared by all commands that log.
 
 use crate::configs::settings_reader::{SettingReader, SettingSource};
 use derive_more::{Display, Error};
 use std::str::FromStr;
 
-/// The form of a log line.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     #[display("json")]
     Json,
-    /// For people.
+    /// Readable text.
     #[display("text")]
     Text,
 }
 
-/// The text names no log format.
+/// The error for an unknown log format.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("neither 'json' nor 'text'")]
 pub struct UnknownLogFormat;
@@ -33,12 +33,12 @@
     }
 }
 
-/// Logs.
+/// Settings of logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogConfig {
-    /// The form of a line.
+    /// The format of lines.
     pub format: LogFormat,
-    /// The least level that is written.
+    /// The lowest level that is written.
     pub level: log::LevelFilter,
 }
 
--- a/src/configs/mod.rs
+++ b/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! Settings: plain typed values with defaults.
+//! Typed settings with defaults.
 
 pub mod gateway;
 pub mod log;
--- a/src/configs/operators.rs
+++ b/src/configs/operators.rs
@@ -4,10 +4,10 @@
 use derive_more::{Display, Error};
 use std::str::FromStr;
 
-/// An operator with the bearer token that proves it.
+/// An operator and its bearer token.
 #[derive(Clone, PartialEq, Eq)]
 pub struct OperatorToken {
-    /// The operator.
+    /// The operator's name.
     pub operator: OperatorName,
     /// The token.
     pub token: String,
@@ -19,7 +19,7 @@
     }
 }
 
-/// The text isn't `name:token`.
+/// The error for a text that isn't `name:token` or has a short token.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("not of the form name:token with a token of at least 8 characters")]
 pub struct BadOperatorToken;
@@ -28,7 +28,7 @@
     type Err = BadOperatorToken;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        /// Not measured, chosen because a shorter one can be guessed by trying.
+        /// Shorter tokens can be guessed by trial.
         const MIN_TOKEN_LEN: usize = 8;
         let (operator, token) = text.split_once(':').ok_or(BadOperatorToken)?;
         if operator.is_empty() || token.len() < MIN_TOKEN_LEN {
--- a/src/configs/peers.rs
+++ b/src/configs/peers.rs
@@ -3,27 +3,27 @@
 use bridgevane_types::DurationMs;
 use std::net::SocketAddr;
 
-/// A data centre's daemon as the settings name it.
+/// Settings of the connections between daemons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeersConfig {
-    /// Where this daemon listens for others.
+    /// The address at which this daemon listens for other daemons.
     pub address: SocketAddr,
-    /// Daemons to begin with, beside the platform's list.
+    /// The daemons to contact at the start, in addition to the platform's list.
     pub seeds: Vec<SocketAddr>,
-    /// Connections that are quiet for this long are closed.
+    /// The idle time after which a connection is closed.
     pub idle_ms: DurationMs,
-    /// How long a greeting may take.
+    /// The timeout of a handshake.
     pub greeting_ms: DurationMs,
 }
 
-/// Not measured, chosen because heartbeats keep connections between neighbours busy; others may
-/// close.
+/// The default idle timeout. Heartbeats keep connections between neighbours busy; other connections
+/// may be closed.
 const IDLE_TIMEOUT: DurationMs = DurationMs(60_000);
-/// Not measured, chosen because a greeting takes two round trips.
+/// The default timeout of a handshake, which takes two round trips.
 const GREETING_TIMEOUT: DurationMs = DurationMs(2_000);
 
 impl PeersConfig {
-    /// Peers at `address` with default intervals.
+    /// Creates settings with the default timeouts.
     pub fn new(address: SocketAddr, seeds: Vec<SocketAddr>) -> Self {
         Self {
             address,
--- a/src/configs/serve.rs
+++ b/src/configs/serve.rs
@@ -1,4 +1,5 @@
-//! Settings of `serve`: flags, then environment variables, then defaults; checked together.
+//! Settings of `serve`, read from flags, then environment variables, then defaults, and checked
+//! together.
 
 use crate::configs::log::LogConfig;
 use crate::configs::operators::OperatorToken;
@@ -10,36 +11,35 @@
 use bridgevane_types::{DataCentreId, VmId};
 use std::net::SocketAddr;
 
-/// The shortest key that daemons may share. Not measured, chosen because a shorter one can be
-/// guessed by trying.
+/// The minimum length of the daemons' shared key; shorter keys can be guessed by trial.
 const MIN_PEER_KEY_LEN: usize = 16;
 
-/// Everything that `serve` needs to know before it starts.
+/// All settings of `serve`.
 #[derive(Clone, Debug)]
 pub struct ServeConfig {
-    /// This VM.
+    /// The name of this VM.
     pub vm: VmId,
-    /// Its data centre.
+    /// The data centre of this VM.
     pub data_centre: DataCentreId,
-    /// Where callers connect.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where operators connect.
+    /// The address for operators.
     pub operator_address: SocketAddr,
-    /// The platform.
+    /// The address of the platform's service.
     pub platform_address: SocketAddr,
-    /// Connections between daemons.
+    /// The settings of connections between daemons.
     pub peers: PeersConfig,
-    /// The key that daemons share.
+    /// The shared key of all daemons.
     pub peer_key: Secret,
-    /// Operators.
+    /// The operators and their tokens.
     pub operators: Vec<OperatorToken>,
-    /// Logs.
+    /// The settings of logs.
     pub log: LogConfig,
-    /// The path of a request.
+    /// The settings of request handling.
     pub serving: ServingConfig,
 }
 
-/// A text that is never printed.
+/// A text that is masked in debug output.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(pub String);
 
@@ -53,7 +53,7 @@
     /// Reads and checks all settings.
     ///
     /// # Errors
-    /// Every problem at once.
+    /// All problems at once.
     pub fn read(source: &impl SettingSource) -> Result<Self, SettingProblems> {
         let mut reader = SettingReader::new(source);
         let vm: Required<VmId> = reader.required("vm-id", NAME);
@@ -62,16 +62,17 @@
         let operator_address = reader.required("operator-address", ADDRESS);
         let platform_address = reader.required("platform-address", ADDRESS);
         let peer_address = reader.required("peer-address", ADDRESS);
-        let seeds = reader.list("peer-seeds", "addresses with commas between them");
-        let peer_key: Required<String> = reader.required("peer-key", "a text of 16 or more");
-        let operators = reader.list("operator-tokens", "name:token pairs with commas between");
+        let seeds = reader.list("peer-seeds", "addresses, separated by commas");
+        let peer_key: Required<String> =
+            reader.required("peer-key", "a key of 16 characters or more");
+        let operators = reader.list("operator-tokens", "name:token pairs, separated by commas");
         let log = LogConfig::read(&mut reader);
-        if let Some(key) = peer_key.given()
+        if let Some(key) = peer_key.get()
             && key.len() < MIN_PEER_KEY_LEN
         {
-            reader.fail(
+            reader.add_problem(
                 "peer-key",
-                format!("is short; give {MIN_PEER_KEY_LEN} characters or more"),
+                format!("is too short; give {MIN_PEER_KEY_LEN} characters or more"),
             );
         }
         let read = reader.finish()?;
--- a/src/configs/serving.rs
+++ b/src/configs/serving.rs
@@ -1,59 +1,62 @@
-//! Settings of the path of a request.
+//! Settings of request handling.
 
 use bridgevane_types::DurationMs;
 
-/// Bounds and intervals of the path of a request.
+/// Limits and intervals of request handling.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServingConfig {
-    /// The largest body of a caller's request.
+    /// The maximum size of a request's body.
     pub max_body_bytes: usize,
-    /// Time for a caller to send its whole body.
+    /// The time in which a caller must send its whole body.
     pub body_timeout_ms: DurationMs,
-    /// Pieces that wait for a caller that reads slowly.
+    /// The number of answer chunks buffered for a slow caller.
     pub max_buffered_pieces: usize,
-    /// A caller that reads nothing for this long is let go.
+    /// The time after which a caller that reads nothing is disconnected.
     pub slow_reader_timeout_ms: DurationMs,
-    /// The longest answer when the caller names none.
+    /// The maximum length of an answer if the caller sets none.
     pub default_max_tokens: u64,
-    /// How often load reports are read. The home of a pool knows its own work exactly; reports
-    /// tell of others' work, which there is only while two daemons decide.
+    /// The interval of reading load reports. The home of a pool knows its own work exactly; the
+    /// reports show the work of others, which exists only while two daemons decide.
     pub poll_every_ms: DurationMs,
-    /// The same where a home was passed over: others decide on the same engines meanwhile.
+    /// The interval of reading load reports while a home is bypassed: other daemons then decide on
+    /// the same engines.
     pub poll_without_home_ms: DurationMs,
-    /// Cache events are read with every so many load reports: what was sent is known here, so
-    /// that they tell of little but evictions.
+    /// Cache events are read once per this number of load reports. The daemon knows what it sent,
+    /// so that cache events add little except evictions.
     pub polls_per_cache_read: u64,
-    /// How often pools act on the passing of time.
+    /// The interval at which pools handle timeouts.
     pub tick_every_ms: DurationMs,
-    /// A report of progress to the pool covers this many tokens at most...
+    /// The maximum number of tokens that a progress report to the pool covers...
     pub progress_tokens: u64,
-    /// ...and this much time...
+    /// ...and the maximum time that it covers...
     pub progress_ms: DurationMs,
-    /// ...and is made at once when a token comes so long after the one before.
+    /// ...while a gap of this length between two tokens is reported at once.
     pub slow_gap_ms: DurationMs,
-    /// Decisions that are remembered for `explain request`.
+    /// The number of decisions that are kept for `explain request`.
     pub max_decisions: usize,
-    /// How long a planned stop waits for streams to end.
+    /// The time for which a planned stop waits for streams to end.
     pub drain_ms: DurationMs,
 }
 
-/// Not measured, chosen because a caller on a slow link sends 4 MB in about as long.
+/// The default of `body_timeout_ms`: a caller on a slow link sends 4 MB in about this time.
 const BODY_TIMEOUT: DurationMs = DurationMs(10_000);
-/// Not measured, chosen because a caller that reads nothing for so long is gone.
+/// The default of `slow_reader_timeout_ms`: a caller that reads nothing for this time is gone.
 const SLOW_READER_TIMEOUT: DurationMs = DurationMs(10_000);
-/// Measured: 135 B/s an engine on the wire (docs/CAPACITY.md).
+/// The default of `poll_every_ms`, which costs 135 B/s per engine on the wire. See
+/// docs/CAPACITY.md.
 const POLL_EVERY: DurationMs = DurationMs(5_000);
-/// Not measured, chosen because reports then are all that is known of others' requests
-/// (docs/design/01).
+/// The default of `poll_without_home_ms`: the reports are then the only information on the requests
+/// of other daemons. See docs/design/01.
 const POLL_WITHOUT_HOME: DurationMs = DurationMs(500);
-/// Measured: 0.07 % of a core at the size to design for (docs/CAPACITY.md).
+/// The default of `tick_every_ms`, which takes 0.07 % of a core at the size to design for. See
+/// docs/CAPACITY.md.
 const TICK_EVERY: DurationMs = DurationMs(20);
-/// Measured: every 32 tokens or second, frames between daemons 267 B a request of 20 tokens
-/// (docs/BENCHMARKS.md).
+/// The default of `progress_ms`: with reports every 32 tokens or every second, the frames between
+/// daemons take 267 B per request of 20 tokens. See docs/BENCHMARKS.md.
 const PROGRESS_EVERY: DurationMs = DurationMs(1_000);
-/// Not measured, chosen because it is three times the 46 ms between tokens to design for.
+/// The default of `slow_gap_ms`: about three times the 46 ms between tokens to design for.
 const SLOW_GAP: DurationMs = DurationMs(150);
-/// Chosen because no stream is cut: the platform ends the process before.
+/// The default of `drain_ms`: so long that no stream is cut; the platform ends the process earlier.
 const MAX_DRAIN: DurationMs = DurationMs(3_600_000);
 
 impl Default for ServingConfig {
--- a/src/configs/settings_reader.rs
+++ b/src/configs/settings_reader.rs
@@ -1,51 +1,50 @@
-//! Reading settings from flags, then environment variables; every problem in one go.
+//! Reads settings from flags, then environment variables, and reports all problems together.
 //!
-//! A command's arguments implement `SettingSource` by `setting_source`, so that each flag is
-//! mapped once: to the field of its name. A configuration reads its settings with a
-//! `SettingReader`, and gets their values only after `SettingReader::finish` has found no
-//! problem.
+//! `setting_source` implements `SettingSource` for a command's arguments and maps each flag to the
+//! field of the same name. A configuration reads its settings with a `SettingReader` and gets their
+//! values only after `SettingReader::finish` has found no problem.
 
 use derive_more::{Display, Error};
 use std::str::FromStr;
 
-/// What an address looks like.
+/// The description of an address in error messages.
 pub(crate) const ADDRESS: &str = "an address such as 10.0.0.4:8080";
-/// What a name looks like.
+/// The description of a name in error messages.
 pub(crate) const NAME: &str = "a name";
 
-/// What was wrong with one setting.
+/// A problem with one setting.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("--{flag} ({variable}): {what}")]
 pub struct SettingProblem {
-    /// The flag.
+    /// The flag, without its dashes.
     pub flag: &'static str,
-    /// Its environment variable.
+    /// The flag's environment variable.
     pub variable: String,
-    /// What is wrong, and what would be right.
+    /// The problem and a valid form of the value.
     pub what: String,
 }
 
-/// All that was wrong with the settings.
+/// All problems with the settings.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{}", problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
 pub struct SettingProblems {
-    /// Every problem.
+    /// The problems.
     pub problems: Vec<SettingProblem>,
 }
 
-/// Where a setting's text comes from.
+/// A source of the settings' texts.
 pub trait SettingSource {
-    /// The text of `flag`, from the command line or its variable.
+    /// Returns the text of `flag` from the command line or from its environment variable.
     fn text(&self, flag: &'static str) -> Option<String>;
 }
 
-/// The environment variable of a flag: `--vm-id` is `BRIDGEVANE_VM_ID`.
+/// Returns the environment variable of a flag: `BRIDGEVANE_VM_ID` for `--vm-id`.
 pub(crate) fn variable_of(flag: &str) -> String {
     format!("BRIDGEVANE_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-/// Implements [`SettingSource`] for a command's arguments: the flag `--vm-id` is the field `vm_id`;
-/// where it isn't given, its environment variable is read.
+/// Implements [`SettingSource`] for a command's arguments: the flag `--vm-id` is read from the
+/// field `vm_id`, or from its environment variable if the flag isn't given.
 macro_rules! setting_source {
     ($arguments:ty: $($field:ident),* $(,)?) => {
         impl $crate::configs::settings_reader::SettingSource for $arguments {
@@ -55,7 +54,7 @@
                     _ => None,
                 };
                 let variable = $crate::configs::settings_reader::variable_of(flag);
-                // A variable that isn't set, is empty or is no text counts as not given.
+                // A variable that is unset, empty or not valid Unicode counts as not given.
                 let variable = || std::env::var(variable).ok();
                 given.or_else(|| variable().filter(|text| !text.is_empty()))
             }
@@ -64,26 +63,26 @@
 }
 pub(crate) use setting_source;
 
-/// Reads settings and gathers what is wrong with them.
+/// Reads settings and collects their problems.
 pub(crate) struct SettingReader<'a, S> {
     source: &'a S,
     problems: Vec<SettingProblem>,
 }
 
-/// Shows that all settings were read without a problem.
+/// Proves that all settings were read without a problem.
 pub(crate) struct NoProblems(());
 
-/// A setting that must be given.
+/// The value of a required setting, if it is valid.
 pub(crate) struct Required<T>(Option<T>);
 
 impl<T> Required<T> {
-    /// Its value. A missing one is a problem, so that there is a value where there are no problems.
+    /// Returns the value, which exists because a missing or invalid setting is a problem.
     pub(crate) fn value(self, _proof: &NoProblems) -> T {
-        self.0.expect("a missing setting is a problem")
+        self.0.expect("a missing setting was reported as a problem")
     }
 
-    /// Its value for further checks; none where it is missing or not valid.
-    pub(crate) fn given(&self) -> Option<&T> {
+    /// Returns the value for further checks, or `None` if it is missing or invalid.
+    pub(crate) fn get(&self) -> Option<&T> {
         self.0.as_ref()
     }
 }
@@ -96,10 +95,10 @@
         }
     }
 
-    /// Ends the reading.
+    /// Finishes reading.
     ///
     /// # Errors
-    /// Every problem at once.
+    /// All problems at once.
     pub(crate) fn finish(self) -> Result<NoProblems, SettingProblems> {
         if self.problems.is_empty() {
             return Ok(NoProblems(()));
@@ -108,7 +107,7 @@
         Err(SettingProblems { problems })
     }
 
-    pub(crate) fn fail(&mut self, flag: &'static str, what: String) {
+    pub(crate) fn add_problem(&mut self, flag: &'static str, what: String) {
         self.problems.push(SettingProblem {
             flag,
             variable: variable_of(flag),
@@ -116,27 +115,31 @@
         });
     }
 
-    pub(crate) fn optional<T: FromStr>(&mut self, flag: &'static str, right: &str) -> Option<T> {
+    pub(crate) fn optional<T: FromStr>(&mut self, flag: &'static str, expected: &str) -> Option<T> {
         let text = self.source.text(flag)?;
         match text.parse() {
             Ok(value) => Some(value),
             Err(_) => {
-                self.fail(flag, format!("'{text}' is not valid; give {right}"));
+                self.add_problem(flag, format!("'{text}' is not valid; give {expected}"));
                 None
             }
         }
     }
 
-    pub(crate) fn required<T: FromStr>(&mut self, flag: &'static str, right: &str) -> Required<T> {
+    pub(crate) fn required<T: FromStr>(
+        &mut self,
+        flag: &'static str,
+        expected: &str,
+    ) -> Required<T> {
         if self.source.text(flag).is_none() {
-            self.fail(flag, format!("is missing; give {right}"));
+            self.add_problem(flag, format!("is missing; give {expected}"));
             return Required(None);
         }
-        Required(self.optional(flag, right))
+        Required(self.optional(flag, expected))
     }
 
-    pub(crate) fn list<T: FromStr>(&mut self, flag: &'static str, right: &str) -> Vec<T> {
-        // Not given is an empty list.
+    pub(crate) fn list<T: FromStr>(&mut self, flag: &'static str, expected: &str) -> Vec<T> {
+        // A list that isn't given is empty.
         let text = self.source.text(flag).unwrap_or_default();
         let mut values = Vec::new();
         for part in text
@@ -146,8 +149,8 @@
         {
             match part.parse() {
                 Ok(value) => values.push(value),
-                // The part may be a secret and isn't printed.
-                Err(_) => self.fail(flag, format!("an entry is not valid; give {right}")),
+                // The entry isn't printed since it may be a secret.
+                Err(_) => self.add_problem(flag, format!("an entry is not valid; give {expected}")),
             }
         }
         values
