--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -223,7 +223,7 @@
         tokio::spawn(report_usage(gateway.clone()));
     }
     tokio::spawn(serve_clients(gateway.clone(), clients));
-    signals::wait_for_stop_through_hang_ups().await?;
+    signals::wait_for_stop_ignoring_hang_ups().await?;
     stop_gracefully(gateway.clone()).await;
     report_last_usage(gateway).await;
     Ok(())
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! The daemon and the command line of bridgevane.
 //!
-//! [`commands`] are what the command line offers; [`configs`] are typed settings with defaults;
-//! [`modules`] are what the daemon does, by concern.
+//! [`commands`] contains the commands of the command line, [`configs`] the typed settings with
+//! their defaults, and [`modules`] the parts of the daemon.
 
 pub mod commands;
 pub mod configs;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `bridgevane` binary: parses the command line and dispatches.
+//! The `bridgevane` binary: parses the command line and runs the command.
 
 use bridgevane::commands::{self, Arguments};
 use std::process::ExitCode;
--- a/src/modules/mod.rs
+++ b/src/modules/mod.rs
@@ -1,7 +1,7 @@
-//! What the daemon does, by concern.
+//! The modules of the daemon.
 //!
-//! [`process`] serves both programs: logs, listening, signals, the metrics page. [`serve`] is
-//! `bridgevane serve`. The other program, `bridgevane gateway`, is the package
+//! [`process`] is used by both programs: logs, HTTP servers, signals, the metrics page. [`serve`]
+//! is `bridgevane serve`. The other program, `bridgevane gateway`, is in the package
 //! `bridgevane-gateway`.
 
 pub mod process;
--- a/src/modules/process/http_serve.rs
+++ b/src/modules/process/http_serve.rs
@@ -1,7 +1,7 @@
-//! Serving HTTP until the daemon stops.
+//! Serves HTTP until the daemon stops.
 //!
-//! A process that ends takes what its connections haven't sent yet with it: [`Servers::close`] waits for
-//! that.
+//! Data that connections haven't sent yet is lost when the process ends; [`Servers::close`] waits
+//! until it is sent.
 
 use axum::Router;
 use bridgevane_gateway::accept;
@@ -16,22 +16,21 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Time for a caller to send the head of a request: slow senders are let go. Not measured, chosen
-/// because a head is a packet or two; half would cut callers on slow links.
+/// The time in which a caller must send the head of a request before it is disconnected. A head
+/// takes one or two packets; half the time would disconnect callers on slow links.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The largest head of a request. Not measured, chosen because servers of the field allow 8 to 64
-/// KB.
+/// The maximum size of a request's head; common servers allow 8 to 64 KB.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// Listens at `address`.
 ///
 /// # Errors
-/// The operating system's error when the address can't be listened on.
+/// The operating system's error if the address can't be listened on.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, std::io::Error> {
     TcpListener::bind(address).await
 }
 
-/// Servers that are closed together.
+/// A group of servers that are closed together.
 #[derive(Debug, Default)]
 pub struct Servers {
     is_closing: watch::Sender<bool>,
@@ -39,17 +38,17 @@
 }
 
 impl Servers {
-    /// Serves `router` on every connection, until these servers are closed or dropped.
+    /// Serves `router` on every connection until the group is closed or dropped.
     pub fn serve(&mut self, listener: TcpListener, router: Router) {
         let mut is_closing = self.is_closing.subscribe();
         let closing = async move {
-            // An error means that the sender is gone: these servers were dropped.
+            // An error means that the sender was dropped together with the group.
             let _ = is_closing.wait_for(|is_closing| *is_closing).await;
         };
         self.tasks.spawn(serve_until(closing, listener, router));
     }
 
-    /// Accepts no more connections, and waits until each answer that has begun is sent.
+    /// Stops accepting connections and waits until every started answer is sent.
     pub async fn close(self) {
         self.is_closing.send_replace(true);
         self.tasks.join_all().await;
@@ -75,7 +74,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, router: Router, watcher: Watcher) {
-    // Without it, small pieces wait for the caller's acknowledgement.
+    // Otherwise small chunks would wait for the caller's acknowledgements.
     let _ = stream.set_nodelay(true);
     let mut builder = http1::Builder::new();
     builder
@@ -84,6 +83,6 @@
         .max_buf_size(MAX_HEAD_BYTES);
     let service = TowerToHyperService::new(router);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
-    // A broken connection ends its requests; there is nobody left to tell.
+    // A broken connection ends its requests, and no caller is left to report the error to.
     let _ = watcher.watch(connection).await;
 }
--- a/src/modules/process/log_writer.rs
+++ b/src/modules/process/log_writer.rs
@@ -1,19 +1,20 @@
-//! Writing logs without ever holding up a request: lines wait in a bounded buffer, and a
-//! thread writes them out a few times a second.
+//! Writes logs without blocking requests: lines are collected in a bounded buffer, and a thread
+//! writes them out a few times per second.
 
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// Bytes that wait at most; lines beyond are dropped and counted. Not measured, chosen because it
-/// is over a thousand lines, and small against 88 MB, the smallest VM.
-const MAX_WAITING_BYTES: usize = 256 * 1024;
-/// How long lines gather before they are written. Chosen because each write wakes a thread: five a
-/// second cost nothing that shows (docs/OPERATIONS.md tells what a kill loses).
-const GATHER: Duration = Duration::from_millis(200);
+/// The maximum size of the buffer; further lines are dropped and counted. It holds over a thousand
+/// lines and is small compared with the 88 MB of the smallest VM.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
+/// The time for which lines are collected before they are written. Each write wakes a thread; five
+/// per second have no noticeable cost. See docs/OPERATIONS.md for what is lost when a daemon is
+/// killed.
+const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct LineBuffer {
     bytes: Vec<u8>,
     dropped: u64,
     is_finished: bool,
@@ -21,90 +22,88 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
+    buffer: Mutex<LineBuffer>,
     changed: Condvar,
 }
 
-/// Takes lines.
+/// Accepts log lines.
 #[derive(Clone, Debug)]
 pub(crate) struct Sink(Arc<Shared>);
 
 impl Sink {
-    /// Adds a line; when the buffer is full it is dropped and counted.
-    pub fn line(&self, line: &str) {
-        let mut waiting = self.0.waiting.lock().expect("no panic under this lock");
-        if waiting.bytes.len() + line.len() >= MAX_WAITING_BYTES {
-            waiting.dropped += 1;
+    /// Adds a line to the buffer, or drops and counts it if the buffer is full.
+    pub fn push(&self, line: &str) {
+        let mut buffer = self.0.buffer.lock().expect("no panic under this lock");
+        if buffer.bytes.len() + line.len() >= MAX_BUFFERED_BYTES {
+            buffer.dropped += 1;
             return;
         }
-        let was_empty = waiting.bytes.is_empty();
-        waiting.bytes.extend_from_slice(line.as_bytes());
-        waiting.bytes.push(b'\n');
-        drop(waiting);
+        let was_empty = buffer.bytes.is_empty();
+        buffer.bytes.extend_from_slice(line.as_bytes());
+        buffer.bytes.push(b'\n');
+        drop(buffer);
         if was_empty {
             self.0.changed.notify_one();
         }
     }
 }
 
-/// The thread that writes.
+/// The thread that writes the lines.
 #[derive(Debug)]
 pub(crate) struct LogWriter {
     shared: Arc<Shared>,
     thread: std::thread::JoinHandle<()>,
 }
 
-/// Starts writing to standard output.
+/// Starts a thread that writes to standard output.
 pub fn start() -> LogWriter {
     let shared = Arc::new(Shared::default());
-    let own = shared.clone();
+    let thread_shared = shared.clone();
     LogWriter {
         shared,
-        thread: std::thread::spawn(move || write_until_finished(&own)),
+        thread: std::thread::spawn(move || write_until_finished(&thread_shared)),
     }
 }
 
 impl LogWriter {
-    /// Where lines go.
+    /// Returns a sink for lines.
     pub(crate) fn sink(&self) -> Sink {
         Sink(self.shared.clone())
     }
 
-    /// Writes what waits, and ends.
+    /// Writes the buffered lines and ends the thread.
     pub fn finish(self) {
-        let mut waiting = self
-            .shared
-            .waiting
-            .lock()
-            .expect("no panic under this lock");
-        waiting.is_finished = true;
-        drop(waiting);
+        let mut buffer = self.shared.buffer.lock().expect("no panic under this lock");
+        buffer.is_finished = true;
+        drop(buffer);
         self.shared.changed.notify_one();
-        // A writer that failed has nothing left to say.
+        // A panic of the writer can't be reported any more.
         let _ = self.thread.join();
     }
 }
 
 fn write_until_finished(shared: &Shared) {
     loop {
-        let waiting = shared.waiting.lock().expect("no panic under this lock");
-        let idle = |waiting: &mut Waiting| waiting.bytes.is_empty() && !waiting.is_finished;
-        let waiting = shared.changed.wait_while(waiting, idle);
-        let waiting = waiting.expect("no panic under this lock");
-        let gather = |waiting: &mut Waiting| !waiting.is_finished;
-        let gathered = shared.changed.wait_timeout_while(waiting, GATHER, gather);
-        let (mut waiting, _) = gathered.expect("no panic under this lock");
-        let mut bytes = std::mem::take(&mut waiting.bytes);
-        let dropped = std::mem::take(&mut waiting.dropped);
-        let is_finished = waiting.is_finished;
-        drop(waiting);
+        let buffer = shared.buffer.lock().expect("no panic under this lock");
+        let is_idle = |buffer: &mut LineBuffer| buffer.bytes.is_empty() && !buffer.is_finished;
+        let buffer = shared.changed.wait_while(buffer, is_idle);
+        let buffer = buffer.expect("no panic under this lock");
+        let is_collecting = |buffer: &mut LineBuffer| !buffer.is_finished;
+        let collected = shared
+            .changed
+            .wait_timeout_while(buffer, WRITE_INTERVAL, is_collecting);
+        let (mut buffer, _) = collected.expect("no panic under this lock");
+        let mut bytes = std::mem::take(&mut buffer.bytes);
+        let dropped = std::mem::take(&mut buffer.dropped);
+        let is_finished = buffer.is_finished;
+        drop(buffer);
         if dropped > 0 {
             let line = format!(
                 "{{\"level\":\"WARN\",\"text\":\"log lines dropped\",\"dropped\":{dropped}}}\n"
             );
             bytes.extend_from_slice(line.as_bytes());
         }
-        // Nobody reads: there is nowhere to say so.
+        // If standard output is closed, the error can't be reported anywhere.
         let _ = std::io::stdout().write_all(&bytes);
         if is_finished {
             return;
--- a/src/modules/process/logging.rs
+++ b/src/modules/process/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: one line an event, as JSON or for people.
+//! Formats log lines: one line per event, as JSON or as readable text.
 
 use crate::configs::log::{LogConfig, LogFormat};
 use crate::modules::process::log_writer::Sink;
@@ -10,14 +10,14 @@
 use std::fmt::Write as _;
 use std::time::SystemTime;
 
-/// Logging was set up before.
+/// The error for setting up logging twice.
 #[derive(Debug, Display, Error, From)]
-#[display("logging was set up before")]
+#[display("logging is already set up")]
 pub(crate) struct LoggingError {
     source: log::SetLoggerError,
 }
 
-/// Gathers an event's fields.
+/// Collects an event's fields.
 struct Fields {
     map: Map<String, Json>,
 }
@@ -35,17 +35,18 @@
 
 fn fields_of(record: &Record<'_>) -> Map<String, Json> {
     let mut fields = Fields { map: Map::new() };
-    // A field that can't be shown is left out.
+    // A field that can't be formatted is left out.
     let _ = record.key_values().visit(&mut fields);
     fields.map
 }
 
-/// Where lines come from: in every line, since those of many daemons are often put together.
+/// The origin of log lines. JSON lines contain it if it is given, because the logs of many daemons
+/// are often merged.
 #[derive(Clone, Debug)]
 pub(crate) struct LineOrigin {
-    /// The VM.
+    /// The name of the VM.
     pub(crate) vm: VmId,
-    /// Its data centre.
+    /// The VM's data centre.
     pub(crate) data_centre: DataCentreId,
 }
 
@@ -67,7 +68,7 @@
     let at = humantime::format_rfc3339_millis(SystemTime::now());
     let mut line = format!("{at} {:5} {}", record.level(), record.args());
     for (key, value) in fields_of(record) {
-        // Writing into memory doesn't fail.
+        // Writing to memory can't fail.
         let _ = match value {
             Json::String(text) => write!(line, " {key}={text}"),
             other => write!(line, " {key}={other}"),
@@ -76,24 +77,24 @@
     line
 }
 
-/// Sends logs to standard error.
+/// Writes logs to standard error.
 ///
 /// # Errors
-/// [`LoggingError`] when logging was set up before.
+/// [`LoggingError`] if logging is already set up.
 pub(crate) fn set_up_on_stderr(config: LogConfig) -> Result<(), LoggingError> {
     dispatch(config, None, std::io::stderr().into())
 }
 
-/// Sends logs to a writer that never holds up its callers; lines of JSON say where they come from.
+/// Sends logs to a sink that never blocks its callers. JSON lines include their origin.
 ///
 /// # Errors
-/// [`LoggingError`] when logging was set up before.
+/// [`LoggingError`] if logging is already set up.
 pub(crate) fn set_up(
     config: LogConfig,
     origin: LineOrigin,
     sink: Sink,
 ) -> Result<(), LoggingError> {
-    let output = fern::Output::call(move |record| sink.line(&record.args().to_string()));
+    let output = fern::Output::call(move |record| sink.push(&record.args().to_string()));
     dispatch(config, Some(origin), output)
 }
 
--- a/src/modules/process/metrics_page.rs
+++ b/src/modules/process/metrics_page.rs
@@ -1,12 +1,12 @@
-//! A Prometheus page of `opentelemetry` instruments, for both programs.
+//! The Prometheus page of `opentelemetry` instruments, used by both programs.
 //!
-//! Each page has a registry of its own, so that two of them in one process don't share names.
+//! Each page has its own registry, so that the names of two pages in one process don't collide.
 
 use opentelemetry::metrics::{Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// A meter whose instruments are shown as a Prometheus page.
+/// A meter and the Prometheus page of its instruments.
 #[derive(Clone)]
 pub(crate) struct MetricsPage {
     registry: Registry,
@@ -14,27 +14,27 @@
 }
 
 impl MetricsPage {
-    /// An empty page.
+    /// Creates an empty page.
     pub fn new() -> Self {
         let registry = Registry::new();
-        // A fresh registry has no name that could clash.
+        // A new registry has no names that could collide.
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("a fresh registry accepts the exporter");
+            .expect("a new registry accepts the exporter");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         Self { registry, provider }
     }
 
-    /// The meter of all instruments.
+    /// Returns the meter of all instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter("bridgevane")
     }
 
-    /// The page.
+    /// Returns the text of the page.
     pub fn text(&self) -> String {
         let mut page = Vec::new();
-        // Writing into memory doesn't fail.
+        // Writing to memory can't fail.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut page);
         String::from_utf8_lossy(&page).into_owned()
     }
--- a/src/modules/process/mod.rs
+++ b/src/modules/process/mod.rs
@@ -1,4 +1,4 @@
-//! What both programs need of their process: logs, listening, signals, the metrics page.
+//! Parts of the process that both programs use: logs, HTTP servers, signals, the metrics page.
 
 pub mod http_serve;
 pub(crate) mod log_writer;
--- a/src/modules/process/signals.rs
+++ b/src/modules/process/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: what stops a program, and what doesn't.
+//! Waits for the signals that stop a program.
 
 use bridgevane_events::{Event, event};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -25,21 +25,21 @@
     }
 }
 
-/// Waits for the stop signal; SIGHUP ends the program, as is the system's default.
+/// Waits for a stop signal. SIGHUP ends the program, which is the system's default.
 ///
 /// # Errors
-/// When a signal can't be listened for.
+/// The operating system's error if a signal can't be listened for.
 pub(crate) async fn wait_for_stop() -> Result<(), std::io::Error> {
     StopSignals::listen()?.received().await;
     Ok(())
 }
 
-/// Waits for the stop signal; SIGHUP, by which a platform says that settings have changed, is
-/// logged and touches nothing that runs.
+/// Waits for a stop signal. SIGHUP, with which a platform announces changed settings, is only
+/// logged.
 ///
 /// # Errors
-/// When a signal can't be listened for.
-pub(crate) async fn wait_for_stop_through_hang_ups() -> Result<(), std::io::Error> {
+/// The operating system's error if a signal can't be listened for.
+pub(crate) async fn wait_for_stop_ignoring_hang_ups() -> Result<(), std::io::Error> {
     let mut stop = StopSignals::listen()?;
     let mut hang_up = signal(SignalKind::hangup())?;
     loop {
