--- a/crates/log-report/src/counts.rs
+++ b/crates/log-report/src/counts.rs
@@ -1,42 +1,43 @@
-//! What became of requests, in numbers.
+//! Counts the outcomes of requests and attempts.
 
 use crate::line::LogLine;
 use bridgevane_events::Event;
 use derive_more::AddAssign;
 use serde::Serialize;
 
-/// One plain success in so many is logged, all else is: from the gateway's `SUCCESS_SAMPLE`.
+/// The number of plain successes for each logged one, as the gateway's `SUCCESS_SAMPLE`; everything
+/// else is always logged.
 const SUCCESS_SAMPLE: u64 = 16;
 
-/// Numbers of requests and attempts.
+/// The numbers of requests and attempts by outcome.
 #[derive(AddAssign, Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Requests served: estimated, since plain successes are logged as a sample.
+    /// The estimated number of served requests; only a sample of plain successes is logged.
     pub served_estimate: u64,
-    /// Requests that the daemon refused.
+    /// Requests refused by the daemon.
     pub refused: u64,
-    /// Of these, requests that were shed because of a queue.
+    /// Refused requests that were shed because of a long queue.
     pub shed: u64,
-    /// Attempts that gave no answer that can be used.
+    /// Attempts without a usable answer.
     pub failed_attempts: u64,
-    /// Attempts and streams after which the request was sent again.
+    /// Failed attempts and streams whose request was sent again.
     pub resent: u64,
-    /// Retries that the retry budget granted.
+    /// Retries granted by the retry budget.
     pub retries_granted: u64,
-    /// Retries that it denied.
+    /// Retries denied by the retry budget.
     pub retries_denied: u64,
     /// Streams that broke off.
     pub broken_off: u64,
-    /// Streams that went on elsewhere.
+    /// Streams resumed at another endpoint.
     pub resumed: u64,
 }
 
 impl Counts {
-    /// What one line says; none: nothing of requests.
-    pub(crate) fn of_line(line: &LogLine<'_>) -> Option<Self> {
+    /// Returns the counts of one line, or `None` if it isn't about the outcome of a request.
+    pub(crate) fn from_line(line: &LogLine<'_>) -> Option<Self> {
         let mut counts = Self::default();
         match line.event {
-            Event::RequestServed => counts.served_estimate = successes(line),
+            Event::RequestServed => counts.served_estimate = represented_successes(line),
             Event::RequestTurnedAway => counts.refused = 1,
             Event::LineTooLong => counts.shed = 1,
             Event::AttemptFailed => counts.failed_attempts = 1,
@@ -52,14 +53,14 @@
         Some(counts)
     }
 
-    /// How much went wrong, to order rows by.
-    pub fn trouble(&self) -> u64 {
+    /// Returns the number of failures, by which rows are sorted.
+    pub fn failures(&self) -> u64 {
         self.refused + self.failed_attempts + self.broken_off
     }
 }
 
-/// How many successes a line stands for.
-fn successes(line: &LogLine<'_>) -> u64 {
+/// Returns the number of successes that a line represents.
+fn represented_successes(line: &LogLine<'_>) -> u64 {
     let is_sampled = line.status == Some(200) && line.runs == Some(1);
     if is_sampled { SUCCESS_SAMPLE } else { 1 }
 }
--- a/crates/log-report/src/lib.rs
+++ b/crates/log-report/src/lib.rs
@@ -1,10 +1,10 @@
-//! Reads the logs of gateways after the fact: of one or of all VMs, whole or cut.
+//! Reports on the logs of gateways: of one or more VMs, complete or cut.
 //!
-//! [`LogReader`] gives lines; [`Summary`] counts what became of requests by reason, endpoint,
-//! customer, data centre and time; [`RequestLife`] gathers what all daemons wrote of one request;
-//! [`TreeHistory`] says who followed whom. What can't
-//! be read is counted ([`ReadCounts`]), never skipped in silence. One pass, and memory that doesn't
-//! grow with the requests.
+//! [`LogReader`] reads lines; [`Summary`] counts the outcomes of requests by reason, endpoint,
+//! customer, data centre and time; [`RequestLife`] collects the lines of all daemons on one
+//! request; [`TreeHistory`] reconstructs which daemon followed which. Lines that can't be read are
+//! counted ([`ReadCounts`]), never skipped silently. A report takes one pass, and its memory
+//! doesn't grow with the number of requests.
 
 mod counts;
 mod life;
--- a/crates/log-report/src/life.rs
+++ b/crates/log-report/src/life.rs
@@ -1,15 +1,15 @@
-//! The life of one request: what all daemons wrote of it, in order of time, and what it came to.
+//! The history of one request: the lines of all daemons on it, in order of time, and its outcome.
 
 use crate::line::LogLine;
 use bridgevane_events::Event;
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Lines of one request that are kept at most. Chosen because a request makes some ten at most;
-/// more have an identifier that clients use again and again.
+/// The maximum number of lines kept for one request. A request has about ten lines at most, unless
+/// clients reuse its id.
 const MAX_LINES: usize = 1_000;
-/// Fields that stand in columns of their own.
-const SHOWN_APART: [&str; 7] = [
+/// The fields that have their own columns.
+const COLUMN_FIELDS: [&str; 7] = [
     "at",
     "level",
     "text",
@@ -19,22 +19,22 @@
     "request",
 ];
 
-/// One line of the request.
+/// One log line of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RequestLine {
-    /// When it was written, in milliseconds since 1970, by the clock of its VM.
+    /// The time at which it was written, in Unix milliseconds of its VM's clock.
     pub at_ms: u64,
-    /// The VM.
+    /// The VM that wrote it.
     pub vm: String,
     /// The event's number.
     pub event: u32,
-    /// What the event says.
+    /// The event's text.
     pub text: &'static str,
     /// All other fields, as `name=value`.
     pub fields: Vec<String>,
 }
 
-/// Everything that was written of one request.
+/// The log lines of one request.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestLife {
     id: String,
@@ -43,7 +43,7 @@
 }
 
 impl RequestLife {
-    /// Of a request with this identifier; nothing is known yet.
+    /// Creates the empty history of the request with this id.
     pub fn new(id: &str) -> Self {
         Self {
             id: id.to_owned(),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes a line in, if it is of this request.
+    /// Adds a line if it belongs to this request.
     pub fn add(&mut self, line: &LogLine<'_>, text: &str) {
         if line.request.as_deref() != Some(self.id.as_str()) {
             return;
@@ -71,46 +71,46 @@
         });
     }
 
-    /// The lines in order of time.
+    /// Returns the lines in order of time.
     pub fn lines(&self) -> Vec<RequestLine> {
         let mut lines = self.lines.clone();
         lines.sort_by_key(|line| line.at_ms);
         lines
     }
 
-    /// Lines for which there was no room.
+    /// Returns the number of lines beyond the maximum, which aren't kept.
     pub fn left_out(&self) -> u64 {
         self.left_out
     }
 
-    /// What became of it, in a sentence, by its last line that says so.
+    /// Returns the outcome as a sentence, from the last line that states one.
     pub fn verdict(&self) -> String {
         let lines = self.lines();
-        let is_end = |line: &&RequestLine| {
-            let ends = [
+        let is_outcome = |line: &&RequestLine| {
+            let outcomes = [
                 Event::RequestServed,
                 Event::RequestTurnedAway,
                 Event::RequestBrokenOff,
             ];
-            ends.iter().any(|end| end.number() == line.event)
+            outcomes.iter().any(|event| event.number() == line.event)
         };
-        let Some(last) = lines.iter().rev().find(is_end) else {
-            return self.no_end(lines.last());
+        let Some(last) = lines.iter().rev().find(is_outcome) else {
+            return self.unknown_outcome(lines.last());
         };
         let was_shed = lines
             .iter()
             .any(|line| line.event == Event::LineTooLong.number());
-        let resumed = lines
+        let was_resumed = lines
             .iter()
             .any(|line| line.event == Event::StreamResumed.number());
-        let field = |name| value_of(last, name).unwrap_or("?");
+        let field = |name| field_value(last, name).unwrap_or("?");
         if last.event == Event::RequestServed.number() {
-            let how = if resumed {
+            let suffix = if was_resumed {
                 ", after it was resumed"
             } else {
                 ""
             };
-            return format!("answered with status {}{how}", field("status"));
+            return format!("answered with status {}{suffix}", field("status"));
         }
         if last.event == Event::RequestBrokenOff.number() {
             return format!(
@@ -119,15 +119,15 @@
                 field("resend")
             );
         }
-        let why = if was_shed {
+        let suffix = if was_shed {
             " (shed: the queue was too long, see 1310)"
         } else {
             ""
         };
-        format!("refused: {}{why}", field("reason"))
+        format!("refused: {}{suffix}", field("reason"))
     }
 
-    fn no_end(&self, last: Option<&RequestLine>) -> String {
+    fn unknown_outcome(&self, last: Option<&RequestLine>) -> String {
         match last {
             Some(line) => format!(
                 "no line says how it ended; the last is {} ({})",
@@ -140,20 +140,20 @@
     }
 }
 
-fn value_of<'a>(line: &'a RequestLine, name: &str) -> Option<&'a str> {
+fn field_value<'a>(line: &'a RequestLine, name: &str) -> Option<&'a str> {
     let fields = line.fields.iter();
     let mut pairs = fields.filter_map(|field| field.split_once('='));
-    pairs.find(|(of, _)| *of == name).map(|(_, value)| value)
+    pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// The fields of a line that have no column of their own.
+/// Returns the fields of a line that have no column of their own.
 fn other_fields(text: &str) -> Vec<String> {
     let start = text.find('{').unwrap_or(0);
-    // The line was decoded before: it is an object.
+    // The line was decoded before, so that it is a JSON object.
     let object: Map<String, Value> = serde_json::from_str(&text[start..]).unwrap_or_default();
     let others = object
         .into_iter()
-        .filter(|(name, _)| !SHOWN_APART.contains(&name.as_str()));
+        .filter(|(name, _)| !COLUMN_FIELDS.contains(&name.as_str()));
     others
         .map(|(name, value)| match value {
             Value::String(value) => format!("{name}={value}"),
--- a/crates/log-report/src/line.rs
+++ b/crates/log-report/src/line.rs
@@ -1,7 +1,7 @@
-//! One line of a gateway's log, decoded.
+//! Decodes one line of a gateway's log.
 //!
-//! A line may stand behind a prefix of whoever gathered it, such as a VM's name or a time: what comes
-//! before the first brace is passed over. Numbers come as numbers or as text.
+//! Log collectors may add a prefix, such as a VM's name or a time: everything before the first
+//! brace is ignored. Numbers may be JSON numbers or text.
 
 use bridgevane_events::Event;
 use derive_more::{Display, Error};
@@ -9,30 +9,30 @@
 use std::borrow::Cow;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Why a line is no event.
+/// The reason why a line isn't an event.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Hash)]
 pub enum Unread {
-    /// No JSON object: another program's line, or one that was cut.
+    /// The line isn't a JSON object: it is another program's, or was cut.
     #[display("no whole JSON object")]
     NotJson,
-    /// No event number, or no time.
+    /// The line has no event number or no time.
     #[display("without an event's number or time")]
     NoEvent,
-    /// A number that this version doesn't know.
+    /// The event number is unknown to this version.
     #[display("an event of another version")]
     UnknownEvent,
-    /// The daemon says that it dropped so many lines before this one.
+    /// The daemon reports that it dropped this number of lines before this one.
     #[display("{_0} lines were dropped")]
     Dropped(#[error(not(source))] u64),
 }
 
-/// The fields that the report uses, as they stand in a line.
+/// The fields of a line that the report uses.
 #[derive(Debug, Deserialize)]
 struct RawLine<'a> {
     #[serde(borrow)]
     at: Option<Cow<'a, str>>,
     event: Option<u32>,
-    /// Lines that the daemon dropped before this one.
+    /// The number of lines that the daemon dropped before this one.
     dropped: Option<u64>,
     #[serde(borrow)]
     vm: Option<Cow<'a, str>>,
@@ -70,7 +70,7 @@
     line_ms: Option<Number<'a>>,
 }
 
-/// A number, or a text that holds one.
+/// A number, or a text that contains one.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Number<'a> {
@@ -88,10 +88,10 @@
     }
 }
 
-/// A line of an event.
+/// The decoded line of an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine<'a> {
-    /// When it was written, in milliseconds since 1970, by the clock of its VM.
+    /// The time at which it was written, in Unix milliseconds of its VM's clock.
     pub at_ms: u64,
     /// The event.
     pub event: Event,
@@ -99,38 +99,38 @@
     pub vm: Option<Cow<'a, str>>,
     /// That VM's data centre.
     pub data_centre: Option<Cow<'a, str>>,
-    /// The request.
+    /// The id of the request.
     pub request: Option<Cow<'a, str>>,
-    /// The endpoint.
+    /// The id of the endpoint.
     pub endpoint: Option<Cow<'a, str>>,
     /// The request's route.
     pub route: Option<Cow<'a, str>>,
-    /// Its customer.
+    /// The request's customer.
     pub customer: Option<Cow<'a, str>>,
-    /// Why the daemon refused it, or how an attempt or a stream failed.
+    /// The reason of a refusal, or of the failure of an attempt or a stream.
     pub cause: Option<Cow<'a, str>>,
-    /// Whether it was sent again: "yes", or why not.
+    /// Whether the request was sent again: "yes", or the reason why not.
     pub resend: Option<Cow<'a, str>>,
-    /// The service that was asked for.
+    /// The requested service.
     pub service: Option<Cow<'a, str>>,
     /// Whether the retry budget granted a retry.
     pub is_granted: Option<bool>,
-    /// The address at which the daemon answers others.
+    /// The daemon's address for other daemons.
     pub peers: Option<Cow<'a, str>>,
-    /// Whom the daemon follows: another one's address, or the control source.
+    /// The daemon's upstream: the address of another daemon, or the control source.
     pub upstream: Option<Cow<'a, str>>,
     /// The status of an answer.
     pub status: Option<u64>,
-    /// Attempts that ran, or may have run.
+    /// The number of attempts that ran or may have run.
     pub runs: Option<u64>,
-    /// The queue that was expected at the endpoint, in milliseconds.
+    /// The expected queueing time at the endpoint, in milliseconds.
     pub queue_ms: Option<u64>,
 }
 
 /// Decodes a line.
 ///
 /// # Errors
-/// [`Unread`] when it is no event.
+/// [`Unread`] if the line isn't an event.
 pub(crate) fn decode(line: &str) -> Result<LogLine<'_>, Unread> {
     let start = line.find('{').ok_or(Unread::NotJson)?;
     let raw: RawLine<'_> =
@@ -144,7 +144,7 @@
     let event = Event::from_number(number).ok_or(Unread::UnknownEvent)?;
     let queue = raw.queue_ms.or(raw.line_ms);
     Ok(LogLine {
-        at_ms: since_1970_ms(at),
+        at_ms: unix_ms(at),
         event,
         vm: raw.vm,
         data_centre: raw.data_centre,
@@ -164,7 +164,7 @@
     })
 }
 
-fn since_1970_ms(at: SystemTime) -> u64 {
+fn unix_ms(at: SystemTime) -> u64 {
     // A clock before 1970 counts as 1970.
     let since = at.duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as u64
--- a/crates/log-report/src/reader.rs
+++ b/crates/log-report/src/reader.rs
@@ -1,41 +1,41 @@
-//! Reads logs line by line; what can't be read is counted, with a first example.
+//! Reads logs line by line, counts the lines that can't be read, and keeps the first as an example.
 
 use crate::line::{LogLine, Unread, decode};
 use serde::Serialize;
 use std::io::{self, BufRead};
 
-/// The longest line that is read, in bytes; what is longer is counted as unreadable. Chosen because
-/// the longest event has some 400 bytes, and a file without line ends must not fill the memory.
+/// The maximum length of a line in bytes; longer lines count as unreadable. The longest event has
+/// about 400 bytes, and a file without line ends must not fill the memory.
 const MAX_LINE_BYTES: usize = 64 * 1024;
-/// How much of an unreadable line is kept as an example, in characters. Chosen because it fits on a
-/// line of a terminal.
+/// The number of characters of an unreadable line kept as an example, which fits in a terminal
+/// line.
 const EXAMPLE_CHARS: usize = 120;
 
-/// What was read, and what could not be.
+/// The numbers of lines that were and weren't read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ReadCounts {
-    /// Lines of events.
+    /// Lines with an event.
     pub events: u64,
-    /// Lines that are no whole JSON object.
+    /// Lines that aren't a complete JSON object.
     pub not_json: u64,
-    /// Lines without an event's number or time.
+    /// Lines without an event number or a time.
     pub no_event: u64,
-    /// Events that this version doesn't know.
+    /// Lines with an event unknown to this version.
     pub unknown_events: u64,
-    /// Lines that daemons say they dropped.
+    /// Lines that daemons report as dropped.
     pub dropped_by_daemons: u64,
-    /// The beginning of the first line that can't be used.
+    /// The start of the first unusable line.
     pub first_unread: Option<String>,
 }
 
 impl ReadCounts {
-    /// Lines that can't be used.
+    /// Returns the number of unusable lines.
     pub fn unread(&self) -> u64 {
         self.not_json + self.no_event + self.unknown_events
     }
 
-    fn on_unread(&mut self, line: &str, why: Unread) {
-        match why {
+    fn count_unread(&mut self, line: &str, reason: Unread) {
+        match reason {
             Unread::Dropped(lines) => {
                 self.dropped_by_daemons += lines;
                 return;
@@ -49,7 +49,7 @@
     }
 }
 
-/// Reads logs.
+/// Reads logs and counts their lines.
 #[derive(Debug, Default)]
 pub struct LogReader {
     counts: ReadCounts,
@@ -57,22 +57,22 @@
 }
 
 impl LogReader {
-    /// What was read so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> &ReadCounts {
         &self.counts
     }
 
-    /// Reads one log to its end, and gives every event with the line that it stands in.
+    /// Reads one log to its end and calls `on_event` with every event and the text of its line.
     ///
     /// # Errors
-    /// When the log can't be read on.
+    /// The error of `log` if it can't be read to its end.
     pub fn read(
         &mut self,
         mut log: impl BufRead,
         mut on_event: impl FnMut(LogLine<'_>, &str),
     ) -> io::Result<()> {
         while self.next_line(&mut log)? {
-            // Bytes that are no text are replaced: the line may be readable otherwise.
+            // Invalid UTF-8 is replaced: the rest of the line may be readable.
             let text = String::from_utf8_lossy(&self.line);
             let line = text.trim_end_matches(['\r', '\n']);
             if line.is_empty() {
@@ -83,13 +83,13 @@
                     self.counts.events += 1;
                     on_event(event, line);
                 }
-                Err(why) => self.counts.on_unread(line, why),
+                Err(reason) => self.counts.count_unread(line, reason),
             }
         }
         Ok(())
     }
 
-    /// The next line; false at the end. Of a line that is too long only the beginning is kept.
+    /// Reads the next line and returns false at the end. Only the start of a too long line is kept.
     fn next_line(&mut self, log: &mut impl BufRead) -> io::Result<bool> {
         self.line.clear();
         let mut has_bytes = false;
@@ -100,10 +100,11 @@
             }
             has_bytes = true;
             let end = available.iter().position(|byte| *byte == b'\n');
-            let taken = end.map_or(available.len(), |end| end + 1);
+            let consumed = end.map_or(available.len(), |end| end + 1);
             let room = MAX_LINE_BYTES.saturating_sub(self.line.len());
-            self.line.extend_from_slice(&available[..taken.min(room)]);
-            log.consume(taken);
+            self.line
+                .extend_from_slice(&available[..consumed.min(room)]);
+            log.consume(consumed);
             if end.is_some() {
                 return Ok(true);
             }
--- a/crates/log-report/src/summary.rs
+++ b/crates/log-report/src/summary.rs
@@ -1,4 +1,5 @@
-//! What became of requests, by reason, endpoint, route, customer and data centre, and over time.
+//! Counts the outcomes of requests by reason, endpoint, route, customer and data centre, and over
+//! time.
 
 use crate::counts::Counts;
 use crate::line::LogLine;
@@ -8,31 +9,30 @@
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 
-/// Rows of one dimension at most; what comes after them is counted together. Chosen above the
-/// endpoints and customers of the largest deployment designed for (850 and 1,100), so that memory
-/// stays flat whatever the logs hold.
+/// The maximum number of rows per dimension, which bounds the memory for any log; further names are
+/// counted in one row. The largest deployment to design for has 850 endpoints and 1,100 customers.
 const MAX_ROWS: usize = 4_096;
-/// The name of the row for what has no room.
+/// The name of the row for all names beyond the maximum.
 const OTHERS: &str = "(others)";
-/// The name of the row for lines that don't say.
+/// The name of the row for lines without a value.
 const UNKNOWN: &str = "(not said)";
-/// The longest queue that is told apart, in milliseconds; longer ones count as it. Chosen above any
-/// deadline of a client.
+/// The maximum recorded queueing time in milliseconds, which is above any client's deadline; longer
+/// ones are recorded as this value.
 const MAX_QUEUE_MS: u64 = 600_000;
-/// Digits of a queue that are kept: chosen because it is an estimate, and one more would take ten times
-/// the memory of each row.
+/// The significant digits of a recorded queueing time, which is an estimate; one more digit would
+/// take ten times the memory per row.
 const QUEUE_DIGITS: u8 = 2;
 
-/// What rows are made by.
+/// The property by which requests are grouped into rows.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Dimension {
-    /// Why requests were refused, and how attempts and streams failed.
+    /// The reason of a refusal, or of the failure of an attempt or a stream.
     #[display("reason")]
     Reason,
     /// The endpoint.
     #[display("endpoint")]
     Endpoint,
-    /// The service; only decisions on retries name it.
+    /// The service, which only decisions on retries name.
     #[display("service")]
     Service,
     /// The route.
@@ -50,7 +50,7 @@
 }
 
 impl Dimension {
-    /// All of them, in the order in which they are shown.
+    /// All dimensions, in the order of the report.
     pub const ALL: [Self; 7] = [
         Self::Reason,
         Self::Service,
@@ -61,7 +61,7 @@
         Self::Vm,
     ];
 
-    fn name_in<'a>(self, line: &'a LogLine<'_>) -> Option<&'a str> {
+    fn value_in<'a>(self, line: &'a LogLine<'_>) -> Option<&'a str> {
         match self {
             Self::Reason => line.cause.as_deref(),
             Self::Endpoint => line.endpoint.as_deref(),
@@ -112,7 +112,7 @@
     }
 }
 
-/// The whole summary.
+/// A summary of logs.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     total: RowState,
@@ -122,15 +122,15 @@
 }
 
 impl Summary {
-    /// Takes a line in.
+    /// Adds a line.
     pub fn add(&mut self, line: &LogLine<'_>) {
-        let Some(counts) = Counts::of_line(line) else {
+        let Some(counts) = Counts::from_line(line) else {
             return;
         };
         self.total.add(line, counts);
         self.timeline.add(line.at_ms, counts);
         for dimension in Dimension::ALL {
-            let name = dimension.name_in(line).unwrap_or(UNKNOWN);
+            let name = dimension.value_in(line).unwrap_or(UNKNOWN);
             self.row(dimension, name).add(line, counts);
         }
     }
@@ -148,26 +148,26 @@
         self.rows.entry(key).or_default()
     }
 
-    /// Everything in one row.
+    /// Returns the totals as one row.
     pub fn total(&self) -> Row {
         self.total.row("all")
     }
 
-    /// The rows of one dimension, the most trouble first.
+    /// Returns the rows of one dimension, those with the most failures first.
     pub fn rows(&self, dimension: Dimension) -> Vec<Row> {
         let entries = self.rows.iter();
-        let of_dimension = entries.filter(|((of, _), _)| *of == dimension);
-        let mut rows: Vec<Row> = of_dimension
+        let dimension_entries = entries.filter(|((key, _), _)| *key == dimension);
+        let mut rows: Vec<Row> = dimension_entries
             .map(|((_, name), state)| state.row(name))
             .collect();
         rows.sort_by(|a, b| {
-            let by_trouble = b.counts.trouble().cmp(&a.counts.trouble());
-            by_trouble.then_with(|| a.name.cmp(&b.name))
+            let by_failures = b.counts.failures().cmp(&a.counts.failures());
+            by_failures.then_with(|| a.name.cmp(&b.name))
         });
         rows
     }
 
-    /// The counts over time.
+    /// Returns the counts over time.
     pub fn timeline(&self) -> &Timeline {
         &self.timeline
     }
--- a/crates/log-report/src/svg.rs
+++ b/crates/log-report/src/svg.rs
@@ -1,15 +1,15 @@
-//! The counts over time as a picture.
+//! Plots the counts over time.
 
 use crate::timeline::{Bucket, Timeline};
 use derive_more::{Display, Error};
 use plotters::prelude::*;
 
-/// Width and height, in pixels. Chosen because it fits on a screen.
+/// The width and height in pixels, which fit on a screen.
 const SIZE: (u32, u32) = (960, 360);
-/// Milliseconds of a second, since moments are in milliseconds and rates a second.
+/// The number of milliseconds in a second: times are in milliseconds, rates are per second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// The picture can't be drawn.
+/// The error for a plot that can't be drawn.
 #[derive(Clone, Debug, Display, Error)]
 #[display("the picture can't be drawn: {what}")]
 pub struct PlotError {
@@ -26,7 +26,7 @@
 
 type Series = (&'static str, RGBColor, fn(&crate::Counts) -> u64);
 
-/// What is drawn, each in its colour.
+/// The plotted series, with their names and colours.
 const SERIES: [Series; 4] = [
     ("served (estimate)", RGBColor(60, 150, 80), |counts| {
         counts.served_estimate
@@ -40,10 +40,10 @@
     }),
 ];
 
-/// Draws requests a second over time, counted from the first line.
+/// Draws the requests per second over the time since the first line.
 ///
 /// # Errors
-/// [`PlotError`] when it can't be drawn.
+/// [`PlotError`] if the plot can't be drawn.
 pub fn timeline_svg(timeline: &Timeline) -> Result<String, PlotError> {
     let buckets: Vec<Bucket> = timeline.buckets().collect();
     let first_ms = buckets.first().map_or(0, |bucket| bucket.from_ms);
@@ -52,10 +52,10 @@
     let last_s = buckets.last().map_or(0.0, |last| second_of(last.from_ms)) + width_s;
     let rate = |count: u64| count as f64 / width_s;
     let counts = buckets.iter().flat_map(|bucket| {
-        let of = move |series: &Series| (series.2)(&bucket.counts);
-        SERIES.iter().map(of)
+        let count = move |series: &Series| (series.2)(&bucket.counts);
+        SERIES.iter().map(count)
     });
-    // A log without a request draws an empty picture.
+    // A log without requests gives an empty plot.
     let top = rate(counts.max().unwrap_or(0)).max(1.0) * 1.05;
     let mut svg = String::new();
     {
--- a/crates/log-report/src/timeline.rs
+++ b/crates/log-report/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Counts over time, in a bounded number of buckets.
+//! Counts over time in a bounded number of buckets.
 
 use crate::counts::Counts;
 use crate::row::Row;
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, UNIX_EPOCH};
 
-/// Buckets at most: when more are needed, two become one. Chosen because an hour has so many
-/// seconds; longer logs are shown in coarser steps.
+/// The maximum number of buckets, one per second of an hour; for longer logs, pairs of buckets are
+/// merged.
 const MAX_BUCKETS: usize = 3_600;
-/// The width of a bucket at first, in milliseconds. Chosen because rates are told a second.
-const FIRST_WIDTH_MS: u64 = 1_000;
+/// The initial width of a bucket in milliseconds, since rates are reported per second.
+const INITIAL_WIDTH_MS: u64 = 1_000;
 
 /// Counts over time.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,18 +19,18 @@
     buckets: BTreeMap<u64, Counts>,
 }
 
-/// One step of time.
+/// The counts of one time interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Bucket {
-    /// When it begins, in milliseconds since 1970.
+    /// The start of the interval, in Unix milliseconds.
     pub from_ms: u64,
-    /// What happened in it.
+    /// The counts in the interval.
     #[serde(flatten)]
     pub counts: Counts,
 }
 
 impl Bucket {
-    /// The bucket as a row of a table, named by its moment.
+    /// Returns the bucket as a row of a table, named by its start.
     pub fn as_row(&self) -> Row {
         let from = UNIX_EPOCH + Duration::from_millis(self.from_ms);
         Row {
@@ -45,14 +45,14 @@
 impl Default for Timeline {
     fn default() -> Self {
         Self {
-            width_ms: FIRST_WIDTH_MS,
+            width_ms: INITIAL_WIDTH_MS,
             buckets: BTreeMap::new(),
         }
     }
 }
 
 impl Timeline {
-    /// Adds what happened at a moment.
+    /// Adds the counts of a line written at `at_ms`.
     pub(crate) fn add(&mut self, at_ms: u64, counts: Counts) {
         let bucket = self.buckets.entry(at_ms / self.width_ms).or_default();
         *bucket += counts;
@@ -68,12 +68,12 @@
         }
     }
 
-    /// The width of a bucket, in milliseconds.
+    /// Returns the width of a bucket, in milliseconds.
     pub fn width_ms(&self) -> u64 {
         self.width_ms
     }
 
-    /// The buckets in order of time; moments at which nothing was logged have none.
+    /// Returns the buckets in order of time, without empty ones.
     pub fn buckets(&self) -> impl Iterator<Item = Bucket> {
         self.buckets.iter().map(|(at, counts)| Bucket {
             from_ms: at * self.width_ms,
--- a/crates/log-report/src/tree.rs
+++ b/crates/log-report/src/tree.rs
@@ -1,64 +1,64 @@
-//! The tree of followers: whom each daemon followed at any moment, by its lines.
+//! Reconstructs from the logs which daemon each daemon followed at any time.
 //!
-//! Owns every change of an upstream (event 1208) and the peer address of each process (1001), and
-//! nothing else: memory grows with these lines alone. Moments are those of the VMs' own clocks, so that
-//! a circle of a few milliseconds may be a difference between two clocks.
+//! Owns every change of an upstream (event 1208) and the peer address of each process (event 1001);
+//! memory grows with these lines only. Times are those of the VMs' own clocks, so that a cycle of a
+//! few milliseconds may be a difference between two clocks.
 
 use crate::line::LogLine;
 use bridgevane_events::Event;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What `upstream` says of a daemon that asks the control source itself.
+/// The value of `upstream` for a daemon that polls the control source itself.
 const SOURCE: &str = "source";
-/// The name of what a line doesn't say.
+/// The name for a value that a line doesn't contain.
 const NOT_SAID: &str = "(not said)";
 
-/// One daemon's changes.
+/// The changes of one daemon's upstream.
 #[derive(Clone, Debug, Default)]
 struct Daemon {
     data_centre: String,
-    /// Its upstreams and since when, in milliseconds since 1970; sorted once all lines are in.
+    /// Its upstreams and the times since which it followed them, in Unix milliseconds and sorted.
     upstreams: Vec<(u64, String)>,
 }
 
-/// Whom daemons followed over time.
+/// The upstreams of all daemons over time.
 #[derive(Clone, Debug, Default)]
 pub struct TreeHistory {
     daemons: BTreeMap<String, Daemon>,
     vm_by_peer_address: BTreeMap<String, String>,
 }
 
-/// The daemons of one data centre at one moment.
+/// The daemons of one data centre at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TreeRow {
     /// The data centre.
     pub data_centre: String,
-    /// Daemons that had an upstream.
+    /// The number of daemons with an upstream.
     pub daemons: usize,
-    /// Those that asked the control source.
+    /// The number of daemons that polled the control source.
     pub at_source: usize,
-    /// Levels from the source down to the deepest one that reached it.
+    /// The number of levels from the source down to the deepest daemon that is connected to it.
     pub depth: usize,
-    /// Daemons that followed each other in a circle.
+    /// The number of daemons that followed each other in a cycle.
     pub in_circles: usize,
-    /// Daemons that followed one in a circle, directly or not.
+    /// The number of daemons that followed a daemon in a cycle, directly or not.
     pub below_circles: usize,
-    /// Daemons whose upstream's address stands in no line.
+    /// The number of daemons whose upstream isn't in the logs.
     pub unknown: usize,
 }
 
-/// Where a daemon's way leads.
+/// Where the path of upstreams from a daemon ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum PathEnd {
     Depth(usize),
-    InCircle,
-    BelowCircle,
+    InCycle,
+    BelowCycle,
     Unknown,
 }
 
 impl TreeHistory {
-    /// Takes a line in, if it says where a daemon is or whom it follows.
+    /// Adds a line if it contains a daemon's address or upstream.
     pub fn add(&mut self, line: &LogLine<'_>) {
         let Some(vm) = line.vm.as_deref() else {
             return;
@@ -73,7 +73,7 @@
                 let data_centre = line.data_centre.as_deref().unwrap_or(NOT_SAID);
                 data_centre.clone_into(&mut daemon.data_centre);
                 let change = (line.at_ms, upstream.clone().into_owned());
-                // Lines of one daemon come in order, but for those of several files.
+                // The lines of one daemon are in order, unless they come from several files.
                 let after = daemon
                     .upstreams
                     .partition_point(|(at, _)| *at <= line.at_ms);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The first and the last moment of which a line tells.
+    /// Returns the times of the first and the last change.
     pub fn span_ms(&self) -> Option<(u64, u64)> {
         let changes = || self.daemons.values().flat_map(|daemon| &daemon.upstreams);
         let first = changes().map(|(at, _)| *at).min()?;
@@ -91,7 +91,7 @@
         Some((first, last))
     }
 
-    /// The tree at a moment, a row for each data centre.
+    /// Returns the tree at a time, with one row per data centre.
     pub fn at(&self, at_ms: u64) -> Vec<TreeRow> {
         let upstreams = self.upstreams_at(at_ms);
         let mut rows: BTreeMap<&str, TreeRow> = BTreeMap::new();
@@ -103,21 +103,21 @@
             });
             row.daemons += 1;
             row.at_source += usize::from(*upstream == SOURCE);
-            match self.place(vm, &upstreams) {
-                Place::Depth(depth) => row.depth = row.depth.max(depth),
-                Place::InCircle => row.in_circles += 1,
-                Place::BelowCircle => row.below_circles += 1,
-                Place::Unknown => row.unknown += 1,
+            match self.path_end(vm, &upstreams) {
+                PathEnd::Depth(depth) => row.depth = row.depth.max(depth),
+                PathEnd::InCycle => row.in_circles += 1,
+                PathEnd::BelowCycle => row.below_circles += 1,
+                PathEnd::Unknown => row.unknown += 1,
             }
         }
         rows.into_values().collect()
     }
 
-    /// The upstream of each daemon that had one.
+    /// Returns the upstream of each daemon that had one.
     fn upstreams_at(&self, at_ms: u64) -> BTreeMap<&str, &str> {
         let upstream_at = |daemon: &'_ Daemon| {
-            let since = daemon.upstreams.partition_point(|(at, _)| *at <= at_ms);
-            since.checked_sub(1)
+            let changes = daemon.upstreams.partition_point(|(at, _)| *at <= at_ms);
+            changes.checked_sub(1)
         };
         let current = self.daemons.iter().filter_map(|(vm, daemon)| {
             let (_, upstream) = &daemon.upstreams[upstream_at(daemon)?];
@@ -126,24 +126,24 @@
         current.collect()
     }
 
-    fn place(&self, start: &str, upstreams: &BTreeMap<&str, &str>) -> Place {
-        let mut seen = BTreeSet::new();
+    fn path_end(&self, start: &str, upstreams: &BTreeMap<&str, &str>) -> PathEnd {
+        let mut visited = BTreeSet::new();
         let mut vm = start;
         loop {
-            if !seen.insert(vm) {
+            if !visited.insert(vm) {
                 return if vm == start {
-                    Place::InCircle
+                    PathEnd::InCycle
                 } else {
-                    Place::BelowCircle
+                    PathEnd::BelowCycle
                 };
             }
             match upstreams.get(vm) {
-                Some(upstream) if *upstream == SOURCE => return Place::Depth(seen.len()),
+                Some(upstream) if *upstream == SOURCE => return PathEnd::Depth(visited.len()),
                 Some(upstream) => match self.vm_by_peer_address.get(*upstream) {
                     Some(next) => vm = next,
-                    None => return Place::Unknown,
+                    None => return PathEnd::Unknown,
                 },
-                None => return Place::Unknown,
+                None => return PathEnd::Unknown,
             }
         }
     }
--- a/crates/log-report/tests/report.rs
+++ b/crates/log-report/tests/report.rs
@@ -1,8 +1,8 @@
-//! What logs say, also of logs that are cut, mixed or of another version.
+//! Tests reports on logs, including logs that are cut, mixed or of another version.
 
 use bridgevane_log_report::{Dimension, LogReader, ReadCounts, RequestLife, Summary, timeline_svg};
 
-/// A line of the gateway, with the fields that all lines have.
+/// Returns a line of the gateway with the fields that all lines have.
 fn line(second: u64, vm: &str, event: u32, fields: &str) -> String {
     format!(
         r#"{{"at":"2026-12-02T16:00:{second:02}.250Z","level":"INFO","text":"t","vm":"{vm}","data_centre":"dc-{vm}","event":{event},{fields}}}"#
@@ -41,12 +41,14 @@
     let mut summary = Summary::default();
     let mut reader = LogReader::default();
     let done = reader.read(text.as_bytes(), |line, _| summary.add(&line));
-    done.expect("it is in memory");
+    done.expect("reading from memory succeeds");
     (summary, reader.counts().clone())
 }
 
+/// Granted and denied retries must be added up over the daemons of a fleet, because its retry
+/// budget is shared.
 #[test]
-fn retries_of_a_fleet_are_counted_by_service_vm_and_second() {
+fn retries_are_counted_by_service_vm_and_second() {
     let text = [
         retry(1, "r1", true),
         retry(1, "r2", true),
@@ -72,6 +74,8 @@
     assert_eq!(by_second, [(2, 0), (0, 1)]);
 }
 
+/// Only one plain success in sixteen is logged, so that the estimate must multiply these and no
+/// others.
 #[test]
 fn requests_are_counted_by_reason_endpoint_customer_and_data_centre() {
     let text = [
@@ -91,20 +95,26 @@
         (total.refused, total.failed_attempts, total.resent),
         (3, 2, 1)
     );
-    // A plain success stands for sixteen; one after a retry for itself.
+    // A plain success represents sixteen; a success after a retry represents itself.
     assert_eq!(total.served_estimate, 17);
-    let of = |dimension, name: &str| {
+    let row_of = |dimension, name: &str| {
         let rows = summary.rows(dimension);
         let row = rows.into_iter().find(|row| row.name == name);
         row.unwrap_or_else(|| panic!("{name} has a row"))
     };
-    assert_eq!(of(Dimension::Reason, "not_ready").counts.refused, 2);
-    assert_eq!(of(Dimension::Reason, "broken").counts.failed_attempts, 2);
-    assert_eq!(of(Dimension::Endpoint, "i-2").counts.failed_attempts, 1);
-    assert_eq!(of(Dimension::Customer, "c-1").counts.refused, 3);
-    assert_eq!(of(Dimension::DataCentre, "dc-b").counts.failed_attempts, 2);
-    assert_eq!(of(Dimension::Vm, "a").counts.refused, 3);
-    let queues = of(Dimension::Endpoint, "i-1");
+    assert_eq!(row_of(Dimension::Reason, "not_ready").counts.refused, 2);
+    assert_eq!(
+        row_of(Dimension::Reason, "broken").counts.failed_attempts,
+        2
+    );
+    assert_eq!(row_of(Dimension::Endpoint, "i-2").counts.failed_attempts, 1);
+    assert_eq!(row_of(Dimension::Customer, "c-1").counts.refused, 3);
+    assert_eq!(
+        row_of(Dimension::DataCentre, "dc-b").counts.failed_attempts,
+        2
+    );
+    assert_eq!(row_of(Dimension::Vm, "a").counts.refused, 3);
+    let queues = row_of(Dimension::Endpoint, "i-1");
     assert_eq!(
         (queues.queue_p50_ms, queues.queue_p99_ms),
         (Some(10), Some(40))
@@ -115,12 +125,14 @@
         .map(|bucket| bucket.counts.refused)
         .collect();
     assert_eq!(by_second, [2, 1, 0]);
-    let svg = timeline_svg(summary.timeline()).expect("it can be drawn");
+    let svg = timeline_svg(summary.timeline()).expect("the plot is drawn");
     assert!(svg.starts_with("<svg") && svg.contains("refused"), "{svg}");
 }
 
+/// Lines of other programs, cut lines, unknown events and dropped lines must be counted: a report
+/// that skipped them silently would look complete.
 #[test]
-fn what_cannot_be_read_is_counted_and_shown() {
+fn unreadable_lines_are_counted_and_the_first_is_kept() {
     let whole = refused(1, "r1", "overloaded");
     let cut = &whole[..whole.len() / 2];
     let text = [
@@ -134,7 +146,7 @@
     ]
     .join("\n");
     let (summary, read) = read(&text);
-    assert_eq!(read.events, 1, "behind the prefix of whoever gathered it");
+    assert_eq!(read.events, 1, "an event after a log collector's prefix");
     assert_eq!(summary.total().counts.refused, 1);
     let unread = (read.not_json, read.no_event, read.unknown_events);
     assert_eq!(unread, (2, 1, 1));
@@ -143,19 +155,23 @@
     assert!(first.starts_with("thread 'main'"), "{first}");
 }
 
+/// A file without line ends must not fill the memory, and the lines after a too long one must be
+/// read.
 #[test]
-fn a_line_that_never_ends_fills_no_memory() {
-    let endless = format!(
+fn a_too_long_line_is_counted_as_unreadable() {
+    let text = format!(
         "{{{}\n{}",
         "x".repeat(1 << 20),
         refused(1, "r1", "not_ready")
     );
-    let (summary, read) = read(&endless);
+    let (summary, read) = read(&text);
     assert_eq!((read.not_json, summary.total().counts.refused), (1, 1));
 }
 
+/// The memory of a report must stay bounded for long logs and for many endpoints, without losing
+/// counts.
 #[test]
-fn long_logs_get_coarser_steps_and_many_endpoints_one_row() {
+fn long_logs_get_wider_buckets_and_many_endpoints_share_a_row() {
     let mut text = String::new();
     for minute in 0..4_000_u64 {
         let (day, hour, minute_of) = (1 + minute / 1_440, minute / 60 % 24, minute % 60);
@@ -170,12 +186,12 @@
     }
     let (summary, _) = read(&text);
     assert!(summary.timeline().buckets().count() <= 3_600);
-    let of_all: u64 = summary
+    let total: u64 = summary
         .timeline()
         .buckets()
         .map(|bucket| bucket.counts.failed_attempts)
         .sum();
-    assert_eq!(of_all, 5_000, "nothing is lost");
+    assert_eq!(total, 5_000, "no count is lost");
     let rows = summary.rows(Dimension::Endpoint);
     assert_eq!(rows.len(), 4_097);
     assert_eq!(
@@ -184,8 +200,9 @@
     );
 }
 
+/// The logs of several daemons are read one after the other, and other requests' lines are between.
 #[test]
-fn the_life_of_a_request_is_gathered_over_all_daemons_in_order_of_time() {
+fn lines_of_a_request_are_collected_from_all_daemons_in_order_of_time() {
     let one = [
         failed(5, "r1", "i-2", "yes"),
         failed(5, "other", "i-2", "yes"),
@@ -194,32 +211,34 @@
         failed(3, "r1", "i-1", "yes"),
         refused(7, "r1", "overloaded"),
     ];
-    let mut life = RequestLife::new("r1");
+    let mut history = RequestLife::new("r1");
     let mut reader = LogReader::default();
     for log in [one, two] {
         let text = log.join("\n");
-        let done = reader.read(text.as_bytes(), |line, text| life.add(&line, text));
-        done.expect("it is in memory");
+        let done = reader.read(text.as_bytes(), |line, text| history.add(&line, text));
+        done.expect("reading from memory succeeds");
     }
-    let lines = life.lines();
+    let lines = history.lines();
     let events: Vec<u32> = lines.iter().map(|line| line.event).collect();
     assert_eq!(events, [1308, 1308, 1306]);
     assert!(lines[0].fields.contains(&"endpoint=i-1".to_owned()));
     assert_eq!((lines[0].vm.as_str(), lines[2].vm.as_str()), ("b", "a"));
-    assert_eq!(life.verdict(), "refused: overloaded");
+    assert_eq!(history.verdict(), "refused: overloaded");
     let unknown = RequestLife::new("r9");
     assert!(unknown.verdict().starts_with("no line"));
 }
 
+/// The verdict must name shedding, a resumption and a missing outcome, which the last line alone
+/// doesn't show.
 #[test]
-fn verdicts_say_how_it_ended() {
+fn verdicts_describe_each_outcome() {
     let verdict = |lines: &[String]| {
-        let mut life = RequestLife::new("r1");
+        let mut history = RequestLife::new("r1");
         let text = lines.join("\n");
         let mut reader = LogReader::default();
-        let done = reader.read(text.as_bytes(), |line, text| life.add(&line, text));
-        done.expect("it is in memory");
-        life.verdict()
+        let done = reader.read(text.as_bytes(), |line, text| history.add(&line, text));
+        done.expect("reading from memory succeeds");
+        history.verdict()
     };
     let shed = line(1, "a", 1310, r#""request":"r1","line_ms":"194""#);
     let refusal = refused(1, "r1", "overloaded");
--- a/src/commands/report/logs.rs
+++ b/src/commands/report/logs.rs
@@ -101,7 +101,7 @@
 /// The buckets of time with the most trouble, named by their moment.
 fn worst_moments(summary: &Summary, count: usize) -> Vec<Row> {
     let mut rows: Vec<Row> = summary.timeline().buckets().map(|b| b.as_row()).collect();
-    rows.sort_by_key(|row| std::cmp::Reverse(row.counts.trouble()));
+    rows.sort_by_key(|row| std::cmp::Reverse(row.counts.failures()));
     rows.truncate(count);
     rows.sort_by(|a, b| a.name.cmp(&b.name));
     rows
