--- a/src/commands/ask.rs
+++ b/src/commands/ask.rs
@@ -1,9 +1,9 @@
-//! `bridgevane ask`: operators' statements from the command line.
+//! `bridgevane ask`: sends operators' statements to a daemon.
 
 use crate::commands::operator_client::{
     ClientError, DaemonAnswer, OperatorClient, run_to_exit_code,
 };
-use crate::commands::{exit, say};
+use crate::commands::{exit, print_line};
 use crate::modules::serve::operators::interface::Ask;
 use crate::modules::serve::operators::queries::Answer;
 use crate::modules::serve::operators::row::Row;
@@ -15,9 +15,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Ask a daemon, or tell it to change something. The statement is one argument, such as
+/// Query a daemon, or make a change. The statement is one argument, such as
 /// "show requests where class = booking and age > 2s"; docs/LANGUAGE.md has the grammar.
-/// The token comes from BRIDGEVANE_OPERATOR_TOKEN.
+/// The token is read from BRIDGEVANE_OPERATOR_TOKEN.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "ask")]
 pub struct AskArguments {
@@ -27,27 +27,27 @@
     /// the daemon's address for operators
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8081))")]
     at: SocketAddr,
-    /// the operator's token; better given by the variable
+    /// the operator's token; prefer the environment variable
     #[argh(option)]
     token: Option<String>,
-    /// propose this configuration file in place of a statement
+    /// propose this configuration file instead of a statement
     #[argh(option)]
     propose: Option<PathBuf>,
-    /// the version that the proposed file was made on; the one in force unless given
+    /// the version on which the proposed file is based (default: the version in force)
     #[argh(option)]
     base: Option<u64>,
     /// print the configuration in force as TOML
     #[argh(switch)]
     print_config: bool,
-    /// the operation's id: give the same one to send the same change again
+    /// the operation's id; repeat it to retry the same change
     #[argh(option)]
     operation: Option<String>,
-    /// print JSON, also on a terminal
+    /// print JSON even on a terminal
     #[argh(switch)]
     json: bool,
 }
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub fn run(arguments: &AskArguments) -> u8 {
     run_to_exit_code(ask(arguments))
 }
@@ -56,12 +56,13 @@
     let client = OperatorClient::new(arguments.at, arguments.token.clone())?;
     if arguments.print_config {
         let answer = client.config().await?;
-        // The daemon always sends it; a later version that doesn't shows nothing.
-        say!("{}", answer.body["document"].as_str().unwrap_or_default());
+        // The daemon always sends the document; if a later version doesn't, an empty line is
+        // printed.
+        print_line!("{}", answer.body["document"].as_str().unwrap_or_default());
         eprintln!("version {}", answer.body["version"]);
-        return Ok(code_of(answer.status));
+        return Ok(exit_code(answer.status));
     }
-    let operation = arguments.operation.clone().unwrap_or_else(new_operation);
+    let operation = arguments.operation.clone().unwrap_or_else(new_operation_id);
     let mut ask = Ask {
         statement: arguments.statement.clone(),
         document: None,
@@ -79,12 +80,12 @@
         ask.base_version = Some(base_version(arguments, &client).await?);
     }
     if ask.statement.is_none() && ask.document.is_none() {
-        eprintln!("give a statement, --propose or --print-config");
+        eprintln!("no statement given; give one, or --propose or --print-config");
         return Ok(exit::USAGE);
     }
     let answer = client.ask(&ask).await?;
-    print(&answer, arguments.json, &operation);
-    Ok(code_of(answer.status))
+    print_answer(&answer, arguments.json, &operation);
+    Ok(exit_code(answer.status))
 }
 
 async fn base_version(
@@ -95,15 +96,15 @@
         return Ok(ConfigVersion(base));
     }
     let answer = client.config().await?;
-    // Version 0 is refused as a conflict, so that nothing is overwritten.
+    // The daemon refuses version 0 as a conflict, so that nothing is overwritten.
     Ok(ConfigVersion(answer.body["version"].as_u64().unwrap_or(0)))
 }
 
-fn new_operation() -> String {
+fn new_operation_id() -> String {
     format!("op-{:016x}", rand::random::<u64>())
 }
 
-fn code_of(status: u16) -> u8 {
+fn exit_code(status: u16) -> u8 {
     match status {
         200..=299 => exit::OK,
         409 => exit::NEGATIVE,
@@ -112,9 +113,9 @@
     }
 }
 
-fn print(answer: &DaemonAnswer, is_json: bool, operation: &str) {
+fn print_answer(answer: &DaemonAnswer, is_json: bool, operation: &str) {
     if is_json || !std::io::stdout().is_terminal() {
-        say!("{}", answer.body);
+        print_line!("{}", answer.body);
         return;
     }
     if let Some(error) = answer.body["error"].as_str() {
@@ -123,19 +124,19 @@
     }
     match serde_json::from_value::<Answer>(answer.body.clone()) {
         Ok(rows) => print_rows(&rows),
-        Err(_) => say!("{}  (operation {operation})", answer.body),
+        Err(_) => print_line!("{}  (operation {operation})", answer.body),
     }
 }
 
 fn print_rows(answer: &Answer) {
-    say!("{}", table(&answer.rows));
+    print_line!("{}", table(&answer.rows));
     if !answer.missing.is_empty() {
         let names: Vec<&str> = answer.missing.iter().map(|vm| vm.as_str()).collect();
-        eprintln!("a part only: no answer from {}", names.join(", "));
+        eprintln!("incomplete: no answer from {}", names.join(", "));
     }
 }
 
-/// Rows as a table.
+/// Formats rows as a table.
 pub fn table(rows: &[Row]) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::UTF8_HORIZONTAL_ONLY);
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,12 +1,12 @@
-//! `bridgevane check`: proves a configuration file before it is proposed.
+//! `bridgevane check`: checks a configuration file before it is proposed.
 
-use crate::commands::{exit, say};
+use crate::commands::{exit, print_line};
 use crate::modules::serve::configuration::in_force::key_digest;
 use argh::FromArgs;
 use bridgevane_config::Document;
 use std::path::PathBuf;
 
-/// Check a configuration file: every error at once, with its place and what would be right.
+/// Check a configuration file and print all errors with their positions and a correct form.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckArguments {
@@ -18,13 +18,13 @@
     digest: bool,
 }
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub fn run(arguments: &CheckArguments) -> u8 {
     if arguments.digest {
         return print_digest();
     }
     let Some(file) = &arguments.file else {
-        eprintln!("give a configuration file, or --digest");
+        eprintln!("no configuration file given; give one, or --digest");
         return exit::USAGE;
     };
     let text = match std::fs::read_to_string(file) {
@@ -36,7 +36,7 @@
     };
     match Document::parse(&text) {
         Ok(document) => {
-            say!(
+            print_line!(
                 "ok: {} classes, {} customers, {} kinds, {} services",
                 document.class.len(),
                 document.customer.len(),
@@ -58,6 +58,6 @@
         eprintln!("{error}");
         return exit::USAGE;
     }
-    say!("{}", key_digest(key.trim()));
+    print_line!("{}", key_digest(key.trim()));
     exit::OK
 }
--- a/src/commands/demo/load.rs
+++ b/src/commands/demo/load.rs
@@ -1,6 +1,6 @@
-//! The demo's load: an open loop of seeded arrivals through the real HTTP path.
+//! The demo's load: seeded arrivals in an open loop over the real HTTP path.
 
-use super::stage::Stage;
+use super::stage::DemoSystem;
 use super::{DemoArguments, User};
 use bridgevane_adapters::HttpClient;
 use bridgevane_standins::{answer_length, token_text};
@@ -13,43 +13,43 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// One kind of request in the mix.
-struct Part {
+/// One kind of request in the mixed load.
+struct LoadPart {
     kind: &'static str,
     customers: &'static [&'static str],
-    /// Part of all requests.
-    part: f64,
-    /// Characters of the prompt, from and to.
+    /// The share of all requests.
+    share: f64,
+    /// The minimum and maximum number of characters of a prompt.
     prompt_chars: (usize, usize),
-    /// Characters that requests of one subject share.
+    /// The length of the prefix that requests of one subject share, in characters.
     shared_chars: usize,
     median_tokens: f64,
     sigma: f64,
 }
 
-const RAVATON: [Part; 3] = [
-    Part {
+const RAVATON: [LoadPart; 3] = [
+    LoadPart {
         kind: "question",
         customers: &["port-louis-school", "curepipe-school", "rose-hill-school"],
-        part: 0.5,
+        share: 0.5,
         prompt_chars: (800, 2_400),
         shared_chars: 0,
         median_tokens: 60.0,
         sigma: 0.7,
     },
-    Part {
+    LoadPart {
         kind: "report",
         customers: &["reports-desk", "port-louis-school"],
-        part: 0.2,
+        share: 0.2,
         prompt_chars: (8_000, 24_000),
         shared_chars: 7_680,
         median_tokens: 220.0,
         sigma: 0.9,
     },
-    Part {
+    LoadPart {
         kind: "plan",
         customers: &["grand-bay-studio", "mahebourg-studio", "flacq-studio"],
-        part: 0.3,
+        share: 0.3,
         prompt_chars: (800, 2_400),
         shared_chars: 0,
         median_tokens: 150.0,
@@ -57,17 +57,17 @@
     },
 ];
 
-const SOLCATA: [Part; 3] = [
-    Part {
+const SOLCATA: [LoadPart; 3] = [
+    LoadPart {
         kind: "fault",
         customers: &["lodi-workshop", "piacenza-workshop"],
-        part: 0.25,
+        share: 0.25,
         prompt_chars: (1_600, 4_800),
         shared_chars: 1_280,
         median_tokens: 90.0,
         sigma: 0.7,
     },
-    Part {
+    LoadPart {
         kind: "query",
         customers: &[
             "cremona-dealer",
@@ -75,16 +75,16 @@
             "parma-dealer",
             "head-office",
         ],
-        part: 0.45,
+        share: 0.45,
         prompt_chars: (1_600, 4_800),
         shared_chars: 1_280,
         median_tokens: 90.0,
         sigma: 0.7,
     },
-    Part {
+    LoadPart {
         kind: "note",
         customers: &["pavia-agronomist", "ferrara-agronomist"],
-        part: 0.3,
+        share: 0.3,
         prompt_chars: (1_600, 4_800),
         shared_chars: 1_280,
         median_tokens: 140.0,
@@ -92,41 +92,45 @@
     },
 ];
 
-/// Plain calls for each model request.
-const PLAIN_PART: f64 = 0.5;
-/// A step of a stand-in engine with every slot in use.
+/// The number of plain calls per model request.
+const PLAIN_RATIO: f64 = 0.5;
+/// The duration of a step of a stand-in engine whose slots are all in use.
 const FULL_STEP_MS: f64 = 32.8;
-/// Characters that a stand-in engine processes in a millisecond.
+/// The number of prompt characters that a stand-in engine processes per millisecond.
 const PREFILL_CHARS_PER_MS: f64 = 32.0;
-/// The longest answer.
+/// The maximum length of an answer.
 const MAX_TOKENS: u64 = 512;
 
-/// How one request ended, as its caller saw it.
+/// The result of one request from its caller's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallerResult {
-    /// The answer is whole.
-    Whole {
+    /// The answer is complete.
+    Complete {
         first_token_ms: u64,
-        whole_ms: u64,
+        total_ms: u64,
         tokens: u64,
     },
-    /// Refused before anything came.
+    /// The request was refused before any part of an answer arrived.
     Refused,
-    /// Broken off.
+    /// The answer broke off.
     Cut,
-    /// Not the answer to its own request.
+    /// The answer isn't the one to this request.
     Wrong,
 }
 
-/// One request's end.
+/// A finished request.
 #[derive(Clone, Debug)]
-pub(super) struct Ended {
+pub(super) struct FinishedCall {
     pub(super) class: ClassName,
     pub(super) result: CallerResult,
 }
 
-/// Sends the load and gathers how each request ended.
-pub(super) async fn run(stage: &Stage, arguments: &DemoArguments, bar: &ProgressBar) -> Vec<Ended> {
+/// Sends the load and returns the result of each request.
+pub(super) async fn run(
+    system: &DemoSystem,
+    arguments: &DemoArguments,
+    bar: &ProgressBar,
+) -> Vec<FinishedCall> {
     let parts = match arguments.user {
         User::Ravaton => &RAVATON,
         User::Solcata => &SOLCATA,
@@ -134,17 +138,17 @@
     let mut rng = Pcg64Mcg::seed_from_u64(arguments.seed);
     let service_ms: f64 = parts
         .iter()
-        .map(|part| part.part * part.mean_service_ms())
+        .map(|part| part.share * part.mean_service_ms())
         .sum();
-    let rate_per_ms = arguments.load * stage.slots() / service_ms;
-    let client = HttpClient::new(stage.context.config.caller_address);
+    let rate_per_ms = arguments.load * system.slots() / service_ms;
+    let client = HttpClient::new(system.context.config.caller_address);
     let mut calls = JoinSet::new();
     let started = Instant::now();
     let duration_ms = arguments.seconds as f64 * 1000.0;
     let mut now_ms = 0.0;
     let mut count = 0u64;
     loop {
-        now_ms += -(1.0 - rng.random::<f64>()).ln() / (rate_per_ms * (1.0 + PLAIN_PART));
+        now_ms += -(1.0 - rng.random::<f64>()).ln() / (rate_per_ms * (1.0 + PLAIN_RATIO));
         if now_ms >= duration_ms {
             break;
         }
@@ -153,29 +157,32 @@
         bar.set_position(now_ms as u64 / 1000);
         bar.set_message(format!("{count} requests"));
         count += 1;
-        if rng.random_bool(PLAIN_PART / (1.0 + PLAIN_PART)) {
-            calls.spawn(plain_call(client.clone(), plain(stage, &mut rng, count)));
+        if rng.random_bool(PLAIN_RATIO / (1.0 + PLAIN_RATIO)) {
+            calls.spawn(plain_call(
+                client.clone(),
+                new_plain_call(system, &mut rng, count),
+            ));
         } else {
             let part = pick(parts, &mut rng);
-            calls.spawn(model_call(client.clone(), part.call(stage, &mut rng)));
+            calls.spawn(model_call(client.clone(), part.call(system, &mut rng)));
         }
     }
-    bar.set_message("answers end");
-    let mut ended = Vec::new();
+    bar.set_message("waiting for the last answers");
+    let mut finished = Vec::new();
     while let Some(call) = calls.join_next().await {
-        // A call that panicked would be a fault of the demo itself.
-        ended.extend(call.ok());
+        // A call that panics is a bug in the demo itself.
+        finished.extend(call.ok());
     }
-    ended
+    finished
 }
 
-fn pick<'a>(parts: &'a [Part], rng: &mut Pcg64Mcg) -> &'a Part {
+fn pick<'a>(parts: &'a [LoadPart], rng: &mut Pcg64Mcg) -> &'a LoadPart {
     let mut at = rng.random::<f64>();
     for part in parts {
-        if at < part.part {
+        if at < part.share {
             return part;
         }
-        at -= part.part;
+        at -= part.share;
     }
     &parts[parts.len() - 1]
 }
@@ -188,23 +195,23 @@
     prompt: String,
 }
 
-impl Part {
+impl LoadPart {
     fn mean_service_ms(&self) -> f64 {
         let tokens = self.median_tokens * (self.sigma * self.sigma / 2.0).exp();
         let chars = (self.prompt_chars.0 + self.prompt_chars.1) as f64 / 2.0;
         tokens * FULL_STEP_MS + chars / PREFILL_CHARS_PER_MS
     }
 
-    fn call(&self, stage: &Stage, rng: &mut Pcg64Mcg) -> ModelCall {
+    fn call(&self, system: &DemoSystem, rng: &mut Pcg64Mcg) -> ModelCall {
         let normal = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         let tokens = (self.median_tokens * (self.sigma * normal).exp()) as u64;
         let tokens = tokens.clamp(1, MAX_TOKENS);
         let prompt = self.prompt(rng, tokens);
         let customer = self.customers[rng.random_range(0..self.customers.len())];
         let kind = bridgevane_types::KindName::from(self.kind);
-        let class = stage.document.kind[&kind].class.clone();
+        let class = system.document.kind[&kind].class.clone();
         let body = json!({
-            "model": stage.model,
+            "model": system.model,
             "stream": true,
             "max_tokens": MAX_TOKENS,
             "messages": [{ "role": "user", "content": prompt }],
@@ -212,13 +219,14 @@
         ModelCall {
             class,
             kind: self.kind,
-            key: stage.key_of(customer),
+            key: system.key_of(customer),
             body,
             prompt: format!("user: {prompt}\n"),
         }
     }
 
-    /// A prompt whose beginning a subject's requests share, and which fixes its answer's length.
+    /// Returns a prompt that starts with its subject's shared prefix and determines the answer's
+    /// length.
     fn prompt(&self, rng: &mut Pcg64Mcg, tokens: u64) -> String {
         let subject = rng.random_range(0..40u32);
         let chars = rng.random_range(self.prompt_chars.0..=self.prompt_chars.1);
@@ -235,15 +243,15 @@
     }
 }
 
-async fn model_call(client: HttpClient, call: ModelCall) -> Ended {
+async fn model_call(client: HttpClient, call: ModelCall) -> FinishedCall {
     let result = stream(&client, &call).await.unwrap_or(CallerResult::Cut);
-    Ended {
+    FinishedCall {
         class: call.class,
         result,
     }
 }
 
-/// Sends a call and follows its stream; none: it broke off.
+/// Sends a call and reads its stream. Returns `None` if it broke off.
 async fn stream(client: &HttpClient, call: &ModelCall) -> Option<CallerResult> {
     let request = client
         .request(http::Method::POST, "/v1/chat/completions")
@@ -252,60 +260,60 @@
         .header("content-type", "application/json")
         .body(Full::new(call.body.to_string().into()))
         .ok()?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let response = client.send(request).await.ok()?;
     if response.status() != http::StatusCode::OK {
         return Some(CallerResult::Refused);
     }
     let mut body = response.into_body();
-    let mut follower = Follower::default();
+    let mut reader = EventReader::default();
     let mut first_token_ms = None;
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
-        follower.take(&data);
-        if follower.tokens > 0 {
-            first_token_ms.get_or_insert(begun.elapsed().as_millis() as u64);
+        reader.push(&data);
+        if reader.tokens > 0 {
+            first_token_ms.get_or_insert(started.elapsed().as_millis() as u64);
         }
     }
-    if !follower.is_done {
+    if !reader.is_done {
         return None;
     }
     let length = answer_length(&call.prompt);
     let expected: String = (0..length).map(|at| token_text(&call.prompt, at)).collect();
-    if follower.text != expected {
+    if reader.text != expected {
         return Some(CallerResult::Wrong);
     }
-    let whole_ms = begun.elapsed().as_millis() as u64;
-    Some(CallerResult::Whole {
-        first_token_ms: first_token_ms.unwrap_or(whole_ms),
-        whole_ms,
-        tokens: follower.tokens,
+    let total_ms = started.elapsed().as_millis() as u64;
+    Some(CallerResult::Complete {
+        first_token_ms: first_token_ms.unwrap_or(total_ms),
+        total_ms,
+        tokens: reader.tokens,
     })
 }
 
 /// Reads server-sent events.
 #[derive(Default)]
-struct Follower {
-    rest: Vec<u8>,
+struct EventReader {
+    buffer: Vec<u8>,
     text: String,
     tokens: u64,
     is_done: bool,
 }
 
-impl Follower {
-    fn take(&mut self, data: &[u8]) {
-        self.rest.extend_from_slice(data);
-        while let Some(end) = self.rest.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = self.rest.drain(..=end).collect();
+impl EventReader {
+    fn push(&mut self, data: &[u8]) {
+        self.buffer.extend_from_slice(data);
+        while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.buffer.drain(..=end).collect();
             if let Some(event) = line.strip_prefix(b"data: ") {
-                self.event(event.trim_ascii_end());
+                self.on_event(event.trim_ascii_end());
             }
         }
     }
 
-    fn event(&mut self, event: &[u8]) {
+    fn on_event(&mut self, event: &[u8]) {
         if event == b"[DONE]" {
             self.is_done = true;
             return;
@@ -322,26 +330,26 @@
     class: ClassName,
     path: String,
     key: String,
-    /// Of calls that may not be repeated.
+    /// The idempotency key of a call that may not be repeated.
     idempotency_key: Option<String>,
 }
 
-fn plain(stage: &Stage, rng: &mut Pcg64Mcg, count: u64) -> PlainCall {
-    let service = &stage.document.service[&stage.plain_service];
+fn new_plain_call(system: &DemoSystem, rng: &mut Pcg64Mcg, count: u64) -> PlainCall {
+    let service = &system.document.service[&system.plain_service];
     let route = &service.route[rng.random_range(0..service.route.len())];
     PlainCall {
         class: route.class.clone(),
-        path: format!("/svc/{}{}/{count}", stage.plain_service, route.prefix),
-        key: stage.any_key(),
+        path: format!("/svc/{}{}/{count}", system.plain_service, route.prefix),
+        key: system.any_key(),
         idempotency_key: (!route.repeatable).then(|| format!("demo-{count}")),
     }
 }
 
-/// Sends a plain call twice, as a caller that is unsure does: it must run once.
-async fn plain_call(client: HttpClient, call: PlainCall) -> Ended {
+/// Sends a plain call twice, like a caller that didn't get the first answer; it must run only once.
+async fn plain_call(client: HttpClient, call: PlainCall) -> FinishedCall {
     let mut result = CallerResult::Cut;
     for attempt in 0..2 {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut request = client
             .request(http::Method::POST, &call.path)
             .header("authorization", format!("Bearer {}", call.key));
@@ -353,19 +361,19 @@
         let Ok(response) = client.send(request).await else {
             break;
         };
-        let took_ms = begun.elapsed().as_millis() as u64;
+        let elapsed_ms = started.elapsed().as_millis() as u64;
         if attempt == 0 {
             result = match response.status().is_success() {
-                true => CallerResult::Whole {
-                    first_token_ms: took_ms,
-                    whole_ms: took_ms,
+                true => CallerResult::Complete {
+                    first_token_ms: elapsed_ms,
+                    total_ms: elapsed_ms,
                     tokens: 1,
                 },
                 false => CallerResult::Refused,
             };
         }
     }
-    Ended {
+    FinishedCall {
         class: call.class,
         result,
     }
--- a/src/commands/demo/mod.rs
+++ b/src/commands/demo/mod.rs
@@ -1,52 +1,52 @@
-//! `bridgevane demo`: the daemon before embedded stand-ins, under a seeded mixed load.
+//! `bridgevane demo`: runs the daemon with embedded stand-ins under a seeded mixed load.
 
 mod load;
 mod results;
 mod stage;
 
-use crate::commands::{block_on, exit, say};
+use crate::commands::{block_on, exit, print_line};
 use crate::configs::log::{LogConfig, LogFormat};
 use crate::modules::process::logging;
 use argh::FromArgs;
 use derive_more::{Display, Error};
 use indicatif::{ProgressBar, ProgressStyle};
 use results::Results;
-use stage::Stage;
+use stage::DemoSystem;
 use std::io::IsTerminal;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Run the daemon on loopback before embedded stand-ins, send it a seeded mixed load of a
-/// user's classes through the real HTTP path and print what became of it by class. The exit
-/// code is 1 if a promise was broken.
+/// Run the daemon on loopback with embedded stand-ins, send it a seeded mixed load of a user's
+/// classes over the real HTTP path, and print the results by class. The exit code is 1 if a
+/// promise was broken.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub struct DemoArguments {
-    /// ravaton or solcata (default)
+    /// user whose classes are requested: ravaton or solcata (default)
     #[argh(option, default = "User::Solcata")]
     user: User,
-    /// seconds of load
+    /// duration of the load in seconds
     #[argh(option, default = "20")]
     seconds: u64,
-    /// load as a part of the engines' capacity
+    /// load as a fraction of the engines' capacity
     #[argh(option, default = "1.0")]
     load: f64,
-    /// seed of arrivals and lengths
+    /// seed of arrivals, prompts and lengths
     #[argh(option, default = "1")]
     seed: u64,
-    /// none, slow-engine, crash-engine, kv-outage, late-reports or lost-cache-events, from a
-    /// third to two thirds of the time
+    /// fault in the middle third of the time: none, slow-engine, crash-engine, kv-outage,
+    /// late-reports or lost-cache-events
     #[argh(option, default = "FaultKind::None")]
     fault: FaultKind,
-    /// print one JSON object in place of the table
+    /// print one JSON object instead of the table
     #[argh(switch)]
     json: bool,
-    /// keep everything up after the load, for use by hand
+    /// keep everything running after the load, for manual requests
     #[argh(switch)]
     hold: bool,
 }
 
-/// Whose classes are asked for.
+/// The user whose classes are requested.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum User {
     /// Ravaton Lessons.
@@ -57,47 +57,47 @@
     Solcata,
 }
 
-/// What goes wrong for a while.
+/// A fault for the middle third of the time.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Nothing.
+    /// No fault.
     #[display("none")]
     None,
     /// One engine is ten times slower.
     #[display("slow-engine")]
     SlowEngine,
-    /// One engine loses its streams and refuses.
+    /// One engine loses its streams and refuses requests.
     #[display("crash-engine")]
     CrashEngine,
-    /// The platform's service is away.
+    /// The platform's service is unavailable.
     #[display("kv-outage")]
     KvOutage,
     /// Load reports are two seconds old.
     #[display("late-reports")]
     LateReports,
-    /// Cache events get lost.
+    /// Cache events are lost.
     #[display("lost-cache-events")]
     LostCacheEvents,
 }
 
-/// The word names nothing that is known here.
+/// The error for an unknown value of a flag.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("not one of the words that --help lists")]
-pub struct UnknownWord;
+#[display("unknown value; --help lists the valid values")]
+pub struct UnknownValue;
 
 impl FromStr for User {
-    type Err = UnknownWord;
+    type Err = UnknownValue;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         [Self::Ravaton, Self::Solcata]
             .into_iter()
             .find(|user| user.to_string() == text)
-            .ok_or(UnknownWord)
+            .ok_or(UnknownValue)
     }
 }
 
 impl FromStr for FaultKind {
-    type Err = UnknownWord;
+    type Err = UnknownValue;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         const ALL: [FaultKind; 6] = [
@@ -109,11 +109,11 @@
             FaultKind::LostCacheEvents,
         ];
         let found = ALL.into_iter().find(|fault| fault.to_string() == text);
-        found.ok_or(UnknownWord)
+        found.ok_or(UnknownValue)
     }
 }
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub fn run(arguments: &DemoArguments) -> u8 {
     let config = LogConfig {
         format: LogFormat::Text,
@@ -136,29 +136,29 @@
 }
 
 async fn demo(arguments: &DemoArguments) -> Result<u8, stage::StageError> {
-    let stage = Stage::set(arguments.user).await?;
+    let system = DemoSystem::start(arguments.user).await?;
     if !arguments.json {
-        announce(&stage);
+        print_addresses(&system);
     }
-    let bar = progress(arguments);
+    let bar = progress_bar(arguments);
     let fault = tokio::spawn(run_fault(
-        stage.faults(),
+        system.faults(),
         arguments.fault,
         arguments.seconds,
     ));
-    let results = load::run(&stage, arguments, &bar).await;
+    let results = load::run(&system, arguments, &bar).await;
     bar.finish_and_clear();
-    // The fault ends long before the load does.
+    // The fault ends long before the load.
     let _ = fault.await;
-    let results = Results::gather(&stage, arguments, results).await;
+    let results = Results::collect(&system, arguments, results).await;
     if arguments.json {
-        say!("{}", results.json());
+        print_line!("{}", results.json());
     } else {
-        say!("{}", results.table());
+        print_line!("{}", results.table());
     }
     if arguments.hold {
-        say!("held; stop with ctrl-c");
-        // Without a signal handler there is nothing to wait for.
+        print_line!("still running; stop with ctrl-c");
+        // If the signal can't be listened for, the demo ends at once.
         let _ = tokio::signal::ctrl_c().await;
     }
     Ok(if results.broken.is_empty() {
@@ -168,24 +168,24 @@
     })
 }
 
-fn announce(stage: &Stage) {
-    let callers = stage.context.config.caller_address;
-    let operators = stage.context.config.operator_address;
-    say!("callers   http://{callers}");
-    say!(
+fn print_addresses(system: &DemoSystem) {
+    let callers = system.context.config.caller_address;
+    let operators = system.context.config.operator_address;
+    print_line!("callers   http://{callers}");
+    print_line!(
         "operators http://{operators}  (token {})",
         stage::OPERATOR_TOKEN
     );
-    say!("platform  http://{}", stage.platform_address());
-    say!(
+    print_line!("platform  http://{}", system.platform_address());
+    print_line!(
         "try: curl -N http://{callers}/v1/chat/completions -H 'authorization: Bearer {}' \
          -d '{{\"model\":\"{}\",\"stream\":true,\"messages\":[{{\"role\":\"user\",\"content\":\"hello\"}}]}}'",
-        stage.any_key(),
-        stage.model,
+        system.any_key(),
+        system.model,
     );
 }
 
-fn progress(arguments: &DemoArguments) -> ProgressBar {
+fn progress_bar(arguments: &DemoArguments) -> ProgressBar {
     if arguments.json || !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
--- a/src/commands/demo/results.rs
+++ b/src/commands/demo/results.rs
@@ -1,8 +1,8 @@
-//! What became of the demo's load, by class.
+//! The results of the demo's load by class.
 
 use super::DemoArguments;
-use super::load::{CallerResult, Ended};
-use super::stage::Stage;
+use super::load::{CallerResult, FinishedCall};
+use super::stage::DemoSystem;
 use crate::modules::serve::requests::targets::Targets;
 use bridgevane_standins::check_promises;
 use bridgevane_types::{ClassName, DurationMs};
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// One class.
+/// The results of one class.
 #[derive(Clone, Debug, Default, Serialize)]
 struct ClassResult {
     offered: u64,
@@ -23,7 +23,7 @@
     goodput_tps: f64,
 }
 
-/// All classes.
+/// The results of all classes.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Results {
     user: String,
@@ -35,28 +35,28 @@
     goodput_tps: f64,
     wasted_tokens: u64,
     wasted_share: f64,
-    /// Promises that were broken.
+    /// The promises that were broken.
     pub(super) broken: Vec<String>,
 }
 
-/// The time that the daemon's counts are read for.
+/// The window over which the daemon's counts are read.
 const WINDOW: DurationMs = DurationMs(3_600_000);
 
 impl Results {
-    pub(super) async fn gather(
-        stage: &Stage,
+    pub(super) async fn collect(
+        system: &DemoSystem,
         arguments: &DemoArguments,
-        ended: Vec<Ended>,
+        finished: Vec<FinishedCall>,
     ) -> Self {
         let mut classes: BTreeMap<ClassName, ClassResult> = BTreeMap::new();
         let mut broken = Vec::new();
-        for ended in &ended {
-            count(stage, arguments, ended, &mut classes);
-            if ended.result == CallerResult::Wrong {
-                broken.push(format!("a caller of {} got another answer", ended.class));
+        for call in &finished {
+            count(system, arguments, call, &mut classes);
+            if call.result == CallerResult::Wrong {
+                broken.push(format!("a caller of {} got a wrong answer", call.class));
             }
         }
-        let counts = stage.context.burn.window(stage.context.now(), WINDOW);
+        let counts = system.context.burn.window(system.context.now(), WINDOW);
         let mut wasted_tokens = 0;
         for (name, counts) in &counts {
             wasted_tokens += counts.wasted_tokens;
@@ -65,15 +65,15 @@
         for class in classes.values_mut() {
             class.attainment = class.in_target as f64 / class.offered.max(1) as f64;
         }
-        for key in stage.repeated_keys() {
+        for key in system.repeated_keys() {
             broken.push(format!("the call of key {key} ran more than once"));
         }
-        for (_, pool) in stage.context.pools.all() {
+        for (_, pool) in system.context.pools.all() {
             let decisions = pool.decisions().await;
             let promises = check_promises(&decisions);
             broken.extend(promises.iter().map(ToString::to_string));
         }
-        let computed = stage.computed_tokens().max(1);
+        let computed = system.computed_tokens().max(1);
         Self {
             user: arguments.user.to_string(),
             seed: arguments.seed,
@@ -88,12 +88,12 @@
         }
     }
 
-    /// As one JSON object.
+    /// Formats the results as one JSON object.
     pub(super) fn json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// As a table with a line below.
+    /// Formats the results as a table followed by the totals and broken promises.
     pub(super) fn table(&self) -> String {
         let mut table = Table::new();
         table.load_preset(presets::UTF8_HORIZONTAL_ONLY);
@@ -138,25 +138,25 @@
 }
 
 fn count(
-    stage: &Stage,
+    system: &DemoSystem,
     arguments: &DemoArguments,
-    ended: &Ended,
+    call: &FinishedCall,
     classes: &mut BTreeMap<ClassName, ClassResult>,
 ) {
-    let class = classes.entry(ended.class.clone()).or_default();
+    let class = classes.entry(call.class.clone()).or_default();
     class.offered += 1;
-    match ended.result {
-        CallerResult::Whole {
+    match call.result {
+        CallerResult::Complete {
             first_token_ms,
-            whole_ms,
+            total_ms,
             tokens,
         } => {
-            let config = &stage.document.class[&ended.class];
+            let config = &system.document.class[&call.class];
             let targets = Targets {
                 first_token_ms: config.first_token_target_ms,
                 between_tokens_ms: config.between_tokens_target_ms,
             };
-            if targets.are_met(first_token_ms, whole_ms, tokens) {
+            if targets.are_met(first_token_ms, total_ms, tokens) {
                 class.in_target += 1;
                 class.goodput_tps += tokens as f64 / arguments.seconds.max(1) as f64;
             } else {
--- a/src/commands/demo/stage.rs
+++ b/src/commands/demo/stage.rs
@@ -1,4 +1,4 @@
-//! The demo's daemon and stand-ins, in one process on loopback.
+//! Starts the demo's daemon and stand-ins in one process on loopback.
 
 use super::{FaultKind, User};
 use crate::commands::serve;
@@ -22,17 +22,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The demo operator's token.
+/// The token of the demo's operator.
 pub(super) const OPERATOR_TOKEN: &str = "demo-operator-token";
-/// The customers' keys are these with the customer's name.
+/// The prefix of the customers' keys; the customer's name follows it.
 const KEY_PREFIX: &str = "key-of-";
-/// The one data centre that all engines stand in.
+/// The data centre of all engines.
 const DATA_CENTRE: &str = "loopback";
 
 const RAVATON: &str = include_str!("../../../examples/ravaton.toml");
 const SOLCATA: &str = include_str!("../../../examples/solcata.toml");
 
-/// Why the demo can't be set up.
+/// The reason why the demo can't be started.
 #[derive(Debug, Display, Error, From)]
 pub enum StageError {
     /// The example configuration has problems.
@@ -49,10 +49,10 @@
     Daemon(std::io::Error),
 }
 
-/// Everything that the demo runs.
-pub(super) struct Stage {
+/// The running daemon and stand-ins.
+pub(super) struct DemoSystem {
     pub(super) context: Arc<Context>,
-    /// Serves as long as the stage stands.
+    /// Keeps the daemon's servers running until this is dropped.
     _servers: Servers,
     pub(super) document: Document,
     pub(super) model: ModelName,
@@ -64,7 +64,7 @@
     served: Vec<Served>,
 }
 
-/// What faults act on.
+/// The stand-ins in which faults are injected.
 pub(super) struct Faults {
     platform: PlatformStandin,
     engines: Vec<EngineStandin>,
@@ -115,8 +115,8 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-impl Stage {
-    pub(super) async fn set(user: User) -> Result<Self, StageError> {
+impl DemoSystem {
+    pub(super) async fn start(user: User) -> Result<Self, StageError> {
         let text = match user {
             User::Ravaton => RAVATON,
             User::Solcata => SOLCATA,
@@ -137,7 +137,7 @@
             }
             for engine in service.engine.values_mut() {
                 let router = if service.kind == ServiceKind::Model {
-                    let standin = EngineStandin::new(settings(engine.slots));
+                    let standin = EngineStandin::new(engine_settings(engine.slots));
                     engines.push(standin.clone());
                     standin.router()
                 } else {
@@ -158,8 +158,8 @@
         platform.put(CONFIG_KEY, &envelope.to_text()?);
         served.push(serve_standin(loopback(), platform.router()).await?);
         let platform_address = served[served.len() - 1].address;
-        let started = serve::start(config(platform_address), Incarnation(1)).await?;
-        let stage = Self {
+        let started = serve::start(serve_config(platform_address), Incarnation(1)).await?;
+        let system = Self {
             context: started.context,
             _servers: started.servers,
             document,
@@ -171,13 +171,13 @@
             plain,
             served,
         };
-        stage.wait_until_ready().await;
-        Ok(stage)
+        system.wait_until_ready().await;
+        Ok(system)
     }
 
     async fn wait_until_ready(&self) {
-        const TRIES: u32 = 500;
-        for _ in 0..TRIES {
+        const MAX_CHECKS: u32 = 500;
+        for _ in 0..MAX_CHECKS {
             if self.context.replica.may_serve() {
                 return;
             }
@@ -196,18 +196,18 @@
         }
     }
 
-    /// The demo key of a customer.
+    /// Returns the key of a customer.
     pub(super) fn key_of(&self, customer: &str) -> String {
         format!("{KEY_PREFIX}{customer}")
     }
 
-    /// The key of some customer.
+    /// Returns the key of the first customer.
     pub(super) fn any_key(&self) -> String {
         let first = self.document.customer.keys().next();
         self.key_of(first.map_or("", |customer| customer.as_str()))
     }
 
-    /// Slots of all engines.
+    /// Returns the total number of slots of all engines.
     pub(super) fn slots(&self) -> f64 {
         let service = &self.document.service[&self.model_service];
         service
@@ -217,14 +217,14 @@
             .sum()
     }
 
-    /// Keys that the plain service ran more than once.
+    /// Returns the idempotency keys whose call the plain service ran more than once.
     pub(super) fn repeated_keys(&self) -> Vec<String> {
         let runs = self.plain.runs_of_key();
         let repeated = runs.into_iter().filter(|(_, count)| *count > 1);
         repeated.map(|(key, _)| key).collect()
     }
 
-    /// Prompt and answer tokens that the engines computed.
+    /// Returns the number of prompt and answer tokens that the engines computed.
     pub(super) fn computed_tokens(&self) -> u64 {
         let computed =
             |engine: &EngineStandin| engine.decoded_tokens().0 + engine.prefilled_tokens().0;
@@ -232,7 +232,7 @@
     }
 }
 
-fn settings(slots: Slots) -> EngineStandinSettings {
+fn engine_settings(slots: Slots) -> EngineStandinSettings {
     EngineStandinSettings {
         spec: EngineSpec {
             slots,
@@ -243,7 +243,7 @@
     }
 }
 
-fn config(platform_address: SocketAddr) -> ServeConfig {
+fn serve_config(platform_address: SocketAddr) -> ServeConfig {
     let operators = [format!("demo:{OPERATOR_TOKEN}")];
     ServeConfig {
         vm: "vm-demo".into(),
--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -1,10 +1,10 @@
 //! `bridgevane gateway`: forwards requests on the users' platform.
 //!
-//! Reads the settings, starts the parts of `bridgevane-gateway` on one thread, and brings them to
-//! an end on the stop signal. Exit code 0 after a planned stop, 2 for settings or addresses that
-//! can't be used.
+//! Reads the settings, starts the parts of `bridgevane-gateway` on one thread, and stops them on
+//! the stop signal. The exit code is 0 after a planned stop, and 2 for invalid settings or
+//! addresses that can't be used.
 
-use crate::commands::{exit, say};
+use crate::commands::{exit, print_line};
 use crate::configs::gateway::GatewayConfig;
 use crate::configs::settings_reader::setting_source;
 use crate::modules::process::http_serve;
@@ -22,92 +22,93 @@
 use bridgevane_platform::{DutyApi, LeaseStore, Store, header_names};
 use std::time::Duration;
 
-/// How long a connection to the store may take to come up. Not measured, chosen because a store
-/// that takes longer is as good as away, and other daemons are asked meanwhile.
+/// The timeout for opening a connection to the store: a store that takes longer is treated as
+/// unavailable, and other daemons are asked instead.
 const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Forward requests as they came, by the platform's routes, keys and workers. Each flag has an
-/// environment variable: --vm-id is BRIDGEVANE_VM_ID; flags win.
+/// Forward requests unchanged, according to the platform's routes, keys and workers. Each flag has
+/// an environment variable, such as BRIDGEVANE_VM_ID for --vm-id; flags take precedence.
 #[derive(Debug, Default, FromArgs)]
 #[argh(subcommand, name = "gateway")]
 pub struct GatewayArguments {
     /// name of this VM
     #[argh(option)]
     pub vm_id: Option<String>,
-    /// name of its data centre
+    /// data centre of this VM
     #[argh(option)]
     pub data_centre: Option<String>,
-    /// the region of each data centre, as dc-a=region-1 with commas
+    /// region of each data centre, comma-separated, such as dc-a=region-1,dc-b=region-2
     #[argh(option)]
     pub regions: Option<String>,
     /// address for clients, such as 10.0.0.4:8080
     #[argh(option)]
     pub client_address: Option<String>,
-    /// address where the balancer asks whether the daemon is ready; metrics are there, too
+    /// address of the readiness check for the balancer, and of the metrics
     #[argh(option)]
     pub ready_address: Option<String>,
-    /// address where other daemons ask what this one has followed
+    /// address at which other daemons can follow this one
     #[argh(option)]
     pub peer_address: Option<String>,
-    /// peer addresses of daemons that follow the store for the others, with commas
+    /// peer addresses of the daemons that follow the store for the others, comma-separated
     #[argh(option)]
     pub seed_addresses: Option<String>,
     /// address of the platform's store
     #[argh(option)]
     pub store_address: Option<String>,
-    /// milliseconds in which the removal of a key must be in force (default: 5000)
+    /// milliseconds within which the removal of a key must take effect (default: 5000)
     #[argh(option)]
     pub key_removal_ms: Option<String>,
-    /// true (default): a removed key stops working in that time on every VM, and a daemon without
-    /// a proof refuses everything; false: it serves on
+    /// true (default): a removed key stops working within that time on every VM, and a daemon
+    /// without a proof refuses all requests; false: such a daemon keeps serving
     #[argh(option)]
     pub strict_key_removal: Option<String>,
-    /// seconds that a daemon serves on without a proof, where removal isn't strict (default: 21600)
+    /// seconds for which a daemon keeps serving without a proof if key removal isn't strict
+    /// (default: 21600)
     #[argh(option)]
     pub max_stale_s: Option<String>,
-    /// milliseconds in which the leaving of an endpoint must be in force (default: 2000)
+    /// milliseconds within which the leaving of an endpoint must take effect (default: 2000)
     #[argh(option)]
     pub drain_ms: Option<String>,
-    /// the time in which a configuration must be in force, in milliseconds
+    /// milliseconds within which a configuration must take effect (default: 2000)
     #[argh(option)]
     pub config_apply_ms: Option<String>,
-    /// seconds that a stop may take (default: 10)
+    /// maximum duration of a stop in seconds (default: 10)
     #[argh(option)]
     pub stop_s: Option<String>,
-    /// retries for each request, over all daemons (default: 0.2)
+    /// retries per request, over all daemons (default: 0.2)
     #[argh(option)]
     pub retry_ratio: Option<String>,
     /// retries beyond the ratio, over all daemons (default: 12)
     #[argh(option)]
     pub retry_slack: Option<String>,
-    /// seconds of the sliding window of retries (default: 10)
+    /// sliding window of the retries in seconds (default: 10)
     #[argh(option)]
     pub retry_window_s: Option<String>,
-    /// megabytes that the process may take (default: 128)
+    /// memory available to the process in megabytes (default: 128)
     #[argh(option)]
     pub memory_mb: Option<String>,
-    /// address of the platform's interface for duties; without it the fleet has none
+    /// address of the platform's interface for duties; without it, the fleet has no duties
     #[argh(option)]
     pub duty_address: Option<String>,
-    /// duties that the platform has for the fleet, as it names them, with commas
+    /// duties that the platform assigns to the fleet, by the platform's names, comma-separated
     #[argh(option)]
     pub duties: Option<String>,
-    /// milliseconds that the lease of the duties' holder lasts (default: 3000)
+    /// duration of the lease of the duties' holder in milliseconds (default: 3000)
     #[argh(option)]
     pub lease_ms: Option<String>,
-    /// seconds of a window of usage (default: 5)
+    /// length of a usage window in seconds (default: 5)
     #[argh(option)]
     pub usage_window_s: Option<String>,
-    /// seconds after its end by which a window's usage must have been told (default: 10)
+    /// seconds after the end of a window within which its usage must be submitted (default: 10)
     #[argh(option)]
     pub usage_late_s: Option<String>,
-    /// json (default) or text
+    /// log format: json (default) or text
     #[argh(option)]
     pub log_format: Option<String>,
-    /// error, warn, info (default) or debug
+    /// log level: error, warn, info (default) or debug
     #[argh(option)]
     pub log_level: Option<String>,
-    /// print the settings and stop
+    /// print the settings and exit
     #[argh(switch)]
     pub print_settings: bool,
 }
@@ -140,7 +141,7 @@
     log_level,
 );
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub fn run(arguments: &GatewayArguments) -> u8 {
     let config = match GatewayConfig::read(arguments) {
         Ok(config) => config,
@@ -150,7 +151,7 @@
         }
     };
     if arguments.print_settings {
-        say!("{config:#?}");
+        print_line!("{config:#?}");
         return exit::OK;
     }
     let writer = log_writer::start();
@@ -162,7 +163,7 @@
         eprintln!("{error}");
         return exit::USAGE;
     }
-    // One thread: the VMs that this runs on have a part of one core.
+    // One thread is enough, since the VMs have a fraction of a core.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -178,13 +179,13 @@
     code
 }
 
-/// Where other daemons ask this one, for logs.
+/// Returns the address for other daemons as text for the log.
 fn peer_address_text(settings: &GatewaySettings) -> String {
     let address = settings.peer_address;
     address.map_or_else(|| "-".to_owned(), |address| address.to_string())
 }
 
-/// Serves until the stop signal, then until every answer has ended.
+/// Serves until the stop signal, then until every answer is complete.
 async fn serve(config: GatewayConfig) -> Result<(), std::io::Error> {
     let clients = http_serve::listen(config.gateway.client_address).await?;
     let ready_listener = http_serve::listen(config.gateway.ready_address).await?;
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one module a subcommand.
+//! The command line, with one module per subcommand.
 
 pub mod ask;
 pub mod check;
@@ -16,25 +16,26 @@
 use argh::FromArgs;
 use std::process::ExitCode;
 
-/// Prints a line; a reader that went away is no fault of ours.
-macro_rules! say {
+/// Prints a line to standard output and ignores errors, since the reader may have closed it.
+macro_rules! print_line {
     ($($arguments:tt)*) => {{
         use std::io::Write as _;
-        // Nobody reads standard output any more: there is nowhere to say so.
+        // If standard output is closed, the error can't be reported anywhere.
         let _ = writeln!(std::io::stdout(), $($arguments)*);
     }};
 }
-pub(crate) use say;
+pub(crate) use print_line;
 
-/// Exit codes, as docs/CLI.md documents them.
+/// Exit codes. See docs/CLI.md.
 pub mod exit {
-    /// Done. From docs/CLI.md, as the next ones.
+    /// The command succeeded.
     pub const OK: u8 = 0;
-    /// Done, and the answer is no: a broken promise, a refused change. From docs/CLI.md.
+    /// The command was carried out with a negative result, such as a broken promise or a refused
+    /// change.
     pub(crate) const NEGATIVE: u8 = 1;
-    /// Settings, a file or a query are at fault. From docs/CLI.md.
+    /// Settings, a file or a query are invalid.
     pub(crate) const USAGE: u8 = 2;
-    /// The other side can't be reached. From docs/CLI.md.
+    /// The other side can't be reached.
     pub(crate) const UNREACHABLE: u8 = 3;
 }
 
@@ -50,7 +51,7 @@
 
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
-// One value a process: its size doesn't matter.
+// There is one value per process, so that its size doesn't matter.
 #[allow(clippy::large_enum_variant)]
 enum Command {
     Serve(serve::ServeArguments),
@@ -66,14 +67,14 @@
     Standin(standin::StandinArguments),
 }
 
-/// Runs a command.
+/// Runs a command and returns its exit code.
 pub fn run(arguments: Arguments) -> ExitCode {
     if arguments.version {
-        say!("bridgevane {}", env!("CARGO_PKG_VERSION"));
+        print_line!("bridgevane {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::from(exit::OK);
     }
     let Some(command) = arguments.command else {
-        eprintln!("give a command; --help lists them");
+        eprintln!("no command given; --help lists the commands");
         return ExitCode::from(exit::USAGE);
     };
     let code = match command {
@@ -92,7 +93,7 @@
     ExitCode::from(code)
 }
 
-/// Runs a future on a runtime of several threads.
+/// Runs a future on a multi-threaded runtime.
 pub(crate) fn block_on<T>(future: impl Future<Output = T>) -> Result<T, std::io::Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
--- a/src/commands/operator_client.rs
+++ b/src/commands/operator_client.rs
@@ -1,4 +1,4 @@
-//! What `ask` and `report` share: calls of a daemon's operators' interface.
+//! Client for a daemon's operators' interface, shared by `ask` and `report`.
 
 use crate::commands::{block_on, exit};
 use crate::modules::serve::operators::interface::Ask;
@@ -8,27 +8,27 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Why a daemon gave no answer.
+/// The reason why a daemon gave no answer.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ClientError {
     /// No token was given.
-    #[display("give the operator's token by BRIDGEVANE_OPERATOR_TOKEN or --token")]
+    #[display("no operator's token given; set BRIDGEVANE_OPERATOR_TOKEN or --token")]
     NoToken,
     /// The daemon can't be reached.
     #[display("{address}: {source}")]
     #[from(ignore)]
     Unreachable {
-        /// Where it was looked for.
+        /// The address that was called.
         address: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         source: HttpError,
     },
-    /// The answer can't be read.
+    /// The request or the answer can't be encoded or decoded.
     #[display("the answer can't be read")]
     Malformed,
 }
 
-/// Runs a command that asks a daemon; gives its exit code.
+/// Runs a command that calls a daemon and returns its exit code.
 pub(crate) fn run_to_exit_code(command: impl Future<Output = Result<u8, ClientError>>) -> u8 {
     match block_on(command) {
         Ok(Ok(code)) => code,
@@ -49,13 +49,13 @@
 /// A daemon's answer.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct DaemonAnswer {
-    /// HTTP status.
+    /// The HTTP status.
     pub status: u16,
-    /// Body.
+    /// The JSON body.
     pub body: Value,
 }
 
-/// A daemon's operators' interface.
+/// Client for a daemon's operators' interface.
 #[derive(Clone, Debug)]
 pub(crate) struct OperatorClient {
     http: HttpClient,
@@ -63,10 +63,10 @@
 }
 
 impl OperatorClient {
-    /// The interface at `address`; the token comes from the flag or the environment.
+    /// Creates a client for `address`; without a token, it is read from the environment.
     ///
     /// # Errors
-    /// [`ClientError::NoToken`].
+    /// [`ClientError::NoToken`] if there is no token.
     pub fn new(address: SocketAddr, token: Option<String>) -> Result<Self, ClientError> {
         let token = token.or_else(|| std::env::var("BRIDGEVANE_OPERATOR_TOKEN").ok());
         Ok(Self {
@@ -75,10 +75,10 @@
         })
     }
 
-    /// Sends a statement or document.
+    /// Sends a statement or a document.
     ///
     /// # Errors
-    /// [`ClientError`] when there is no answer; a refusal is an answer.
+    /// [`ClientError`] if there is no answer; a refusal counts as an answer.
     pub async fn ask(&self, ask: &Ask) -> Result<DaemonAnswer, ClientError> {
         let body = serde_json::to_vec(ask).map_err(|_| ClientError::Malformed)?;
         self.send(http::Method::POST, "/v1/ask", body).await
@@ -87,7 +87,7 @@
     /// Reads the configuration in force.
     ///
     /// # Errors
-    /// [`ClientError`] when there is no answer.
+    /// [`ClientError`] if there is no answer.
     pub async fn config(&self) -> Result<DaemonAnswer, ClientError> {
         self.send(http::Method::GET, "/v1/config", Vec::new()).await
     }
--- a/src/commands/report/burn.rs
+++ b/src/commands/report/burn.rs
@@ -1,14 +1,14 @@
-//! Service-level burn, on the terminal or as one HTML page.
+//! `bridgevane report`: service-level burn, on the terminal or as one HTML page.
 
 use crate::commands::operator_client::{ClientError, OperatorClient, run_to_exit_code};
 use crate::commands::report::{ReportArguments, burn_page};
-use crate::commands::{ask, exit, say};
+use crate::commands::{ask, exit, print_line};
 use crate::modules::serve::operators::interface::Ask;
 use crate::modules::serve::operators::queries::Answer;
 use crate::modules::serve::operators::row::without_histograms;
 use std::io::IsTerminal;
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub(super) fn run(arguments: &ReportArguments) -> u8 {
     run_to_exit_code(report(arguments))
 }
@@ -23,26 +23,26 @@
     };
     let answer = client.ask(&ask).await?;
     let parsed: Result<Answer, _> = serde_json::from_value(answer.body.clone());
-    let Ok(rows) = parsed else {
+    let Ok(report) = parsed else {
         eprintln!("{}", answer.body);
         return Ok(exit::USAGE);
     };
     if let Some(file) = &arguments.html {
-        if let Err(error) = std::fs::write(file, burn_page::page(&rows)) {
+        if let Err(error) = std::fs::write(file, burn_page::page(&report)) {
             eprintln!("{}: {error}", file.display());
             return Ok(exit::USAGE);
         }
-        say!("{}", file.display());
+        print_line!("{}", file.display());
         return Ok(exit::OK);
     }
     if arguments.json || !std::io::stdout().is_terminal() {
-        say!("{}", answer.body);
+        print_line!("{}", answer.body);
     } else {
-        say!("{}", ask::table(&without_histograms(&rows.rows)));
+        print_line!("{}", ask::table(&without_histograms(&report.rows)));
     }
-    if !rows.missing.is_empty() {
-        let names: Vec<&str> = rows.missing.iter().map(|vm| vm.as_str()).collect();
-        eprintln!("a part only: no answer from {}", names.join(", "));
+    if !report.missing.is_empty() {
+        let names: Vec<&str> = report.missing.iter().map(|vm| vm.as_str()).collect();
+        eprintln!("incomplete: no answer from {}", names.join(", "));
     }
     Ok(exit::OK)
 }
--- a/src/commands/report/burn_page.rs
+++ b/src/commands/report/burn_page.rs
@@ -1,18 +1,18 @@
-//! The report as one HTML page with its plots inside.
+//! The burn report as one HTML page with embedded plots.
 
 use crate::modules::serve::operators::queries::Answer;
 use crate::modules::serve::operators::row::{Row, without_histograms};
 use plotters::prelude::*;
 use serde_json::Value;
 
-/// Size of a plot. Chosen because two plots and a table fit on a screen.
+/// The size of a plot in pixels: two plots and a table fit on a screen.
 const PLOT: (u32, u32) = (760, 280);
 
 const STYLE: &str = "body{font-family:sans-serif;margin:2em;color:#222}\
 table{border-collapse:collapse;font-size:13px}td,th{padding:4px 10px;border-bottom:1px solid #ddd;\
 text-align:right}td:first-child,th:first-child{text-align:left}.part{color:#a00}h2{margin-top:1.6em}";
 
-/// The page.
+/// Returns the HTML page.
 pub(super) fn page(answer: &Answer) -> String {
     let rows = without_histograms(&answer.rows);
     let mut body = String::from("<h1>Service levels</h1>");
@@ -20,7 +20,7 @@
         let names: Vec<&str> = answer.missing.iter().map(|vm| vm.as_str()).collect();
         let names = escape(&names.join(", "));
         body.push_str(&format!(
-            "<p class=part>A part only: no answer from {names}.</p>"
+            "<p class=part>Incomplete: no answer from {names}.</p>"
         ));
     }
     let mut windows: Vec<u64> = rows
@@ -30,16 +30,16 @@
     windows.sort_unstable();
     windows.dedup();
     for window_ms in windows {
-        let of_window: Vec<Row> = rows
+        let window_rows: Vec<Row> = rows
             .iter()
             .filter(|row| number(row, "window_ms") as u64 == window_ms)
             .cloned()
             .collect();
         let minutes = window_ms / 60_000;
         body.push_str(&format!("<h2>Last {minutes} minutes</h2>"));
-        body.push_str(&plot(&of_window, "attainment", 1.0, Some("objective")));
-        body.push_str(&plot(&of_window, "burn", 1.0, None));
-        body.push_str(&table(&of_window));
+        body.push_str(&plot(&window_rows, "attainment", 1.0, Some("objective")));
+        body.push_str(&plot(&window_rows, "burn", 1.0, None));
+        body.push_str(&table(&window_rows));
     }
     format!(
         "<!doctype html><html lang=en><head><meta charset=utf-8><title>Service levels</title>\
@@ -54,7 +54,7 @@
 }
 
 fn number(row: &Row, field: &str) -> f64 {
-    // A field that a row doesn't have is drawn as nothing.
+    // A missing field is drawn as 0.
     row.get(field).and_then(Value::as_f64).unwrap_or(0.0)
 }
 
@@ -71,7 +71,7 @@
         Value::String(text) => escape(text),
         Value::Null => "–".into(),
         Value::Number(number) if number.is_f64() => {
-            // Every JSON number that a daemon sends is a f64.
+            // Every JSON number that a daemon sends fits in an f64.
             format!("{:.3}", number.as_f64().unwrap_or(0.0))
         }
         other => other.to_string(),
@@ -88,20 +88,21 @@
     format!("<table><tr>{head}</tr>{lines}</table>")
 }
 
-/// Bars of one field by class, with a mark at another; nothing when it can't be drawn.
-fn plot(rows: &[Row], field: &str, least_top: f64, mark: Option<&str>) -> String {
+/// Draws one field as a bar per class, with an optional second field as marks. Returns an empty
+/// text if it can't be drawn.
+fn plot(rows: &[Row], field: &str, min_top: f64, mark: Option<&str>) -> String {
     let mut svg = String::new();
-    match draw(&mut svg, rows, field, least_top, mark) {
+    match draw(&mut svg, rows, field, min_top, mark) {
         Ok(()) => svg,
         Err(_) => String::new(),
     }
 }
 
-/// The plot could not be drawn.
+/// The error for a plot that can't be drawn.
 #[derive(Clone, Copy, Debug)]
-struct NotDrawn;
+struct DrawError;
 
-impl<E: std::error::Error + Send + Sync> From<DrawingAreaErrorKind<E>> for NotDrawn {
+impl<E: std::error::Error + Send + Sync> From<DrawingAreaErrorKind<E>> for DrawError {
     fn from(_: DrawingAreaErrorKind<E>) -> Self {
         Self
     }
@@ -111,21 +112,21 @@
     svg: &mut String,
     rows: &[Row],
     field: &str,
-    least_top: f64,
+    min_top: f64,
     mark: Option<&str>,
-) -> Result<(), NotDrawn> {
+) -> Result<(), DrawError> {
     let names: Vec<String> = rows
         .iter()
         .map(|row| {
             row.get("class")
                 .and_then(Value::as_str)
-                // A row without the field gets an empty cell.
+                // A row without a class gets an empty label.
                 .unwrap_or("")
                 .to_owned()
         })
         .collect();
     let values: Vec<f64> = rows.iter().map(|row| number(row, field)).collect();
-    let top = values.iter().copied().fold(least_top, f64::max) * 1.05;
+    let top = values.iter().copied().fold(min_top, f64::max) * 1.05;
     let area = SVGBackend::with_string(svg, PLOT).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -135,7 +136,7 @@
         .y_label_area_size(44)
         .build_cartesian_2d((0..names.len()).into_segmented(), 0.0..top)?;
     let label = |at: &SegmentValue<usize>| match at {
-        // Ticks beyond the last class have no name.
+        // Ticks beyond the last class have no label.
         SegmentValue::CenterOf(at) => names.get(*at).cloned().unwrap_or_default(),
         _ => String::new(),
     };
--- a/src/commands/report/log_files.rs
+++ b/src/commands/report/log_files.rs
@@ -1,4 +1,4 @@
-//! Reads log files, or standard input, one after the other.
+//! Reads log files and standard input, one after the other.
 
 use bridgevane_log_report::{LogLine, LogReader, ReadCounts};
 use derive_more::{Display, Error};
@@ -6,12 +6,12 @@
 use std::io::{self, BufReader};
 use std::path::{Path, PathBuf};
 
-/// The name that stands for standard input.
+/// The file name for standard input.
 const STANDARD_INPUT: &str = "-";
-/// How much is read at once, in bytes. Not measured, chosen because larger ones read no faster.
+/// The size of the read buffer; larger buffers aren't faster.
 const BUFFER_BYTES: usize = 1 << 20;
 
-/// A log that can't be read.
+/// The error for a log that can't be read.
 #[derive(Debug, Display, Error)]
 #[display("{}: {source}", file.display())]
 pub(super) struct LogFileError {
@@ -19,10 +19,10 @@
     source: io::Error,
 }
 
-/// Reads every event of these logs.
+/// Reads all events of the logs.
 ///
 /// # Errors
-/// [`LogFileError`] at the first one that can't be opened, or read to its end.
+/// [`LogFileError`] for the first log that can't be opened or read to its end.
 pub(super) fn read_all(
     files: &[PathBuf],
     mut on_event: impl FnMut(LogLine<'_>, &str),
@@ -49,7 +49,7 @@
     reader.read(log, on_event)
 }
 
-/// What could not be read, in a line; none: everything was.
+/// Describes what couldn't be read, or returns `None` if everything was read.
 pub(super) fn unread_text(counts: &ReadCounts) -> Option<String> {
     if counts.unread() == 0 && counts.dropped_by_daemons == 0 {
         return None;
--- a/src/commands/report/logs.rs
+++ b/src/commands/report/logs.rs
@@ -1,41 +1,41 @@
-//! `bridgevane report logs`: what became of requests, by reason, endpoint and time.
+//! `bridgevane report logs`: counts the outcomes of requests by reason, endpoint and time.
 
 use crate::commands::report::log_files::{LogFileError, read_all, unread_text};
-use crate::commands::{exit, say};
+use crate::commands::{exit, print_line};
 use argh::FromArgs;
 use bridgevane_log_report::{Dimension, ReadCounts, Row, Summary, timeline_svg};
 use comfy_table::{Table, presets};
 use serde_json::json;
 use std::path::PathBuf;
 
-/// Sum up gateways' logs: refusals, failures, retries, resumed streams and queues by reason, route,
-/// customer, endpoint, data centre, VM and second. Lines may be mixed, cut, or stand behind a
-/// prefix; what can't be read is counted.
+/// Summarise gateways' logs: refusals, failures, retries, resumed streams and queues by reason,
+/// route, customer, endpoint, data centre, VM and second. Lines may be mixed, cut or prefixed;
+/// lines that can't be read are counted.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "logs")]
 pub struct LogsArguments {
-    /// log files of one or of all daemons; - is standard input
+    /// log files of one or more daemons; - is standard input
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// print JSON, with every second
+    /// print JSON, including every second
     #[argh(switch)]
     json: bool,
     /// draw requests over time into this file
     #[argh(option)]
     svg: Option<PathBuf>,
-    /// rows of each table (default: 10)
+    /// number of rows per table (default: 10)
     #[argh(option, default = "10")]
     rows: usize,
 }
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub(super) fn run(arguments: &LogsArguments) -> u8 {
     if arguments.files.is_empty() {
-        eprintln!("give the files; - is standard input");
+        eprintln!("no log files given; - is standard input");
         return exit::USAGE;
     }
     let (summary, read) = match summarize(&arguments.files) {
-        Ok(done) => done,
+        Ok(result) => result,
         Err(error) => {
             eprintln!("{error}");
             return exit::USAGE;
@@ -51,12 +51,12 @@
         }
     }
     if arguments.json {
-        say!("{}", as_json(&summary, &read));
+        print_line!("{}", as_json(&summary, &read));
         return exit::OK;
     }
     print_tables(&summary, arguments.rows);
     if let Some(unread) = unread_text(&read) {
-        say!("{unread}");
+        print_line!("{unread}");
     }
     exit::OK
 }
@@ -68,14 +68,14 @@
 }
 
 fn as_json(summary: &Summary, read: &ReadCounts) -> serde_json::Value {
-    let dimension = |of| {
+    let entry = |dimension| {
         (
-            format!("by_{of}").replace(' ', "_"),
-            json!(summary.rows(of)),
+            format!("by_{dimension}").replace(' ', "_"),
+            json!(summary.rows(dimension)),
         )
     };
     let mut report: serde_json::Map<String, serde_json::Value> =
-        Dimension::ALL.into_iter().map(dimension).collect();
+        Dimension::ALL.into_iter().map(entry).collect();
     let buckets: Vec<_> = summary.timeline().buckets().collect();
     report.insert("total".into(), json!(summary.total()));
     report.insert("bucket_ms".into(), json!(summary.timeline().width_ms()));
@@ -85,21 +85,21 @@
 }
 
 fn print_tables(summary: &Summary, rows: usize) {
-    say!("{}", table("all", &[summary.total()], rows));
+    print_line!("{}", table("all", &[summary.total()], rows));
     for dimension in Dimension::ALL {
-        let of_dimension = summary.rows(dimension);
-        say!("{}", table(&dimension.to_string(), &of_dimension, rows));
+        let dimension_rows = summary.rows(dimension);
+        print_line!("{}", table(&dimension.to_string(), &dimension_rows, rows));
     }
-    let worst = worst_moments(summary, rows);
-    say!("{}", table("seconds with most trouble", &worst, rows));
-    say!(
+    let worst = worst_buckets(summary, rows);
+    print_line!("{}", table("seconds with most failures", &worst, rows));
+    print_line!(
         "served is an estimate: plain successes are logged once in 16; shed requests count as \
          refused, too; queues are those expected when a request was sent or shed"
     );
 }
 
-/// The buckets of time with the most trouble, named by their moment.
-fn worst_moments(summary: &Summary, count: usize) -> Vec<Row> {
+/// Returns the time buckets with the most failures, in order of time.
+fn worst_buckets(summary: &Summary, count: usize) -> Vec<Row> {
     let mut rows: Vec<Row> = summary.timeline().buckets().map(|b| b.as_row()).collect();
     rows.sort_by_key(|row| std::cmp::Reverse(row.counts.failures()));
     rows.truncate(count);
--- a/src/commands/report/request.rs
+++ b/src/commands/report/request.rs
@@ -1,18 +1,18 @@
-//! `bridgevane report request`: the life of one request over all daemons.
+//! `bridgevane report request`: the history of one request over all daemons.
 
 use crate::commands::report::log_files::{read_all, unread_text};
-use crate::commands::{exit, say};
+use crate::commands::{exit, print_line};
 use argh::FromArgs;
 use bridgevane_log_report::{RequestLife, RequestLine};
 use serde_json::json;
 use std::path::PathBuf;
 use std::time::{Duration, UNIX_EPOCH};
 
-/// Show what all daemons wrote of one request, in order of time, and what became of it.
+/// Show all daemons' log lines of one request, in order of time, and its outcome.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "request")]
 pub struct RequestArguments {
-    /// the identifier that the client sent
+    /// id that the client sent with the request
     #[argh(positional)]
     id: String,
     /// log files of all daemons; - is standard input
@@ -23,35 +23,35 @@
     json: bool,
 }
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub(super) fn run(arguments: &RequestArguments) -> u8 {
     if arguments.files.is_empty() {
-        eprintln!("give the files; - is standard input");
+        eprintln!("no log files given; - is standard input");
         return exit::USAGE;
     }
-    let mut life = RequestLife::new(&arguments.id);
-    let read = match read_all(&arguments.files, |line, text| life.add(&line, text)) {
+    let mut history = RequestLife::new(&arguments.id);
+    let read = match read_all(&arguments.files, |line, text| history.add(&line, text)) {
         Ok(read) => read,
         Err(error) => {
             eprintln!("{error}");
             return exit::USAGE;
         }
     };
-    let lines = life.lines();
+    let lines = history.lines();
     if arguments.json {
-        let verdict = life.verdict();
-        say!(
+        let verdict = history.verdict();
+        print_line!(
             "{}",
             json!({"lines": lines, "verdict": verdict, "read": read})
         );
     } else {
-        lines.iter().for_each(print_line);
-        if life.left_out() > 0 {
-            say!("… {} more lines", life.left_out());
+        lines.iter().for_each(print_request_line);
+        if history.left_out() > 0 {
+            print_line!("… {} more lines", history.left_out());
         }
-        say!("{}: {}", arguments.id, life.verdict());
+        print_line!("{}: {}", arguments.id, history.verdict());
         if let Some(unread) = unread_text(&read) {
-            say!("{unread}");
+            print_line!("{unread}");
         }
     }
     if lines.is_empty() {
@@ -61,10 +61,10 @@
     }
 }
 
-fn print_line(line: &RequestLine) {
+fn print_request_line(line: &RequestLine) {
     let at = humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(line.at_ms));
     let RequestLine {
         vm, event, text, ..
     } = line;
-    say!("{at} {vm} {event} {text}: {}", line.fields.join(" "));
+    print_line!("{at} {vm} {event} {text}: {}", line.fields.join(" "));
 }
--- a/src/commands/report/tree.rs
+++ b/src/commands/report/tree.rs
@@ -1,7 +1,7 @@
-//! `bridgevane report tree`: who followed whom, by the gateways' logs.
+//! `bridgevane report tree`: the tree of followers over time, from the gateways' logs.
 
 use crate::commands::report::log_files::{read_all, unread_text};
-use crate::commands::{exit, say};
+use crate::commands::{exit, print_line};
 use argh::FromArgs;
 use bridgevane_log_report::{TreeHistory, TreeRow};
 use comfy_table::{Table, presets};
@@ -9,34 +9,35 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How far apart the moments are that are looked at when none is given. Chosen because a circle that
-/// stands for less ends by itself.
+/// The interval between the times that are shown when none is given; a cycle that lasts for less
+/// resolves itself.
 const STEP_MS: u64 = 1_000;
 
-/// Show the tree in which daemons follow each other at a moment: by data centre how many there are, how
-/// many ask the control source, how deep the tree is, and circles. Without a moment: every second.
+/// Show the tree in which daemons follow each other at a given time. For each data centre: the
+/// number of daemons, those that poll the control source, the depth of the tree, and the daemons in
+/// circles. Without a time: every second.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "tree")]
 pub struct TreeArguments {
     /// log files of all daemons; - is standard input
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// the moment, such as 2026-12-02T16:00:01.5Z
-    #[argh(option, from_str_fn(parse_moment))]
+    /// time to show, such as 2026-12-02T16:00:01.5Z
+    #[argh(option, from_str_fn(parse_time))]
     at: Option<SystemTime>,
     /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-fn parse_moment(text: &str) -> Result<SystemTime, String> {
+fn parse_time(text: &str) -> Result<SystemTime, String> {
     humantime::parse_rfc3339_weak(text).map_err(|error| error.to_string())
 }
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub(super) fn run(arguments: &TreeArguments) -> u8 {
     if arguments.files.is_empty() {
-        eprintln!("give the files; - is standard input");
+        eprintln!("no log files given; - is standard input");
         return exit::USAGE;
     }
     let mut history = TreeHistory::default();
@@ -47,21 +48,21 @@
             return exit::USAGE;
         }
     };
-    let trees: Vec<(u64, Vec<TreeRow>)> = moments(&history, arguments.at)
+    let trees: Vec<(u64, Vec<TreeRow>)> = times_to_show(&history, arguments.at)
         .map(|at_ms| (at_ms, history.at(at_ms)))
         .collect();
     if arguments.json {
         let trees = trees
             .iter()
             .map(|(at_ms, rows)| json!({"at_ms": at_ms, "data_centres": rows}));
-        say!(
+        print_line!(
             "{}",
             json!({"trees": trees.collect::<Vec<_>>(), "read": read})
         );
     } else {
-        say!("{}", table(&trees));
+        print_line!("{}", table(&trees));
         if let Some(unread) = unread_text(&read) {
-            say!("{unread}");
+            print_line!("{unread}");
         }
     }
     if trees.is_empty() {
@@ -71,19 +72,19 @@
     }
 }
 
-/// The moments to show, in milliseconds since 1970.
-fn moments(history: &TreeHistory, at: Option<SystemTime>) -> impl Iterator<Item = u64> {
+/// Returns the times to show, in Unix milliseconds.
+fn times_to_show(history: &TreeHistory, at: Option<SystemTime>) -> impl Iterator<Item = u64> {
     let span = history.span_ms();
     let span = span.map(|(first, last)| match at {
-        // A moment before 1970 has no tree; 1970 shows just that.
+        // A time before 1970 counts as 1970; there is no tree at either.
         Some(at) => {
             let since = at.duration_since(UNIX_EPOCH).unwrap_or_default();
             (since.as_millis() as u64, since.as_millis() as u64)
         }
         None => (first, last),
     });
-    let moments = span.map(|(first, last)| (first..=last).step_by(STEP_MS as usize));
-    moments.into_iter().flatten()
+    let times = span.map(|(first, last)| (first..=last).step_by(STEP_MS as usize));
+    times.into_iter().flatten()
 }
 
 fn table(trees: &[(u64, Vec<TreeRow>)]) -> Table {
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,6 +1,6 @@
-//! `bridgevane serve`: the daemon.
+//! `bridgevane serve`: runs the daemon.
 
-use crate::commands::{block_on, exit, say};
+use crate::commands::{block_on, exit, print_line};
 use crate::configs::serve::ServeConfig;
 use crate::configs::settings_reader::setting_source;
 use crate::modules::process::http_serve::{self, Servers};
@@ -21,15 +21,15 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Run the daemon. Each flag has an environment variable: --vm-id is BRIDGEVANE_VM_ID; flags
-/// win. All settings are checked at the start, every fault in one go.
+/// Run the daemon. Each flag has an environment variable, such as BRIDGEVANE_VM_ID for --vm-id;
+/// flags take precedence. All settings are checked at the start, and all problems are printed.
 #[derive(Debug, Default, FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub struct ServeArguments {
     /// name of this VM
     #[argh(option)]
     pub vm_id: Option<String>,
-    /// name of its data centre
+    /// data centre of this VM
     #[argh(option)]
     pub data_centre: Option<String>,
     /// address for callers, such as 0.0.0.0:8080
@@ -44,23 +44,22 @@
     /// address of the platform's service
     #[argh(option)]
     pub platform_address: Option<String>,
-    /// addresses of other daemons to begin with, with commas between them
+    /// addresses of daemons to contact at the start, comma-separated
     #[argh(option)]
     pub peer_seeds: Option<String>,
-    /// key that all daemons share; better set by BRIDGEVANE_PEER_KEY
+    /// shared key of all daemons; prefer BRIDGEVANE_PEER_KEY
     #[argh(option)]
     pub peer_key: Option<String>,
-    /// operators as name:token with commas between them; better set by
-    /// BRIDGEVANE_OPERATOR_TOKENS
+    /// operators as name:token, comma-separated; prefer BRIDGEVANE_OPERATOR_TOKENS
     #[argh(option)]
     pub operator_tokens: Option<String>,
-    /// json (default) or text
+    /// log format: json (default) or text
     #[argh(option)]
     pub log_format: Option<String>,
-    /// error, warn, info (default) or debug
+    /// log level: error, warn, info (default) or debug
     #[argh(option)]
     pub log_level: Option<String>,
-    /// print the settings, secrets masked, and stop
+    /// print the settings, with secrets masked, and exit
     #[argh(switch)]
     pub print_settings: bool,
 }
@@ -79,7 +78,7 @@
     log_level,
 );
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub fn run(arguments: &ServeArguments) -> u8 {
     let config = match ServeConfig::read(arguments) {
         Ok(config) => config,
@@ -89,7 +88,7 @@
         }
     };
     if arguments.print_settings {
-        say!("{config:#?}");
+        print_line!("{config:#?}");
         return exit::OK;
     }
     if let Err(error) = logging::set_up_on_stderr(config.log) {
@@ -107,7 +106,7 @@
     }
 }
 
-/// Serves until the stop signal, then until every stream has ended.
+/// Serves until the stop signal, then until every stream has ended or the drain time is over.
 async fn serve(config: ServeConfig, incarnation: Incarnation) -> Result<(), std::io::Error> {
     let Started { context, servers } = start(config, incarnation).await?;
     signals::wait_for_stop().await?;
@@ -115,34 +114,34 @@
     membership::set_leaving(&context, true);
     event!(Event::Stopping, in_progress = context.leaving.in_progress());
     let drain = context.config.serving.drain_ms.as_std();
-    let ending = async {
+    let drained = async {
         context.leaving.idle().await;
         servers.close().await;
     };
-    // Past the longest drain the process ends; the platform would have ended it before.
-    let _ = tokio::time::timeout(drain, ending).await;
+    // After the maximum drain time the process ends; the platform would have ended it earlier.
+    let _ = tokio::time::timeout(drain, drained).await;
     event!(Event::Stopped, in_progress = context.leaving.in_progress());
     Ok(())
 }
 
-/// A daemon that has been started.
+/// A running daemon.
 pub struct Started {
-    /// Its state.
+    /// The daemon's state.
     pub context: Arc<Context>,
-    /// What serves callers and operators; dropped, it ends.
+    /// The servers for callers and operators, which end when they are dropped.
     pub servers: Servers,
 }
 
-/// Starts everything that the daemon does.
+/// Starts all parts of the daemon.
 ///
 /// # Errors
-/// When an address can't be listened on.
+/// The operating system's error if an address can't be listened on.
 pub async fn start(
     mut config: ServeConfig,
     incarnation: Incarnation,
 ) -> Result<Started, std::io::Error> {
     let callers = http_serve::listen(config.caller_address).await?;
-    // A port of 0 takes a free one; the settings then hold what was taken.
+    // With port 0 the system chooses a free port, which is written back to the settings.
     config.caller_address = callers.local_addr()?;
     let operators = http_serve::listen(config.operator_address).await?;
     config.operator_address = operators.local_addr()?;
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -1,9 +1,9 @@
-//! `bridgevane standin`: one stand-in as a process of its own, for tests.
+//! `bridgevane standin`: runs one stand-in as a separate process, for tests.
 //!
-//! Stand-ins are behind the cargo feature `standins`, which a production build turns off: a
-//! binary that could pretend to be the platform has no place on a VM.
+//! Stand-ins are behind the cargo feature `standins`, which production builds disable: a binary on
+//! a VM must not be able to pose as the platform.
 
-use crate::commands::{block_on, exit, say};
+use crate::commands::{block_on, exit, print_line};
 use crate::modules::serve::configuration::follow::CONFIG_KEY;
 use argh::FromArgs;
 use bridgevane_config::{Document, Envelope};
@@ -15,36 +15,36 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Run a stand-in of the platform, an engine or a plain service, for tests. It prints its
-/// address as its first line.
+/// Run a stand-in for the platform, an engine or a plain service, for tests. It prints its
+/// address as the first line.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "standin")]
 pub struct StandinArguments {
     /// platform, engine or plain
     #[argh(positional)]
     role: String,
-    /// address to listen at; port 0 takes a free one
+    /// address to listen on; port 0 chooses a free port
     #[argh(option)]
     address: SocketAddr,
-    /// platform: a configuration file to hold from the start
+    /// platform: configuration file stored from the start
     #[argh(option)]
     config: Option<PathBuf>,
-    /// engine: sequences that it runs at the same time
+    /// engine: number of sequences that run at the same time
     #[argh(option, default = "16")]
     slots: u32,
-    /// engine: milliseconds of a step with no sequence
+    /// engine: duration of a step without sequences, in milliseconds
     #[argh(option, default = "20.0")]
     step_ms: f64,
     /// engine: milliseconds that each running sequence adds to a step
     #[argh(option, default = "0.8")]
     sequence_ms: f64,
-    /// engine: prompt tokens that it processes in a millisecond
+    /// engine: prompt tokens processed per millisecond
     #[argh(option, default = "8.0")]
     prefill_per_ms: f64,
     /// engine: refuse orders with an old fencing token
     #[argh(switch)]
     checks_fence: bool,
-    /// engine: end the process when a prompt with this text is to run
+    /// engine: end the process when a prompt with this text is about to run
     #[argh(option)]
     ends_on: Option<String>,
     /// plain: recognise a repeated idempotency key
@@ -52,7 +52,7 @@
     deduplicates: bool,
 }
 
-/// Runs the command; gives the exit code.
+/// Runs the command and returns the exit code.
 pub fn run(arguments: StandinArguments) -> u8 {
     match block_on(serve_role(arguments)) {
         Ok(code) => code,
@@ -72,7 +72,7 @@
         "engine" => EngineStandin::new(engine_settings(&arguments)).router(),
         "plain" => PlainStandin::new(arguments.deduplicates).router(),
         other => {
-            eprintln!("'{other}' is none of platform, engine, plain");
+            eprintln!("unknown role '{other}'; give platform, engine or plain");
             return exit::USAGE;
         }
     };
@@ -87,7 +87,7 @@
 
 async fn serve_until_killed(address: SocketAddr, router: axum::Router) -> Result<(), StandinError> {
     let served = serve(address, router).await?;
-    say!("{}", served.address);
+    print_line!("{}", served.address);
     std::future::pending::<()>().await;
     drop(served);
     Ok(())
