--- a/crates/standins/src/engine_model.rs
+++ b/crates/standins/src/engine_model.rs
@@ -1,26 +1,26 @@
-//! A pure model of an engine with continuous batching and a prefix cache.
+//! A model, without I/O, of an engine with continuous batching and a prefix cache.
 //!
-//! Time comes in as microseconds; each step gives one token to every decoding sequence
-//! and spends a budget of prompt tokens on those that still prefill.
+//! Callers pass the time in microseconds. Each step produces one token for every decoding sequence
+//! and spends a budget of prompt tokens on the sequences that still prefill.
 
 use bridgevane_adapters::{CacheChange, CacheEvent, EndReason, LoadReport};
 use bridgevane_types::{AttemptNumber, RequestId, Slots, Tier, Tokens};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// How fast and large an engine is.
+/// The speed and size of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Sequences that run at the same time.
+    /// The maximum number of sequences that run at the same time.
     pub slots: Slots,
-    /// Prompt tokens that it processes in a millisecond.
+    /// The number of prompt tokens that it processes per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// A step's time with no sequence, in microseconds.
+    /// The fixed part of a step's duration, in microseconds.
     pub step_base_us: f64,
-    /// What each running sequence adds to a step, in microseconds.
+    /// The time that each running sequence adds to a step, in microseconds.
     pub step_per_sequence_us: f64,
-    /// Blocks that the prefix cache holds.
+    /// The capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// Tokens of a block.
+    /// The number of tokens per block.
     pub block_tokens: u64,
 }
 
@@ -37,48 +37,48 @@
     }
 }
 
-/// One attempt of a request, as the engine sees it.
+/// One attempt of a request, as submitted to the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// 0 is served first.
+    /// The priority; tier 0 is served first.
     pub priority: Tier,
-    /// Hashes of the prompt's blocks.
+    /// The hashes of the prompt's blocks.
     pub blocks: Vec<u64>,
-    /// Tokens of the prompt.
+    /// The number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Answer tokens that were delivered already.
+    /// The number of answer tokens that earlier attempts delivered.
     pub resume_from: u64,
-    /// The answer's whole length.
+    /// The complete answer's length in tokens.
     pub total_tokens: u64,
-    /// How the answer ends.
+    /// The reason with which the answer ends.
     pub end: EndReason,
 }
 
-/// What a step brought about.
+/// An event that a step produced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ModelEvent {
-    /// A token came out.
+    /// The next token of an answer.
     Token {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Tokens before it.
+        /// The number of tokens before it.
         offset: u64,
     },
-    /// The answer is whole.
+    /// The end of an answer.
     End {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// All tokens.
+        /// The number of tokens of the answer.
         offset: u64,
-        /// Why.
+        /// Why the answer ended.
         reason: EndReason,
     },
 }
@@ -90,7 +90,7 @@
     produced: u64,
 }
 
-/// The engine.
+/// A model of one engine: running and waiting jobs, the prefix cache and its events.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     spec: EngineSpec,
@@ -108,11 +108,11 @@
     decoded_tokens: u64,
 }
 
-/// Cache events that are kept for readers; older ones are lost to them.
+/// The maximum number of cache events kept for readers; a reader that lags behind gets a gap.
 const MAX_CACHE_EVENTS: usize = 4_096;
 
 impl EngineModel {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(spec: EngineSpec) -> Self {
         Self {
             spec,
@@ -131,12 +131,12 @@
         }
     }
 
-    /// Makes every step take `factor` times as long.
+    /// Sets the factor by which every step takes longer.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor.max(0.01);
     }
 
-    /// Takes a job at `now_us`.
+    /// Enqueues a job at `now_us`.
     pub fn submit(&mut self, now_us: u64, job: Job) {
         let arrival = self.next_arrival;
         self.next_arrival += 1;
@@ -147,16 +147,16 @@
         }
     }
 
-    /// Drops an attempt; false when it isn't here.
+    /// Removes an attempt; returns false if the engine doesn't have it.
     pub fn cancel(&mut self, request: RequestId, attempt: AttemptNumber) -> bool {
         let before = self.running.len() + self.waiting.len();
-        let is_it = |job: &Job| job.request == request && job.attempt == attempt;
-        self.running.retain(|sequence| !is_it(&sequence.job));
-        self.waiting.retain(|_, job| !is_it(job));
+        let is_match = |job: &Job| job.request == request && job.attempt == attempt;
+        self.running.retain(|sequence| !is_match(&sequence.job));
+        self.waiting.retain(|_, job| !is_match(job));
         before > self.running.len() + self.waiting.len()
     }
 
-    /// Drops everything, as a crash does.
+    /// Drops all jobs and the cache, as a crash does.
     pub fn clear(&mut self) {
         self.running.clear();
         self.waiting.clear();
@@ -165,12 +165,12 @@
         self.step_ends_us = None;
     }
 
-    /// When the running step ends; none: the engine is idle.
+    /// Returns the time at which the current step ends, or `None` if the engine is idle.
     pub fn step_ends_us(&self) -> Option<u64> {
         self.step_ends_us
     }
 
-    /// Ends the step that ends at `now_us` and begins the next one.
+    /// Completes the step that ends at `now_us` and begins the next one.
     pub fn step(&mut self, now_us: u64, events: &mut Vec<ModelEvent>) {
         self.prefill(now_us);
         self.decode(events);
@@ -178,6 +178,7 @@
         self.begin_step(now_us);
     }
 
+    /// Spends the step's budget of prompt tokens, in order of priority.
     fn prefill(&mut self, now_us: u64) {
         let step_ms = now_us.saturating_sub(self.step_started_us) as f64 / 1000.0;
         let mut budget = self.spec.prefill_tokens_per_ms * step_ms / self.slowdown;
@@ -197,13 +198,14 @@
         }
     }
 
-    /// Running sequences, the most important first, each tier by arrival.
+    /// Returns the indices of the running sequences by priority, within a tier by arrival.
     fn by_priority(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.running.len()).collect();
         order.sort_by_key(|index| self.running[*index].job.priority);
         order
     }
 
+    /// Produces one token for every sequence past its prefill, and removes finished sequences.
     fn decode(&mut self, events: &mut Vec<ModelEvent>) {
         for sequence in &mut self.running {
             if sequence.prefill_left > 0.0 {
@@ -232,6 +234,7 @@
             .retain(|s| s.prefill_left > 0.0 || s.produced < s.job.total_tokens);
     }
 
+    /// Moves waiting jobs into free slots.
     fn admit(&mut self) {
         while self.running.len() < self.spec.slots.0 as usize {
             let Some((_, job)) = self.waiting.pop_first() else {
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Tokens that must be processed before the job's next token comes.
+    /// Returns the number of tokens to process before the job's next token.
     pub fn uncached_tokens(&self, job: &Job) -> u64 {
         let cached = self.cached_tokens(&job.blocks).min(job.prompt_tokens);
         job.prompt_tokens - cached + job.resume_from
@@ -264,13 +267,14 @@
     }
 
     fn cached_tokens(&self, blocks: &[u64]) -> u64 {
-        let hit = blocks
+        let cached_blocks = blocks
             .iter()
             .take_while(|block| self.cached.contains(block))
             .count();
-        hit as u64 * self.spec.block_tokens
+        cached_blocks as u64 * self.spec.block_tokens
     }
 
+    /// Adds blocks to the prefix cache; evicts the oldest ones above its capacity.
     fn store(&mut self, blocks: &[u64]) {
         for block in blocks {
             if !self.cached.insert(*block) {
@@ -287,6 +291,7 @@
         }
     }
 
+    /// Appends a cache event, and drops the oldest above [`MAX_CACHE_EVENTS`].
     fn publish(&mut self, block: u64, change: CacheChange) {
         self.cache_sequence += 1;
         self.cache_events.push_back(CacheEvent {
@@ -299,7 +304,7 @@
         }
     }
 
-    /// Cache events after `sequence`; the first may be later than the next one: a gap.
+    /// Returns the cache events after `sequence`; if older events were dropped, the numbers have a gap.
     pub fn cache_events_after(&self, sequence: u64) -> Vec<CacheEvent> {
         self.cache_events
             .iter()
@@ -308,7 +313,7 @@
             .collect()
     }
 
-    /// The load as of now.
+    /// Returns the current load.
     pub fn load(&self) -> LoadReport {
         LoadReport {
             running: Slots(self.running.len() as u32),
@@ -318,12 +323,12 @@
         }
     }
 
-    /// Prompt tokens processed since the start.
+    /// Returns the number of prompt tokens processed since the start.
     pub fn prefilled_tokens(&self) -> Tokens {
         Tokens(self.prefilled_tokens as u64)
     }
 
-    /// Answer tokens made since the start.
+    /// Returns the number of answer tokens produced since the start.
     pub fn decoded_tokens(&self) -> Tokens {
         Tokens(self.decoded_tokens)
     }
--- a/crates/standins/src/engine_server.rs
+++ b/crates/standins/src/engine_server.rs
@@ -20,24 +20,24 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Duration, Instant};
 
-/// The exit code of a stand-in that a prompt has ended.
-const ENDED_BY_PROMPT: i32 = 70;
+/// The exit code of a process that ended on a prompt with the text of `ends_on`.
+const CRASH_EXIT_CODE: i32 = 70;
 
-/// What an engine stand-in is.
+/// The settings of an engine stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct EngineStandinSettings {
-    /// Speed and size.
+    /// The engine's speed and size.
     pub spec: EngineSpec,
     /// Whether it refuses orders with an old fencing token.
     pub checks_fence: bool,
-    /// A prompt with this text ends the process that is to run it.
+    /// The text that crashes the process when a prompt contains it.
     pub ends_on: Option<String>,
 }
 
 type Key = (RequestId, AttemptNumber);
 type PieceSender = mpsc::UnboundedSender<Result<Bytes, BrokenStream>>;
 
-/// The stream broke.
+/// The error with which a fault breaks a stream.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("the stream broke")]
 struct BrokenStream;
@@ -46,23 +46,24 @@
     prompt: String,
     sender: PieceSender,
     cut_after: Option<u64>,
-    /// The first two tokens are to be swapped.
+    /// Whether the next two pieces are still to be swapped.
     is_swapping: bool,
-    held: Option<Bytes>,
+    /// The first piece of a swap, sent after the second one.
+    held_piece: Option<Bytes>,
 }
 
 impl Stream {
-    /// Sends a piece, or holds it until the next one has gone out; false: nobody reads.
+    /// Sends a piece, or holds it until the next one is sent; returns false if the client is gone.
     fn send(&mut self, piece: Bytes) -> bool {
         if std::mem::take(&mut self.is_swapping) {
-            self.held = Some(piece);
+            self.held_piece = Some(piece);
             return true;
         }
-        let is_read = self.sender.send(Ok(piece)).is_ok();
-        if let Some(held) = self.held.take() {
-            let _ = self.sender.send(Ok(held));
+        let is_delivered = self.sender.send(Ok(piece)).is_ok();
+        if let Some(held_piece) = self.held_piece.take() {
+            let _ = self.sender.send(Ok(held_piece));
         }
-        is_read
+        is_delivered
     }
 }
 
@@ -77,7 +78,7 @@
     orders: Vec<FencedOrder>,
 }
 
-/// The engine stand-in.
+/// The engine stand-in; clones share one engine.
 #[derive(Clone)]
 pub struct EngineStandin {
     engine: Arc<Mutex<Engine>>,
@@ -86,10 +87,10 @@
     settings: EngineStandinSettings,
 }
 
-/// Load reports that are kept to serve them late.
-const MAX_REPORTS: usize = 512;
-/// How often a load report is made.
-const REPORT_EVERY: Duration = Duration::from_millis(50);
+/// The number of past load reports kept; `load_lag_ms` serves old ones.
+const MAX_LOAD_REPORTS: usize = 512;
+/// The interval between load reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Deserialize)]
 struct CancelBody {
@@ -98,12 +99,12 @@
 }
 
 #[derive(Deserialize)]
-struct AfterBody {
+struct CacheEventsBody {
     sequence: u64,
 }
 
 impl EngineStandin {
-    /// An idle engine; its steps run as a task of the current runtime.
+    /// Creates an idle engine; spawns tasks for its steps and its load reports.
     pub fn new(settings: EngineStandinSettings) -> Self {
         let engine = Engine {
             model: EngineModel::new(settings.spec),
@@ -126,7 +127,7 @@
         standin
     }
 
-    /// The stand-in's routes.
+    /// Returns the stand-in's routes.
     pub fn router(&self) -> Router {
         Router::new()
             .route("/engine/generate", post(generate))
@@ -139,7 +140,7 @@
             .with_state(self.clone())
     }
 
-    /// Sets what is wrong.
+    /// Sets the faults, replacing those set before; a crash breaks all streams.
     pub fn set_fault(&self, fault: Fault) {
         let mut engine = self.lock();
         engine.fault = fault;
@@ -157,17 +158,17 @@
         }
     }
 
-    /// Tokens that it made so far.
+    /// Returns the number of answer tokens produced so far.
     pub fn decoded_tokens(&self) -> Tokens {
         self.lock().model.decoded_tokens()
     }
 
-    /// Prompt tokens that it processed so far.
+    /// Returns the number of prompt tokens processed so far.
     pub fn prefilled_tokens(&self) -> Tokens {
         self.lock().model.prefilled_tokens()
     }
 
-    /// Orders that it took.
+    /// Returns the orders that it accepted.
     pub fn orders(&self) -> Vec<FencedOrder> {
         self.lock().orders.clone()
     }
@@ -180,6 +181,7 @@
         self.started.elapsed().as_micros() as u64
     }
 
+    /// Runs the model's steps at their times and delivers their pieces.
     async fn run_steps(self) {
         let mut events = Vec::new();
         loop {
@@ -192,7 +194,7 @@
             if deadline > Instant::now() {
                 tokio::time::sleep_until(deadline).await;
             } else {
-                // The clock's grain is a millisecond; shorter steps don't wait for it.
+                // The timer's resolution is a millisecond; a sleep would delay shorter steps.
                 tokio::task::yield_now().await;
             }
             let mut engine = self.lock();
@@ -205,6 +207,7 @@
         }
     }
 
+    /// Records a load report every [`REPORT_INTERVAL`].
     async fn make_reports(self) {
         loop {
             {
@@ -213,15 +216,15 @@
                 let mut report = engine.model.load();
                 report.sequence = engine.report_sequence;
                 engine.reports.push_back((Instant::now(), report));
-                if engine.reports.len() > MAX_REPORTS {
+                if engine.reports.len() > MAX_LOAD_REPORTS {
                     engine.reports.pop_front();
                 }
             }
-            tokio::time::sleep(REPORT_EVERY).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
         }
     }
 
-    /// Waits as the fault says; refuses when it is down.
+    /// Delays a call as the fault says; refuses it while the engine is down or has crashed.
     async fn admit(&self) -> Result<(), StatusCode> {
         let fault = self.lock().fault;
         if fault.is_down || fault.crash {
@@ -235,6 +238,7 @@
 }
 
 impl Engine {
+    /// Sends the pieces of a step to their streams; cancels attempts whose stream broke.
     fn deliver(&mut self, events: &[ModelEvent]) {
         for event in events {
             let (key, offset) = match event {
@@ -259,36 +263,42 @@
             };
             let is_end = matches!(content, PieceEvent::End(_));
             let is_cut = stream.cut_after.is_some_and(|limit| offset >= limit);
-            let is_read = if is_cut {
+            let is_delivered = if is_cut {
                 stream.sender.send(Err(BrokenStream)).is_ok()
             } else {
-                stream.send(line(key, offset, content))
+                stream.send(piece_line(key, offset, content))
             };
             if is_end || is_cut {
                 self.streams.remove(&key);
             }
-            if is_cut || !is_read {
+            if is_cut || !is_delivered {
                 self.streams.remove(&key);
                 self.model.cancel(key.0, key.1);
             }
         }
     }
 
-    fn begin_faults(&mut self, key: Key, call: &GenerateCall, sender: &PieceSender) -> Option<u64> {
+    /// Sends the faulty pieces with which a stream begins; returns the offset at which it breaks.
+    fn inject_stream_faults(
+        &mut self,
+        key: Key,
+        call: &GenerateCall,
+        sender: &PieceSender,
+    ) -> Option<u64> {
         let first = PieceEvent::Token(token_text(&call.prompt, call.resume_from.0));
-        if Fault::take_one(&mut self.fault.cross_pieces) {
+        if Fault::consume_one(&mut self.fault.cross_pieces) {
             let other = (RequestId(key.0.0 ^ 1), key.1);
-            let _ = sender.send(Ok(line(other, 0, first.clone())));
+            let _ = sender.send(Ok(piece_line(other, 0, first.clone())));
         }
-        if Fault::take_one(&mut self.fault.duplicate_pieces) {
-            let _ = sender.send(Ok(line(key, call.resume_from.0, first)));
+        if Fault::consume_one(&mut self.fault.duplicate_pieces) {
+            let _ = sender.send(Ok(piece_line(key, call.resume_from.0, first)));
         }
         self.fault.cut_after_tokens.take()
     }
 }
 
-/// One piece as a line of the answer.
-fn line(key: Key, offset: u64, event: PieceEvent) -> Bytes {
+/// Encodes a piece as a line of the answer.
+fn piece_line(key: Key, offset: u64, event: PieceEvent) -> Bytes {
     let piece = Piece {
         request: key.0,
         attempt: key.1,
@@ -300,8 +310,8 @@
     Bytes::from(text)
 }
 
-/// The job of a call.
-fn job(call: &GenerateCall) -> Job {
+/// Converts a call to a job of the model.
+fn job_of_call(call: &GenerateCall) -> Job {
     let length = answer_length(&call.prompt);
     let is_limited = length > call.max_tokens.0;
     Job {
@@ -327,22 +337,22 @@
     standin.admit().await?;
     let ends_on = standin.settings.ends_on.as_ref();
     if ends_on.is_some_and(|text| call.prompt.contains(text)) {
-        std::process::exit(ENDED_BY_PROMPT);
+        std::process::exit(CRASH_EXIT_CODE);
     }
     let (sender, receiver) = mpsc::unbounded_channel();
     {
         let mut engine = standin.lock();
         let key = (call.request, call.attempt);
-        let cut_after = engine.begin_faults(key, &call, &sender);
+        let cut_after = engine.inject_stream_faults(key, &call, &sender);
         let now_us = standin.now_us();
-        engine.model.submit(now_us, job(&call));
+        engine.model.submit(now_us, job_of_call(&call));
         let prompt = call.prompt;
         let stream = Stream {
             prompt,
             sender,
             cut_after,
-            is_swapping: Fault::take_one(&mut engine.fault.swap_pieces),
-            held: None,
+            is_swapping: Fault::consume_one(&mut engine.fault.swap_pieces),
+            held_piece: None,
         };
         engine.streams.insert(key, stream);
     }
@@ -366,8 +376,12 @@
 async fn load(State(standin): State<EngineStandin>) -> Result<Json<LoadReport>, StatusCode> {
     standin.admit().await?;
     let engine = standin.lock();
-    let wanted = Instant::now() - engine.fault.load_lag_ms.as_std();
-    let found = engine.reports.iter().rev().find(|(at, _)| *at <= wanted);
+    let latest_allowed = Instant::now() - engine.fault.load_lag_ms.as_std();
+    let found = engine
+        .reports
+        .iter()
+        .rev()
+        .find(|(at, _)| *at <= latest_allowed);
     let Some((at, report)) = found.or(engine.reports.front()) else {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     };
@@ -377,7 +391,7 @@
 
 async fn cache_events(
     State(standin): State<EngineStandin>,
-    Json(body): Json<AfterBody>,
+    Json(body): Json<CacheEventsBody>,
 ) -> Result<Json<Vec<CacheEvent>>, StatusCode> {
     standin.admit().await?;
     let mut engine = standin.lock();
@@ -394,8 +408,8 @@
 ) -> Result<Json<OrderReply>, StatusCode> {
     standin.admit().await?;
     let mut engine = standin.lock();
-    let is_old = order.fence < engine.highest_fence;
-    if standin.settings.checks_fence && is_old {
+    let is_outdated = order.fence < engine.highest_fence;
+    if standin.settings.checks_fence && is_outdated {
         return Ok(Json(OrderReply::Fenced));
     }
     if order.generation < engine.highest_generation {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stand-ins of the platform, model engines and plain services.
 //!
-//! They answer the same contracts as the real systems, on loopback, with faults that tests and the
-//! demo switch on. [`EngineModel`] is the pure part of the engine: the HTTP stand-in drives it by
-//! the clock, benchmarks drive it in virtual time. [`check_promises`] reads a pool's log of
+//! They implement the same contracts as the real systems, on loopback, with faults that tests and
+//! the demo switch on. [`EngineModel`] is the engine without I/O: the HTTP stand-in drives it by
+//! the clock, benchmarks drive it in virtual time. [`check_promises`] checks a pool's log of
 //! decisions.
 
 mod answer_text;
--- a/crates/standins/src/plain_server.rs
+++ b/crates/standins/src/plain_server.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: it counts how often each call ran.
+//! The plain service stand-in, which counts how often each call ran.
 
 use crate::fault::Fault;
 use axum::body::Bytes;
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 #[derive(Default)]
-struct Plain {
+struct PlainState {
     runs_of_key: BTreeMap<String, u64>,
     answers: BTreeMap<String, u64>,
     runs: u64,
@@ -23,15 +23,15 @@
     fault: Fault,
 }
 
-/// The plain service stand-in.
+/// The plain service stand-in; clones share one state.
 #[derive(Clone, Default)]
 pub struct PlainStandin {
-    plain: Arc<Mutex<Plain>>,
+    plain: Arc<Mutex<PlainState>>,
     deduplicates: bool,
 }
 
 impl PlainStandin {
-    /// A service that recognises a repeated key by itself, or doesn't.
+    /// Creates a service; with `deduplicates` it runs a call of a known idempotency key only once.
     pub fn new(deduplicates: bool) -> Self {
         Self {
             plain: Arc::default(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The stand-in's routes.
+    /// Returns the stand-in's routes.
     pub fn router(&self) -> Router {
         Router::new()
             .route("/service/load", post(load))
@@ -49,25 +49,25 @@
             .with_state(self.clone())
     }
 
-    /// How often each key ran.
+    /// Returns how often the calls of each idempotency key ran.
     pub fn runs_of_key(&self) -> BTreeMap<String, u64> {
         self.lock().runs_of_key.clone()
     }
 
-    /// Sets what is wrong.
+    /// Sets the faults; replaces those set before.
     pub fn set_fault(&self, fault: Fault) {
         self.lock().fault = fault;
     }
 
-    fn lock(&self) -> MutexGuard<'_, Plain> {
+    fn lock(&self) -> MutexGuard<'_, PlainState> {
         self.plain.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs a call; the second value tells whether its answer gets lost.
+    /// Runs a call; returns the run's number and whether its answer is lost.
     fn run(&self, key: Option<&str>) -> (u64, bool) {
         let mut plain = self.lock();
-        let repeated = key.and_then(|key| plain.answers.get(key).copied());
-        if let (true, Some(answer)) = (self.deduplicates, repeated) {
+        let known_answer = key.and_then(|key| plain.answers.get(key).copied());
+        if let (true, Some(answer)) = (self.deduplicates, known_answer) {
             return (answer, false);
         }
         plain.runs += 1;
@@ -76,7 +76,7 @@
             *plain.runs_of_key.entry(key.to_owned()).or_default() += 1;
             plain.answers.insert(key.to_owned(), run);
         }
-        (run, Fault::take_one(&mut plain.fault.lose_answers))
+        (run, Fault::consume_one(&mut plain.fault.lose_answers))
     }
 }
 
@@ -121,7 +121,7 @@
     value.to_str().ok().map(str::to_owned)
 }
 
-/// An answer whose connection breaks before its end.
+/// Returns an answer whose connection breaks before its end.
 fn cut_answer() -> Response {
     let cut = futures_util::stream::once(async {
         Err::<Bytes, _>(std::io::Error::from(std::io::ErrorKind::ConnectionReset))
--- a/crates/standins/src/platform_server.rs
+++ b/crates/standins/src/platform_server.rs
@@ -15,14 +15,14 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How much the platform bears.
+/// The rates that the platform admits; calls above them are refused.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformSettings {
-    /// Writes a second.
+    /// The number of writes per second.
     pub writes_per_s: u32,
-    /// Reads a second; a watch counts as one.
+    /// The number of reads per second; a watch counts as one read.
     pub reads_per_s: u32,
-    /// Tickets of the weight store a second.
+    /// The number of tickets of the weight store per second.
     pub tickets_per_s: u32,
 }
 
@@ -47,7 +47,7 @@
     lease: Option<LeaseId>,
 }
 
-/// Calls in the running second.
+/// Counts the calls of the current second against a limit.
 struct Rate {
     limit: u32,
     second: u64,
@@ -65,7 +65,8 @@
         }
     }
 
-    fn take(&mut self, second: u64) -> bool {
+    /// Counts a call; returns whether it is within the limit.
+    fn count_call(&mut self, second: u64) -> bool {
         if second != self.second {
             self.second = second;
             self.used = 0;
@@ -89,19 +90,19 @@
     tickets: Rate,
 }
 
-/// The platform stand-in.
+/// The platform stand-in; clones share one state.
 #[derive(Clone)]
 pub struct PlatformStandin {
     platform: Arc<Mutex<Platform>>,
     changed: Arc<Notify>,
 }
 
-/// The busiest second of each kind of call.
+/// The number of calls in the busiest second, per kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformUse {
-    /// Writes, also refused ones, in the busiest second.
+    /// The number of writes, including refused ones, in the busiest second.
     pub most_writes_per_s: u32,
-    /// Reads, also refused ones, in the busiest second.
+    /// The number of reads, including refused ones, in the busiest second.
     pub most_reads_per_s: u32,
 }
 
@@ -133,7 +134,7 @@
     model_version: u64,
 }
 
-/// Whether a call counts as a write, a read or a ticket.
+/// The rate against which a call counts.
 #[derive(Clone, Copy, PartialEq)]
 enum CallKind {
     Write,
@@ -142,7 +143,7 @@
 }
 
 impl PlatformStandin {
-    /// An empty platform.
+    /// Creates an empty platform.
     pub fn new(settings: PlatformSettings) -> Self {
         let platform = Platform {
             keys: HashMap::new(),
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The stand-in's routes.
+    /// Returns the stand-in's routes.
     pub fn router(&self) -> Router {
         Router::new()
             .route("/kv/get", post(get))
@@ -178,7 +179,7 @@
             .with_state(self.clone())
     }
 
-    /// Writes a key without any condition, as an operator's first set-up does.
+    /// Writes a key unconditionally, as an operator's initial setup does.
     pub fn put(&self, key: &str, text: &str) -> KvRevision {
         let mut platform = self.lock();
         platform.revision.0 += 1;
@@ -193,12 +194,12 @@
         platform.revision
     }
 
-    /// Reads a key, past rates and faults.
+    /// Reads a key, bypassing rates and faults.
     pub fn read(&self, key: &str) -> Option<KvValue> {
         self.lock().keys.get(key).map(|stored| stored.value.clone())
     }
 
-    /// Sets what is wrong.
+    /// Sets the faults; replaces those set before.
     pub fn set_fault(&self, fault: Fault) {
         self.lock().fault = fault;
         self.changed.notify_waiters();
@@ -209,7 +210,7 @@
         self.lock().vms = vms;
     }
 
-    /// The busiest second so far.
+    /// Returns the number of calls in the busiest second so far.
     pub fn most_used(&self) -> PlatformUse {
         let platform = self.lock();
         PlatformUse {
@@ -222,20 +223,20 @@
         self.platform.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a call and lets faults act on it.
+    /// Counts a call and applies rates and faults to it; an error is the refusal to send.
     async fn admit(&self, kind: CallKind) -> Result<(), Response> {
         let delay_ms = {
             let mut platform = self.lock();
             let second = platform.started.elapsed().as_secs();
             let is_within = match kind {
-                CallKind::Write => platform.writes.take(second),
-                CallKind::Read => platform.reads.take(second),
-                CallKind::Ticket => platform.tickets.take(second),
+                CallKind::Write => platform.writes.count_call(second),
+                CallKind::Read => platform.reads.count_call(second),
+                CallKind::Ticket => platform.tickets.count_call(second),
             };
             if platform.fault.is_down {
                 return Err(StatusCode::SERVICE_UNAVAILABLE.into_response());
             }
-            if !is_within || Fault::take_one(&mut platform.fault.refuse_by_rate) {
+            if !is_within || Fault::consume_one(&mut platform.fault.refuse_by_rate) {
                 let headers = [("retry-after-ms", "1000")];
                 return Err((StatusCode::TOO_MANY_REQUESTS, headers).into_response());
             }
@@ -250,6 +251,7 @@
 }
 
 impl Platform {
+    /// Removes expired leases together with their keys.
     fn expire_leases(&mut self) {
         let now = Instant::now();
         self.leases.retain(|_, lease| lease.ends_at > now);
@@ -258,6 +260,7 @@
             .retain(|_, stored| stored.lease.is_none_or(|id| leases.contains_key(&id)));
     }
 
+    /// Writes or removes a key if its revision is the expected one.
     fn swap(&mut self, cas: KvCas) -> Result<KvRevision, StatusCode> {
         let current = self.keys.get(&cas.key).map(|stored| stored.value.revision);
         if current != cas.expected {
@@ -300,7 +303,7 @@
     let (result, is_answer_lost) = {
         let mut platform = standin.lock();
         let result = platform.swap(cas);
-        let is_lost = result.is_ok() && Fault::take_one(&mut platform.fault.lose_answers);
+        let is_lost = result.is_ok() && Fault::consume_one(&mut platform.fault.lose_answers);
         (result, is_lost)
     };
     standin.changed.notify_waiters();
--- a/crates/standins/src/promises.rs
+++ b/crates/standins/src/promises.rs
@@ -1,17 +1,17 @@
-//! What `serve` promises, as predicates over the log of decisions: for tests, benchmarks and the
+//! The guarantees of `serve`, checked over the log of decisions: for tests, benchmarks and the
 //! demo's verdict.
 //!
-//! It stands apart from the deciding code, and the product doesn't contain it.
+//! The checks are independent of the code that decides, and the product doesn't contain them.
 
 use bridgevane_decisions::{CancelCause, Decision, DecisionRecord, EndpointIx};
 use bridgevane_types::{Outcome, RefusalCode, RequestId, Tier};
 use derive_more::Display;
 use std::collections::{HashMap, HashSet};
 
-/// A promise that the log shows broken.
+/// A guarantee that the log shows as broken.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum BrokenPromise {
-    /// Refused under pressure while lower-tier work could have made room.
+    /// A request was refused under pressure while preemptible work of a lower tier held a slot.
     #[display("{request} of tier {tier} was refused while tier {lower} held a slot")]
     RefusedAboveLower {
         /// The refused request.
@@ -21,7 +21,7 @@
         /// The tier that kept its slot.
         lower: Tier,
     },
-    /// Preempted for a tier that isn't higher.
+    /// A request was preempted for a tier that isn't higher.
     #[display("{request} of tier {tier} was preempted for tier {for_tier}")]
     PreemptedForLower {
         /// The preempted request.
@@ -31,13 +31,13 @@
         /// The tier that got its slot.
         for_tier: Tier,
     },
-    /// Said to be not run although an attempt may have run.
+    /// A request was reported as not run although an attempt may have run.
     #[display("{request} was said to be not run, but may have run")]
     FalseNotRun {
         /// The request.
         request: RequestId,
     },
-    /// A call that may not be repeated was sent again after it may have run.
+    /// A non-repeatable request was sent again although an attempt may have run.
     #[display("{request} may not be repeated, but was sent again")]
     Repeated {
         /// The request.
@@ -57,41 +57,43 @@
     },
 }
 
+/// The state of one request as far as the log tells it.
 #[derive(Clone, Copy, Debug)]
-struct Followed {
+struct TrackedRequest {
     tier: Tier,
     is_repeatable: bool,
     is_preemptible: bool,
     running_on: Option<EndpointIx>,
     is_protected: bool,
-    /// An attempt was sent that isn't proved not to have run.
+    /// Whether an attempt ended of which the log doesn't prove that it never ran.
     may_have_run: bool,
-    is_over: bool,
+    is_answered: bool,
 }
 
-/// Checks a log that holds every decision of a pool from its start.
+/// Checks a log that contains every decision of a pool from its start.
 pub fn check_promises<'a>(
     records: impl IntoIterator<Item = &'a DecisionRecord>,
 ) -> Vec<BrokenPromise> {
-    let mut follower = Follower::default();
+    let mut checker = PromiseChecker::default();
     for record in records {
-        follower.follow(&record.decision);
+        checker.apply(&record.decision);
     }
-    follower.broken
+    checker.broken
 }
 
+/// Replays a log and collects the broken guarantees.
 #[derive(Default)]
-struct Follower {
-    requests: HashMap<RequestId, Followed>,
-    /// Preemptible, unprotected running requests by tier and engine.
-    room: HashMap<(Tier, EndpointIx), usize>,
-    /// Engines whose slots are of no use to other work.
-    out_of_use: HashSet<EndpointIx>,
+struct PromiseChecker {
+    requests: HashMap<RequestId, TrackedRequest>,
+    /// The number of running requests that are preemptible and unprotected, by tier and engine.
+    preemptible: HashMap<(Tier, EndpointIx), usize>,
+    /// Engines whose slots other work can't use.
+    unusable_engines: HashSet<EndpointIx>,
     broken: Vec<BrokenPromise>,
 }
 
-impl Follower {
-    fn follow(&mut self, decision: &Decision) {
+impl PromiseChecker {
+    fn apply(&mut self, decision: &Decision) {
         match *decision {
             Decision::Offered {
                 request,
@@ -100,16 +102,16 @@
                 is_preemptible,
                 ..
             } => {
-                let followed = Followed {
+                let tracked = TrackedRequest {
                     tier,
                     is_repeatable,
                     is_preemptible,
                     running_on: None,
                     is_protected: false,
                     may_have_run: false,
-                    is_over: false,
+                    is_answered: false,
                 };
-                self.requests.insert(request, followed);
+                self.requests.insert(request, tracked);
             }
             Decision::Queued { .. } => {}
             Decision::Dispatched {
@@ -117,12 +119,12 @@
                 engine,
                 is_protected,
                 ..
-            } => self.dispatched(request, engine, is_protected),
+            } => self.on_dispatched(request, engine, is_protected),
             Decision::EngineUse { engine, is_in_use } => {
                 if is_in_use {
-                    self.out_of_use.remove(&engine);
+                    self.unusable_engines.remove(&engine);
                 } else {
-                    self.out_of_use.insert(engine);
+                    self.unusable_engines.insert(engine);
                 }
             }
             Decision::Cancelled {
@@ -130,53 +132,53 @@
                 cause,
                 for_tier,
                 ..
-            } => self.cancelled(request, cause, for_tier),
+            } => self.on_cancelled(request, cause, for_tier),
             Decision::Lost {
                 request,
                 may_have_run,
                 ..
             } => {
-                self.stop(request);
-                if let Some(followed) = self.requests.get_mut(&request) {
-                    followed.may_have_run |= may_have_run;
+                self.end_attempt(request);
+                if let Some(tracked) = self.requests.get_mut(&request) {
+                    tracked.may_have_run |= may_have_run;
                 }
             }
             Decision::Done { request, .. } => {
-                self.stop(request);
-                self.end(request);
+                self.end_attempt(request);
+                self.end_request(request);
             }
             Decision::Refused {
                 request,
                 code,
                 outcome,
-            } => self.refused(request, code, outcome),
+            } => self.on_refused(request, code, outcome),
         }
     }
 
-    fn dispatched(&mut self, request: RequestId, engine: EndpointIx, is_protected: bool) {
-        let Some(followed) = self.requests.get_mut(&request) else {
+    fn on_dispatched(&mut self, request: RequestId, engine: EndpointIx, is_protected: bool) {
+        let Some(tracked) = self.requests.get_mut(&request) else {
             return;
         };
-        if followed.running_on.is_some() {
+        if tracked.running_on.is_some() {
             self.broken.push(BrokenPromise::RanTwiceAtOnce { request });
         }
-        if followed.may_have_run && !followed.is_repeatable {
+        if tracked.may_have_run && !tracked.is_repeatable {
             self.broken.push(BrokenPromise::Repeated { request });
         }
-        followed.running_on = Some(engine);
-        followed.is_protected = is_protected;
-        if followed.is_preemptible && !is_protected {
-            *self.room.entry((followed.tier, engine)).or_default() += 1;
+        tracked.running_on = Some(engine);
+        tracked.is_protected = is_protected;
+        if tracked.is_preemptible && !is_protected {
+            *self.preemptible.entry((tracked.tier, engine)).or_default() += 1;
         }
     }
 
-    fn cancelled(&mut self, request: RequestId, cause: CancelCause, for_tier: Option<Tier>) {
-        self.stop(request);
-        let Some(followed) = self.requests.get_mut(&request) else {
+    fn on_cancelled(&mut self, request: RequestId, cause: CancelCause, for_tier: Option<Tier>) {
+        self.end_attempt(request);
+        let Some(tracked) = self.requests.get_mut(&request) else {
             return;
         };
-        followed.may_have_run = true;
-        let tier = followed.tier;
+        tracked.may_have_run = true;
+        let tier = tracked.tier;
         if let Some(for_tier) = for_tier.filter(|for_tier| *for_tier >= tier) {
             self.broken.push(BrokenPromise::PreemptedForLower {
                 request,
@@ -185,56 +187,58 @@
             });
         }
         if cause == CancelCause::CallerGone {
-            self.end(request);
+            self.end_request(request);
         }
     }
 
-    fn refused(&mut self, request: RequestId, code: RefusalCode, outcome: Outcome) {
-        let Some(followed) = self.requests.get(&request).copied() else {
+    fn on_refused(&mut self, request: RequestId, code: RefusalCode, outcome: Outcome) {
+        let Some(tracked) = self.requests.get(&request).copied() else {
             return;
         };
-        if outcome == Outcome::NotRun && (followed.may_have_run || followed.running_on.is_some()) {
+        if outcome == Outcome::NotRun && (tracked.may_have_run || tracked.running_on.is_some()) {
             self.broken.push(BrokenPromise::FalseNotRun { request });
         }
         let is_pressure = matches!(code, RefusalCode::CannotMeetTarget | RefusalCode::QueueFull);
         let lower = self
-            .room
+            .preemptible
             .iter()
             .filter(|((lower, engine), count)| {
-                *lower > followed.tier && **count > 0 && !self.out_of_use.contains(engine)
+                *lower > tracked.tier && **count > 0 && !self.unusable_engines.contains(engine)
             })
             .map(|((lower, _), _)| *lower)
             .max();
         if let Some(lower) = lower.filter(|_| is_pressure) {
             self.broken.push(BrokenPromise::RefusedAboveLower {
                 request,
-                tier: followed.tier,
+                tier: tracked.tier,
                 lower,
             });
         }
-        self.end(request);
+        self.end_request(request);
     }
 
-    fn stop(&mut self, request: RequestId) {
-        let Some(followed) = self.requests.get_mut(&request) else {
+    /// Ends the running attempt of a request, if any.
+    fn end_attempt(&mut self, request: RequestId) {
+        let Some(tracked) = self.requests.get_mut(&request) else {
             return;
         };
-        let Some(engine) = followed.running_on.take() else {
+        let Some(engine) = tracked.running_on.take() else {
             return;
         };
-        if followed.is_preemptible && !followed.is_protected {
-            let count = self.room.entry((followed.tier, engine)).or_default();
+        if tracked.is_preemptible && !tracked.is_protected {
+            let count = self.preemptible.entry((tracked.tier, engine)).or_default();
             *count = count.saturating_sub(1);
         }
     }
 
-    fn end(&mut self, request: RequestId) {
-        let Some(followed) = self.requests.get_mut(&request) else {
+    /// Records a final answer of a request.
+    fn end_request(&mut self, request: RequestId) {
+        let Some(tracked) = self.requests.get_mut(&request) else {
             return;
         };
-        if followed.is_over {
+        if tracked.is_answered {
             self.broken.push(BrokenPromise::AnsweredTwice { request });
         }
-        followed.is_over = true;
+        tracked.is_answered = true;
     }
 }
--- a/crates/standins/src/serving.rs
+++ b/crates/standins/src/serving.rs
@@ -1,4 +1,4 @@
-//! Serving a stand-in's routes until it is dropped.
+//! Serves a stand-in's routes until the server's handle is dropped.
 
 use axum::Router;
 use derive_more::{Display, Error, From};
@@ -6,17 +6,17 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// Why a stand-in can't serve.
+/// The error of a stand-in that can't listen at its address.
 #[derive(Debug, Display, Error, From)]
 #[display("can't listen: {source}")]
 pub struct StandinError {
     source: std::io::Error,
 }
 
-/// A stand-in that serves until it is dropped.
+/// A running server of a stand-in; dropping it ends the server.
 #[derive(Debug)]
 pub struct Served {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -27,7 +27,7 @@
     }
 }
 
-/// Serves `router` at `address`; port 0 takes a free one.
+/// Serves `router` at `address`; port 0 stands for any free port.
 ///
 /// # Errors
 /// [`StandinError`] when the address can't be listened on.
@@ -36,10 +36,10 @@
     let address = listener.local_addr()?;
     let task = tokio::spawn(async move {
         let listener = axum::serve::ListenerExt::tap_io(listener, |stream| {
-            // Without it, small pieces wait for the caller's acknowledgement.
+            // With Nagle's algorithm, small pieces would wait for the caller's acknowledgement.
             let _ = stream.set_nodelay(true);
         });
-        // Serving ends only with the task.
+        // The server runs until this task is aborted.
         let _ = axum::serve(listener, router).await;
     });
     Ok(Served { address, task })
--- a/crates/standins/tests/contract.rs
+++ b/crates/standins/tests/contract.rs
@@ -1,5 +1,5 @@
-//! The contracts of platform, engines and plain services, with their fault cases, over the
-//! adapters that the product uses.
+//! The contracts of the platform, engines and plain services with their fault cases, tested through
+//! the adapters that the product uses.
 
 use bridgevane_adapters::{
     CacheChange, EngineCallError, FencedOrder, GenerateCall, HttpEngine, HttpPlainService,
@@ -34,8 +34,9 @@
     }
 }
 
+/// Guards against lost updates: two writers with the same expected revision must not both succeed.
 #[tokio::test]
-async fn a_compare_and_swap_takes_effect_once_and_conflicts_are_told() {
+async fn a_compare_and_swap_with_an_outdated_revision_conflicts() {
     let (_, kv, _served) = platform(PlatformSettings::default()).await;
     assert_eq!(kv.get("k").await, Ok(None));
     let first = kv
@@ -54,8 +55,9 @@
     assert_eq!(kv.get("k").await.expect("read").expect("there").text, "b");
 }
 
+/// Guards against a missed change: a value written before the watch began must be returned too.
 #[tokio::test]
-async fn a_watch_gives_what_is_newer_or_nothing() {
+async fn a_watch_returns_a_newer_value_or_none_at_its_deadline() {
     let (standin, kv, _served) = platform(PlatformSettings::default()).await;
     let first = standin.put("k", "a");
     assert_eq!(kv.watch("k", first, DurationMs(30)).await, Ok(None));
@@ -68,7 +70,7 @@
         .expect("answered")
         .expect("newer");
     assert_eq!((value.revision, value.text.as_str()), (second, "b"));
-    // A value that was there before the watch began is no gap.
+    // The newer value was written before this watch began.
     let missed = kv
         .watch("k", first, DurationMs(30))
         .await
@@ -76,9 +78,10 @@
     assert_eq!(missed.map(|value| value.revision), Some(second));
 }
 
-/// Each fault, what the adapter says of a write, and whether the write took effect.
+/// Guards against a write that took effect but is reported as failed, or the other way round.
+/// Each row: the fault, the adapter's error for a write, and whether the write took effect.
 #[tokio::test]
-async fn faults_of_the_key_value_service_are_told_as_they_are() {
+async fn errors_of_the_key_value_service_tell_whether_a_write_may_have_taken_effect() {
     let down = Fault {
         is_down: true,
         ..Fault::default()
@@ -116,31 +119,32 @@
         assert_eq!(result.clone().err(), expected, "{name}");
         assert_eq!(standin.read("k").is_some(), takes_effect, "{name}");
         if let Some(error) = expected {
-            // What may have taken effect is never told as if it had not.
+            // A write that took effect must not be reported as one that didn't.
             assert_eq!(error.may_have_taken_effect(), takes_effect, "{name}");
         }
     }
-    let nobody = HttpPlatform::new(SocketAddr::from(([127, 0, 0, 1], 1)));
+    let unreachable = HttpPlatform::new(SocketAddr::from(([127, 0, 0, 1], 1)));
     assert_eq!(
-        nobody.compare_and_swap(cas("k", None, "a")).await,
+        unreachable.compare_and_swap(cas("k", None, "a")).await,
         Err(KvError::NotReached)
     );
 }
 
+/// Guards against calls that bypass the platform's rates, and against renewals that change a lease.
 #[tokio::test]
-async fn leases_are_renewed_and_rates_are_kept() {
+async fn leases_are_renewed_and_calls_above_a_rate_are_refused() {
     let (_, kv, _served) = platform(PlatformSettings::default()).await;
     let lease = kv.grant_lease(DurationMs(60_000)).await.expect("granted");
     assert_eq!(kv.renew_lease(lease.id).await, Ok(lease));
     assert!(kv.list().await.expect("a read").is_empty());
     assert!(kv.ticket(&"m".into(), 1).await.is_ok());
-    // No call fits into a rate of nothing: the verdict doesn't hang on the clock.
-    let nothing = PlatformSettings {
+    // A rate of 0 admits no call, so that the result doesn't depend on the clock.
+    let zero_rates = PlatformSettings {
         writes_per_s: 0,
         reads_per_s: 0,
         tickets_per_s: 0,
     };
-    let (standin, kv, _served) = platform(nothing).await;
+    let (standin, kv, _served) = platform(zero_rates).await;
     let refused = |error: Option<KvError>| matches!(error, Some(KvError::RateLimited { .. }));
     assert!(refused(kv.grant_lease(DurationMs(1)).await.err()));
     assert!(refused(kv.get("k").await.err()));
@@ -148,15 +152,16 @@
     assert_eq!(standin.most_used().most_writes_per_s, 1);
 }
 
+/// Guards against a key that outlives its lease, such as a holder record of a dead holder.
 #[tokio::test]
-async fn a_lease_that_ends_takes_its_keys_along() {
+async fn keys_are_removed_when_their_lease_expires() {
     let (standin, kv, _served) = platform(PlatformSettings::default()).await;
     let lease = kv.grant_lease(DurationMs(1)).await.expect("granted");
     let held = KvCas {
         lease: Some(lease.id),
         ..cas("k", None, "holder")
     };
-    // The lease may have ended before or after this; it has ended at the read below.
+    // The lease may expire before or after this write; it has expired at the read below.
     let _ = kv.compare_and_swap(held).await;
     tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     assert_eq!(kv.renew_lease(lease.id).await, Err(KvError::LeaseGone));
@@ -193,17 +198,17 @@
     }
 }
 
-/// Pieces until the end: own tokens by offset, strangers, and how it ended.
-async fn follow(
+/// Reads an answer to its end: its tokens by offset, the number of foreign pieces, and its error.
+async fn read_answer(
     engine: &HttpEngine,
     resume_from: u64,
 ) -> (Vec<(u64, String)>, usize, Option<EngineCallError>) {
     let mut pieces = engine.generate(call(resume_from)).await.expect("it starts");
-    let (mut tokens, mut strangers) = (Vec::new(), 0);
+    let (mut tokens, mut foreign_pieces) = (Vec::new(), 0);
     while let Some(piece) = pieces.next().await {
         match piece {
-            Err(error) => return (tokens, strangers, Some(error)),
-            Ok(piece) if piece.request != RequestId(5) => strangers += 1,
+            Err(error) => return (tokens, foreign_pieces, Some(error)),
+            Ok(piece) if piece.request != RequestId(5) => foreign_pieces += 1,
             Ok(piece) => {
                 if let PieceEvent::Token(text) = piece.event {
                     tokens.push((piece.offset.0, text));
@@ -211,23 +216,27 @@
             }
         }
     }
-    (tokens, strangers, None)
+    (tokens, foreign_pieces, None)
 }
 
+/// Guards against stream faults that the adapter hides: cut, duplicated, swapped or foreign pieces.
 #[tokio::test]
-async fn an_answer_comes_whole_resumes_and_faults_show() {
+async fn an_answer_is_complete_and_resumable_and_stream_faults_are_visible() {
     let whole: Vec<(u64, String)> = (0..answer_length(&call(0).prompt))
         .map(|offset| (offset, token_text(&call(0).prompt, offset)))
         .collect();
     let (standin, engine, _served) = engine(false).await;
-    assert_eq!(follow(&engine, 0).await, (whole.clone(), 0, None));
-    assert_eq!(follow(&engine, 7).await, (whole[7..].to_vec(), 0, None));
+    assert_eq!(read_answer(&engine, 0).await, (whole.clone(), 0, None));
+    assert_eq!(
+        read_answer(&engine, 7).await,
+        (whole[7..].to_vec(), 0, None)
+    );
     standin.set_fault(Fault {
         cut_after_tokens: Some(4),
         ..Fault::default()
     });
     assert_eq!(
-        follow(&engine, 0).await,
+        read_answer(&engine, 0).await,
         (whole[..4].to_vec(), 0, Some(EngineCallError::Cut))
     );
     standin.set_fault(Fault {
@@ -235,15 +244,15 @@
         cross_pieces: 1,
         ..Fault::default()
     });
-    let (tokens, strangers, error) = follow(&engine, 0).await;
-    assert_eq!((strangers, error), (1, None));
+    let (tokens, foreign_pieces, error) = read_answer(&engine, 0).await;
+    assert_eq!((foreign_pieces, error), (1, None));
     assert_eq!(tokens[0], tokens[1], "the first piece comes twice");
     assert_eq!(tokens[1..], whole[..]);
     standin.set_fault(Fault {
         swap_pieces: 1,
         ..Fault::default()
     });
-    let (tokens, _, error) = follow(&engine, 0).await;
+    let (tokens, _, error) = read_answer(&engine, 0).await;
     assert_eq!(error, None);
     assert_eq!(
         (&tokens[0], &tokens[1]),
@@ -258,17 +267,18 @@
         engine.generate(call(0)).await,
         Err(EngineCallError::Unavailable)
     ));
-    let nobody = HttpEngine::new(SocketAddr::from(([127, 0, 0, 1], 1)));
+    let unreachable = HttpEngine::new(SocketAddr::from(([127, 0, 0, 1], 1)));
     assert!(matches!(
-        nobody.generate(call(0)).await,
+        unreachable.generate(call(0)).await,
         Err(EngineCallError::NotReached)
     ));
 }
 
+/// Guards against readers that take the cache events for complete: lost ones leave a gap.
 #[tokio::test]
-async fn cache_events_have_gaps() {
+async fn lost_cache_events_leave_a_gap() {
     let (standin, engine, _served) = engine(false).await;
-    follow(&engine, 0).await;
+    read_answer(&engine, 0).await;
     let events = engine.cache_events(0).await.expect("events");
     assert!(!events.is_empty());
     assert!(
@@ -284,8 +294,10 @@
     assert_eq!(with_gap.len(), events.len() - 1);
 }
 
+/// Guards against a missing answer when the lag is longer than the engine has run: the oldest
+/// report is served.
 #[tokio::test]
-async fn load_reports_lag() {
+async fn a_lag_before_the_first_load_report_returns_the_oldest_report() {
     let (standin, engine, _served) = engine(false).await;
     standin.set_fault(Fault {
         load_lag_ms: DurationMs(60_000),
@@ -296,8 +308,10 @@
     assert_eq!(report.slots.0, EngineSpec::default().slots.0);
 }
 
+/// Guards against orders of a former duty holder: an endpoint that checks the fencing token refuses
+/// them, and any endpoint refuses an older generation.
 #[tokio::test]
-async fn orders_are_fenced_where_endpoints_check_and_converge_where_they_dont() {
+async fn orders_with_an_old_fence_or_generation_are_refused() {
     let order = |fence: u64, generation: u64| FencedOrder {
         fence: FenceToken(fence),
         generation,
@@ -307,7 +321,7 @@
             ticket: "t".into(),
         },
     };
-    // (checks, fence, generation, reply) after an order of fence 5 and generation 5.
+    // (checks_fence, fence, generation, reply) of an order after one of fence 5 and generation 5.
     let table = [
         (true, 5, 5, OrderReply::Done),
         (true, 4, 6, OrderReply::Fenced),
@@ -335,8 +349,9 @@
     }
 }
 
+/// Guards against a call that ran but is reported as not run when its answer is lost.
 #[tokio::test]
-async fn a_plain_calls_outcome_is_told_as_it_is() {
+async fn a_plain_call_whose_answer_is_lost_has_an_unknown_outcome() {
     let standin = PlainStandin::new(false);
     let served = serve(loopback(), standin.router()).await.expect("a port");
     let service = HttpPlainService::new(served.address);
@@ -360,8 +375,11 @@
         2,
         "the answer was lost, the call ran"
     );
-    let nobody = HttpPlainService::new(SocketAddr::from(([127, 0, 0, 1], 1)));
-    assert_eq!(nobody.call(call()).await, Err(PlainCallError::NotReached));
+    let unreachable = HttpPlainService::new(SocketAddr::from(([127, 0, 0, 1], 1)));
+    assert_eq!(
+        unreachable.call(call()).await,
+        Err(PlainCallError::NotReached)
+    );
     let deduplicating = PlainStandin::new(true);
     let served = serve(loopback(), deduplicating.router())
         .await
