--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,112 +1,112 @@
-//! The promises, as predicates over what callers and workers saw.
+//! Checks the gateway's guarantees over the record of a run.
 
-use crate::history::{Arrived, Call, End, History, Kind};
+use crate::history::{Call, CallEnd, History, RequestArrival, RouteKind};
 use bridgevane_platform_emulator::Wish;
 use derive_more::Display;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// In how long a key's removal is in force everywhere.
-pub const KEY_REMOVAL: Duration = Duration::from_millis(2_000);
-/// In how long daemons obey a worker's leaving.
-pub const DRAIN: Duration = Duration::from_millis(2_000);
-/// How long nothing must have been wrong for a bound to hold.
-pub const CONTACT: Duration = Duration::from_millis(3_000);
-/// How soon after the last trouble requests are served again.
-pub const RECOVERY: Duration = Duration::from_millis(3_000);
-/// How soon a daemon that an answer has told acts on it.
-pub const TOLD: Duration = Duration::from_millis(500);
-/// The span in which a limit is counted.
+/// The time within which all daemons must enforce the removal of a key.
+pub const KEY_REMOVAL_BOUND: Duration = Duration::from_millis(2_000);
+/// The time within which daemons must stop sending to a worker that drains or is leaving.
+pub const DRAIN_BOUND: Duration = Duration::from_millis(2_000);
+/// The length of the period without unplanned faults that must precede an event for a bound to hold.
+pub const UNDISTURBED_PERIOD: Duration = Duration::from_millis(3_000);
+/// The time after the last unplanned fault within which requests must be served again.
+pub const RECOVERY_BOUND: Duration = Duration::from_millis(3_000);
+/// The time within which a daemon must act on an announcement after forwarding its answer.
+pub const REACTION_BOUND: Duration = Duration::from_millis(500);
+/// The window over which requests are counted against a limit.
 pub const LIMIT_WINDOW: Duration = Duration::from_millis(4_000);
-/// Requests that may reach a worker from a daemon while it rests.
-pub const WHILE_RESTING: usize = 2;
-/// The part of them that must be.
-const RECOVERED_SHARE: f64 = 0.9;
+/// The number of requests that a daemon may send to a worker during the worker's back-off.
+pub const MAX_DURING_BACKOFF: usize = 2;
+/// The share of requests that must be served after [`RECOVERY_BOUND`].
+const MIN_SERVED_SHARE: f64 = 0.9;
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, Display, PartialEq)]
-pub enum Broken {
-    /// A success that isn't the worker's whole answer to this request.
-    #[display("{id}: an answer that is not the worker's: {what}")]
-    Mixed {
+pub enum Violation {
+    /// A successful answer that isn't the worker's complete answer to this request.
+    #[display("{id}: the answer differs from the worker's: {what}")]
+    WrongAnswer {
         /// The request.
         id: String,
-        /// What was wrong with it.
+        /// The difference.
         what: String,
     },
-    /// A request ran more often than it may.
+    /// A request ran more often than permitted.
     #[display("{id}: ran {times} times")]
-    Twice {
+    RanTooOften {
         /// The request.
         id: String,
-        /// How often it ran.
+        /// The number of runs.
         times: usize,
     },
-    /// A request that was said not to run did.
-    #[display("{id}: {status} said that it had not run, and it had")]
-    RefusedAndRun {
+    /// A request ran although its answer guarantees that it didn't.
+    #[display("{id}: ran although the answer {status} says that it did not")]
+    RanDespiteRefusal {
         /// The request.
         id: String,
-        /// The status that said so.
+        /// The status of the answer.
         status: u16,
     },
-    /// A worker ran what nobody asked for.
-    #[display("{id}: nobody sent it")]
-    Unasked {
+    /// A worker ran a request that no caller sent.
+    #[display("{id}: ran but was never sent")]
+    NeverSent {
         /// The request.
         id: String,
     },
-    /// A removed key was used after its bound.
-    #[display("{id}: ran {late_ms} ms after the bound of its key's removal")]
-    RemovedKey {
+    /// A request with a removed key ran after the bound.
+    #[display("{id}: ran with a removed key {late_ms} ms after the bound")]
+    RanWithRemovedKey {
         /// The request.
         id: String,
-        /// How long after the bound it was sent.
+        /// The time after the bound at which it was sent.
         late_ms: u128,
     },
-    /// A worker that leaves got a request after the bound.
-    #[display("{id}: reached {worker}, which leaves, {late_ms} ms after the bound")]
-    Drained {
+    /// A request reached a draining worker after the bound.
+    #[display("{id}: reached draining worker {worker} {late_ms} ms after the bound")]
+    SentToDraining {
         /// The request.
         id: String,
         /// The worker.
         worker: String,
-        /// How long after the bound it came.
+        /// The time after the bound at which it arrival.
         late_ms: u128,
     },
-    /// A worker that named a limit got more from daemons that it had told.
-    #[display("{worker}: {got} requests in {} ms from daemons that knew its limit of {limit} a second, {allowed} are allowed", LIMIT_WINDOW.as_millis())]
-    Limited {
+    /// A worker got more requests than its limit from daemons that knew the limit.
+    #[display("{worker}: {got} requests in {} ms from daemons that knew its limit of {limit} per second; {allowed} are allowed", LIMIT_WINDOW.as_millis())]
+    LimitExceeded {
         /// The worker.
         worker: String,
-        /// Its limit in requests a second.
+        /// Its limit in requests per second.
         limit: f64,
-        /// What it got.
+        /// The number of requests that reached it.
         got: usize,
-        /// What it may get.
+        /// The number of requests allowed.
         allowed: usize,
     },
-    /// A worker that had told a daemon that it leaves got a request from it after the bound.
-    #[display("{id}: reached {worker} from a daemon that knew that it leaves")]
+    /// A daemon sent a request to a worker although it knew that the worker is leaving.
+    #[display("{id}: reached {worker} from a daemon that knew that it is leaving")]
     SentToLeaving {
         /// The request.
         id: String,
         /// The worker.
         worker: String,
     },
-    /// A worker that had asked a daemon for rest got more from it than allowed.
-    #[display("{worker}: {got} requests of daemon {daemon} in {} ms of rest", rest.as_millis())]
-    Unrested {
+    /// A daemon sent more requests than allowed to a worker that had requested a back-off.
+    #[display("{worker}: {got} requests from daemon {daemon} during a back-off of {} ms", backoff.as_millis())]
+    SentDuringBackoff {
         /// The worker.
         worker: String,
         /// The daemon.
         daemon: usize,
-        /// How long it had asked for.
-        rest: Duration,
-        /// What it got.
+        /// The requested back-off.
+        backoff: Duration,
+        /// The number of requests that the daemon sent.
         got: usize,
     },
-    /// A planned stop cut a request.
+    /// A planned stop ended a request before its answer was complete.
     #[display("{id}: cut by the planned stop of daemon {daemon}")]
     CutByStop {
         /// The request.
@@ -114,41 +114,41 @@
         /// The daemon.
         daemon: usize,
     },
-    /// A daemon ended though nobody ended it.
+    /// A daemon wasn't running at the end although no fault had ended it.
     #[display("daemon {daemon} ended by itself, or never started")]
-    Ended {
+    DaemonEnded {
         /// The daemon.
         daemon: usize,
     },
-    /// Too little was served after the last trouble.
-    #[display("{served} of {asked} were served after the last trouble")]
+    /// Too few requests were served after the last unplanned fault.
+    #[display("{served} of {sent} requests were served after the last unplanned fault")]
     NotRecovered {
-        /// Requests served.
+        /// The number of requests served.
         served: usize,
-        /// Requests sent.
-        asked: usize,
+        /// The number of requests sent.
+        sent: usize,
     },
 }
 
-/// Every promise that a run broke.
-pub fn broken(history: &History) -> Vec<Broken> {
+/// Returns all violations of a run.
+pub fn find_violations(history: &History) -> Vec<Violation> {
     let runs = runs_by_id(history);
     let mut found = Vec::new();
     for call in &history.calls {
-        found.extend(mixed(history, call));
-        found.extend(twice(call, &runs));
-        found.extend(refused_and_run(call, &runs));
-        found.extend(removed_key(history, call, &runs));
+        found.extend(wrong_answer(history, call));
+        found.extend(ran_too_often(call, &runs));
+        found.extend(ran_despite_refusal(call, &runs));
+        found.extend(ran_with_removed_key(history, call, &runs));
         found.extend(cut_by_stop(history, call, &runs));
     }
-    found.extend(unasked(history));
-    found.extend(drained(history));
-    found.extend(limited(history));
+    found.extend(never_sent(history));
+    found.extend(sent_to_draining(history));
+    found.extend(limit_exceeded(history));
     found.extend(sent_to_leaving(history));
-    found.extend(unrested(history));
+    found.extend(sent_during_backoff(history));
     found.extend(not_recovered(history));
-    let ended = history.ended.iter();
-    found.extend(ended.map(|daemon| Broken::Ended { daemon: *daemon }));
+    let ended = history.ended_daemons.iter();
+    found.extend(ended.map(|daemon| Violation::DaemonEnded { daemon: *daemon }));
     found
 }
 
@@ -162,9 +162,9 @@
     runs
 }
 
-/// The whole body that a worker answers a request with.
-pub fn whole_body(kind: Kind, id: &str, stream_events: u64) -> String {
-    if kind == Kind::Once {
+/// Returns the complete body with which a worker answers a request.
+pub fn whole_body(kind: RouteKind, id: &str, stream_events: u64) -> String {
+    if kind == RouteKind::Once {
         return bridgevane_platform_emulator::whole_body(id);
     }
     let events = 1..=stream_events;
@@ -173,8 +173,9 @@
         .collect()
 }
 
-fn mixed(history: &History, call: &Call) -> Option<Broken> {
-    let End::Answered {
+/// Finds a success whose signature or body isn't the worker's.
+fn wrong_answer(history: &History, call: &Call) -> Option<Violation> {
+    let CallEnd::Answered {
         status,
         is_signed,
         body,
@@ -192,178 +193,195 @@
         return None;
     };
     let id = call.id.clone();
-    Some(Broken::Mixed { id, what })
+    Some(Violation::WrongAnswer { id, what })
 }
 
-fn twice(call: &Call, runs: &RunsById<'_>) -> Option<Broken> {
+/// Finds a request that ran more often than its route permits.
+fn ran_too_often(call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
     let times = runs.get(call.id.as_str()).copied().unwrap_or(0);
     let id = call.id.clone();
-    (times > 1 && !call.kind.may_repeat()).then_some(Broken::Twice { id, times })
+    (times > 1 && !call.kind.may_repeat()).then_some(Violation::RanTooOften { id, times })
 }
 
-fn refused_and_run(call: &Call, runs: &RunsById<'_>) -> Option<Broken> {
-    let End::Answered { status, .. } = call.end else {
+/// Finds a request that ran although the status of its answer guarantees that it didn't.
+fn ran_despite_refusal(call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+    let CallEnd::Answered { status, .. } = call.end else {
         return None;
     };
-    let promises = matches!(status, 408 | 421 | 429 | 503);
+    let is_refusal = matches!(status, 408 | 421 | 429 | 503);
     let id = call.id.clone();
-    (promises && runs.contains_key(call.id.as_str()))
-        .then_some(Broken::RefusedAndRun { id, status })
+    (is_refusal && runs.contains_key(call.id.as_str()))
+        .then_some(Violation::RanDespiteRefusal { id, status })
 }
 
-fn removed_key(history: &History, call: &Call, runs: &RunsById<'_>) -> Option<Broken> {
+/// Finds a request that was sent with a removed key after the bound, and that ran.
+fn ran_with_removed_key(history: &History, call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
     if !runs.contains_key(call.id.as_str()) {
         return None;
     }
     let removal = history.removals.iter().find(|r| r.key == call.key)?;
-    let late = call.sent_at.checked_sub(removal.at + KEY_REMOVAL)?;
-    let calm_from = removal.at.saturating_sub(CONTACT);
-    if history.serves_stale && !history.is_calm(calm_from, call.sent_at) {
+    let late = call.sent_at.checked_sub(removal.at + KEY_REMOVAL_BOUND)?;
+    let undisturbed_from = removal.at.saturating_sub(UNDISTURBED_PERIOD);
+    if history.serves_stale && !history.is_undisturbed(undisturbed_from, call.sent_at) {
         return None;
     }
-    Some(Broken::RemovedKey {
+    Some(Violation::RanWithRemovedKey {
         id: call.id.clone(),
         late_ms: late.as_millis(),
     })
 }
 
-/// A request that was taken by a daemon which was told to stop, and that a worker ran, ends
-/// without an answer, though nothing else was wrong.
-fn cut_by_stop(history: &History, call: &Call, runs: &RunsById<'_>) -> Option<Broken> {
-    if !matches!(call.end, End::CutInside | End::CutBefore) || !runs.contains_key(call.id.as_str())
+/// Finds a request that a worker ran but whose answer was cut while its daemon performed a planned
+/// stop, without any unplanned fault.
+fn cut_by_stop(history: &History, call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+    if !matches!(call.end, CallEnd::CutInside | CallEnd::CutBefore)
+        || !runs.contains_key(call.id.as_str())
     {
         return None;
     }
-    let calm_from = call.sent_at.saturating_sub(CONTACT);
+    let undisturbed_from = call.sent_at.saturating_sub(UNDISTURBED_PERIOD);
     let during = |stop: &&crate::history::PlannedStop| {
         stop.daemon == call.daemon && stop.from <= call.ended_at && call.sent_at <= stop.to
     };
     history.stops.iter().find(during)?;
     history
-        .is_calm(calm_from, call.ended_at)
-        .then(|| Broken::CutByStop {
+        .is_undisturbed(undisturbed_from, call.ended_at)
+        .then(|| Violation::CutByStop {
             id: call.id.clone(),
             daemon: call.daemon,
         })
 }
 
-fn unasked(history: &History) -> Vec<Broken> {
+/// Finds runs of requests that no caller sent.
+fn never_sent(history: &History) -> Vec<Violation> {
     let sent: HashSet<&str> = history.calls.iter().map(|call| call.id.as_str()).collect();
     let runs = history.runs.iter();
-    let strange = runs.filter(|run| !sent.contains(run.id.as_str()));
-    strange
-        .map(|run| Broken::Unasked { id: run.id.clone() })
+    let unknown = runs.filter(|run| !sent.contains(run.id.as_str()));
+    unknown
+        .map(|run| Violation::NeverSent { id: run.id.clone() })
         .collect()
 }
 
-fn drained(history: &History) -> Vec<Broken> {
+/// Finds requests at draining workers after the bound.
+fn sent_to_draining(history: &History) -> Vec<Violation> {
     let late = |run: &crate::history::Run| {
-        let leaving = history.leavings.iter().find(|l| l.worker == run.worker)?;
-        let late = run.at.checked_sub(leaving.at + DRAIN)?;
-        let calm_from = leaving.at.saturating_sub(CONTACT);
-        history.is_calm(calm_from, run.at).then(|| Broken::Drained {
-            id: run.id.clone(),
-            worker: run.worker.clone(),
-            late_ms: late.as_millis(),
-        })
+        let drain = history
+            .drains
+            .iter()
+            .find(|drain| drain.worker == run.worker)?;
+        let late = run.at.checked_sub(drain.at + DRAIN_BOUND)?;
+        let undisturbed_from = drain.at.saturating_sub(UNDISTURBED_PERIOD);
+        history
+            .is_undisturbed(undisturbed_from, run.at)
+            .then(|| Violation::SentToDraining {
+                id: run.id.clone(),
+                worker: run.worker.clone(),
+                late_ms: late.as_millis(),
+            })
     };
     history.runs.iter().filter_map(late).collect()
 }
 
-/// Workers that got more than their limit allows, from daemons that had passed on such an answer.
-fn limited(history: &History) -> Vec<Broken> {
-    let told = ToldDaemons::by(history, |wish| matches!(wish, Wish::Limit(_)));
-    let from_told: Vec<(&Arrived, f64)> = history
+/// Finds a worker that got more requests than its limit allows from daemons that had forwarded an
+/// answer announcing the limit.
+fn limit_exceeded(history: &History) -> Vec<Violation> {
+    let informed =
+        InformedDaemons::from_history(history, |announced| matches!(announced, Wish::Limit(_)));
+    let from_informed: Vec<(&RequestArrival, f64)> = history
         .arrivals
         .iter()
-        .filter_map(|arrived| match arrived.wish {
-            Some(Wish::Limit(limit)) if told.knew(history, arrived, TOLD) => Some((arrived, limit)),
+        .filter_map(|arrival| match arrival.announcement {
+            Some(Wish::Limit(limit)) if informed.has_known(history, arrival, REACTION_BOUND) => {
+                Some((arrival, limit))
+            }
             _ => None,
         })
         .collect();
-    let over = from_told.iter().filter_map(|(first, limit)| {
+    let exceeded = from_informed.iter().filter_map(|(first, limit)| {
         let window = first.at..first.at + LIMIT_WINDOW;
-        let in_window = |(arrived, _): &&(&Arrived, f64)| {
-            arrived.worker == first.worker && window.contains(&arrived.at)
+        let in_window = |(arrival, _): &&(&RequestArrival, f64)| {
+            arrival.worker == first.worker && window.contains(&arrival.at)
         };
-        let got = from_told.iter().filter(in_window).count();
+        let got = from_informed.iter().filter(in_window).count();
         let allowed = (limit * LIMIT_WINDOW.as_secs_f64() * 1.5 + 5.0).floor() as usize;
-        (got > allowed).then(|| Broken::Limited {
+        (got > allowed).then(|| Violation::LimitExceeded {
             worker: first.worker.clone(),
             limit: *limit,
             got,
             allowed,
         })
     });
-    over.take(1).collect()
+    exceeded.take(1).collect()
 }
 
-/// Requests at workers that leave, from daemons that had passed on an answer that says so.
-fn sent_to_leaving(history: &History) -> Vec<Broken> {
-    let told = ToldDaemons::by(history, |wish| *wish == Wish::Leaving);
-    let late = history.arrivals.iter().filter(|arrived| {
-        arrived.wish == Some(Wish::Leaving) && told.knew(history, arrived, DRAIN)
+/// Finds requests at leaving workers from daemons that had forwarded an answer announcing it.
+fn sent_to_leaving(history: &History) -> Vec<Violation> {
+    let informed = InformedDaemons::from_history(history, |announced| *announced == Wish::Leaving);
+    let late = history.arrivals.iter().filter(|arrival| {
+        arrival.announcement == Some(Wish::Leaving)
+            && informed.has_known(history, arrival, DRAIN_BOUND)
     });
-    late.map(|arrived| Broken::SentToLeaving {
-        id: arrived.id.clone(),
-        worker: arrived.worker.clone(),
+    late.map(|arrival| Violation::SentToLeaving {
+        id: arrival.id.clone(),
+        worker: arrival.worker.clone(),
     })
     .collect()
 }
 
-/// Workers that asked a daemon for rest, and got more from it meanwhile.
-fn unrested(history: &History) -> Vec<Broken> {
+/// Finds a worker that requested a back-off from a daemon and got too many requests from it
+/// meanwhile.
+fn sent_during_backoff(history: &History) -> Vec<Violation> {
     let calls = history.calls.iter();
     let daemon_of: HashMap<&str, usize> =
         calls.map(|call| (call.id.as_str(), call.daemon)).collect();
-    let daemon_of = |arrived: &Arrived| daemon_of.get(arrived.id.as_str()).copied();
-    let asked = history.arrivals.iter().filter_map(|arrived| {
-        let Some(Wish::Rest(rest)) = arrived.wish else {
+    let daemon_of = |arrival: &RequestArrival| daemon_of.get(arrival.id.as_str()).copied();
+    let backoffs = history.arrivals.iter().filter_map(|arrival| {
+        let Some(Wish::Rest(backoff)) = arrival.announcement else {
             return None;
         };
-        Some((arrived, daemon_of(arrived)?, rest))
+        Some((arrival, daemon_of(arrival)?, backoff))
     });
-    let broken = asked.filter_map(|(asked, daemon, rest)| {
-        let resting = asked.at + TOLD..asked.at + rest;
-        if !history.is_calm(asked.at, resting.end) {
+    let violations = backoffs.filter_map(|(announcing, daemon, backoff)| {
+        let window = announcing.at + REACTION_BOUND..announcing.at + backoff;
+        if !history.is_undisturbed(announcing.at, window.end) {
             return None;
         }
-        let got = history.arrivals.iter().filter(|arrived| {
-            arrived.worker == asked.worker
-                && resting.contains(&arrived.at)
-                && daemon_of(arrived) == Some(daemon)
+        let got = history.arrivals.iter().filter(|arrival| {
+            arrival.worker == announcing.worker
+                && window.contains(&arrival.at)
+                && daemon_of(arrival) == Some(daemon)
         });
         let got = got.count();
-        (got > WHILE_RESTING).then(|| Broken::Unrested {
-            worker: asked.worker.clone(),
+        (got > MAX_DURING_BACKOFF).then(|| Violation::SentDuringBackoff {
+            worker: announcing.worker.clone(),
             daemon,
-            rest,
+            backoff,
             got,
         })
     });
-    broken.take(1).collect()
+    violations.take(1).collect()
 }
 
-/// When each daemon had first passed on an answer of a worker with a wish.
-struct ToldDaemons<'a> {
+/// When each daemon first forwarded an answer in which a worker made an announcement.
+struct InformedDaemons<'a> {
     daemon_of: HashMap<&'a str, usize>,
-    told_at: HashMap<(&'a str, usize), Duration>,
+    informed_at: HashMap<(&'a str, usize), Duration>,
 }
 
-impl<'a> ToldDaemons<'a> {
-    fn by(history: &'a History, is_meant: impl Fn(&Wish) -> bool) -> Self {
+impl<'a> InformedDaemons<'a> {
+    fn from_history(history: &'a History, is_expected: impl Fn(&Wish) -> bool) -> Self {
         let calls = history.calls.iter();
         let by_id: HashMap<&str, &Call> = calls.map(|call| (call.id.as_str(), call)).collect();
-        let mut told_at = HashMap::new();
-        for arrived in &history.arrivals {
-            let Some(call) = by_id.get(arrived.id.as_str()) else {
+        let mut informed_at = HashMap::new();
+        for arrival in &history.arrivals {
+            let Some(call) = by_id.get(arrival.id.as_str()) else {
                 continue;
             };
-            // The caller has its answer: the daemon has passed it on by then.
-            let is_answered = matches!(call.end, End::Answered { .. });
-            if is_answered && arrived.wish.as_ref().is_some_and(&is_meant) {
-                let key = (arrived.worker.as_str(), call.daemon);
-                let at = told_at.entry(key).or_insert(call.ended_at);
+            // The caller has its answer, so the daemon has forwarded it by then.
+            let is_answered = matches!(call.end, CallEnd::Answered { .. });
+            if is_answered && arrival.announcement.as_ref().is_some_and(&is_expected) {
+                let key = (arrival.worker.as_str(), call.daemon);
+                let at = informed_at.entry(key).or_insert(call.ended_at);
                 *at = call.ended_at.min(*at);
             }
         }
@@ -372,36 +390,40 @@
                 .into_iter()
                 .map(|(id, call)| (id, call.daemon))
                 .collect(),
-            told_at,
+            informed_at,
         }
     }
 
-    /// Whether the daemon that sent a request had been told so long before, and lived on since.
-    fn knew(&self, history: &History, arrived: &Arrived, before: Duration) -> bool {
-        let Some(daemon) = self.daemon_of.get(arrived.id.as_str()) else {
+    /// Returns whether the daemon that sent a request had known the announcement for at least
+    /// `before`, and has run without interruption since.
+    fn has_known(&self, history: &History, arrival: &RequestArrival, before: Duration) -> bool {
+        let Some(daemon) = self.daemon_of.get(arrival.id.as_str()) else {
             return false;
         };
-        let told_at = self.told_at.get(&(arrived.worker.as_str(), *daemon));
-        told_at.is_some_and(|told_at| {
+        let informed_at = self.informed_at.get(&(arrival.worker.as_str(), *daemon));
+        informed_at.is_some_and(|informed_at| {
             let was_stopped = history.stops.iter().any(|stop| {
-                stop.daemon == *daemon && stop.from <= arrived.at && *told_at <= stop.to
+                stop.daemon == *daemon && stop.from <= arrival.at && *informed_at <= stop.to
             });
-            *told_at + before <= arrived.at && !was_stopped && history.is_calm(*told_at, arrived.at)
+            *informed_at + before <= arrival.at
+                && !was_stopped
+                && history.is_undisturbed(*informed_at, arrival.at)
         })
     }
 }
 
-fn not_recovered(history: &History) -> Option<Broken> {
-    let from = history.calm_from + RECOVERY;
+/// Checks the share of served requests after the last unplanned fault.
+fn not_recovered(history: &History) -> Option<Violation> {
+    let from = history.undisturbed_from + RECOVERY_BOUND;
     let removed: HashSet<&str> = history.removals.iter().map(|r| r.key.as_str()).collect();
-    let asked: Vec<&Call> = history
+    let sent: Vec<&Call> = history
         .calls
         .iter()
         .filter(|call| call.sent_at >= from && !removed.contains(call.key.as_str()))
         .collect();
-    let is_served = |call: &&&Call| matches!(call.end, End::Answered { status: 200, .. });
-    let served = asked.iter().filter(is_served).count();
-    let asked = asked.len();
-    let enough = asked as f64 * RECOVERED_SHARE;
-    ((served as f64) < enough).then_some(Broken::NotRecovered { served, asked })
+    let is_served = |call: &&&Call| matches!(call.end, CallEnd::Answered { status: 200, .. });
+    let served = sent.iter().filter(is_served).count();
+    let sent = sent.len();
+    let required = sent as f64 * MIN_SERVED_SHARE;
+    ((served as f64) < required).then_some(Violation::NotRecovered { served, sent })
 }
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,6 +1,6 @@
-//! Callers: each keeps a connection for many requests, and uses it until it ends.
+//! Callers: each sends one request after the other and reuses its connection while it is open.
 
-use crate::history::{Call, End, Kind};
+use crate::history::{Call, CallEnd, RouteKind};
 use crate::stage::KEYS;
 use bridgevane_platform_emulator::{is_signed, keyed_request};
 use http_body_util::BodyExt;
@@ -14,16 +14,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// How long a caller waits for an answer.
+/// The deadline of a call; the request carries it, too.
 const DEADLINE: Duration = Duration::from_millis(3_000);
-/// How long for a connection.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// How long between two calls.
+/// The timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The range of the pause between two calls of a caller, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 10..80;
 
 type Body = http_body_util::Full<bytes::Bytes>;
 
-/// All calls of a run.
+/// The calls recorded by all callers of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Calls(Arc<Mutex<Vec<Call>>>);
 
@@ -37,11 +37,11 @@
     }
 }
 
-/// One caller.
+/// One caller, with its own stream of random numbers.
 pub(crate) struct Caller {
     pub(crate) number: usize,
     pub(crate) seed: u64,
-    pub(crate) doors: Vec<SocketAddr>,
+    pub(crate) client_addresses: Vec<SocketAddr>,
     pub(crate) started: Instant,
     pub(crate) until: Instant,
     pub(crate) calls: Calls,
@@ -53,7 +53,7 @@
 }
 
 impl Caller {
-    /// Calls until the time is over.
+    /// Sends calls until `until`, each to a random daemon unless the connection is reused.
     pub(crate) async fn run(self) {
         let mut random = Pcg64::seed_from_u64(self.seed ^ (self.number as u64) << 32);
         let mut connection: Option<Connection> = None;
@@ -61,20 +61,21 @@
         while Instant::now() < self.until {
             count += 1;
             let id = format!("c{}-{count}", self.number);
-            let kind = [Kind::Once, Kind::Stream, Kind::Resumable][random.random_range(0..3)];
+            let kind = [RouteKind::Once, RouteKind::Stream, RouteKind::Resumable]
+                [random.random_range(0..3)];
             let key = KEYS[random.random_range(0..KEYS.len())];
-            let daemon = random.random_range(0..self.doors.len());
+            let daemon = random.random_range(0..self.client_addresses.len());
             let sent_at = self.started.elapsed();
             let open = match connection.take() {
                 Some(open) if open.sender.is_ready() => Some(open),
-                _ => connect(daemon, self.doors[daemon]).await,
+                _ => connect(daemon, self.client_addresses[daemon]).await,
             };
             let (daemon, end) = match open {
-                None => (daemon, End::NotConnected),
+                None => (daemon, CallEnd::NotConnected),
                 Some(mut open) => {
                     let end = call(&mut open.sender, kind, &id, key).await;
                     let daemon = open.daemon;
-                    if matches!(end, End::Answered { .. }) {
+                    if matches!(end, CallEnd::Answered { .. }) {
                         connection = Some(open);
                     }
                     (daemon, end)
@@ -95,46 +96,48 @@
     }
 }
 
-async fn connect(daemon: usize, door: SocketAddr) -> Option<Connection> {
-    let stream = timeout(CONNECT_LIMIT, TcpStream::connect(door)).await;
+async fn connect(daemon: usize, client_address: SocketAddr) -> Option<Connection> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(client_address)).await;
     let stream = stream.ok()?.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move {
-        // How it ends shows in the calls.
+        // A connection error is visible in the calls that it ends.
         let _ = connection.await;
     });
     Some(Connection { daemon, sender })
 }
 
-async fn call(sender: &mut SendRequest<Body>, kind: Kind, id: &str, key: &str) -> End {
+async fn call(sender: &mut SendRequest<Body>, kind: RouteKind, id: &str, key: &str) -> CallEnd {
     let calling = exchange(sender, kind, id, key);
-    timeout(DEADLINE, calling).await.unwrap_or(End::TimedOut)
+    timeout(DEADLINE, calling)
+        .await
+        .unwrap_or(CallEnd::TimedOut)
 }
 
-async fn exchange(sender: &mut SendRequest<Body>, kind: Kind, id: &str, key: &str) -> End {
+async fn exchange(sender: &mut SendRequest<Body>, kind: RouteKind, id: &str, key: &str) -> CallEnd {
     let deadline_ms = DEADLINE.as_millis() as u64;
     let (head, _) = keyed_request(kind.path(), id, key, deadline_ms).into_parts();
     let request = http::Request::from_parts(head, Body::from("hi"));
     let answer = match sender.try_send_request(request).await {
         Ok(answer) => answer,
-        // Not a byte was sent.
+        // The message is returned if not a byte of it was sent.
         Err(mut error) => {
             let is_unsent = error.take_message().is_some();
             return if is_unsent {
-                End::NotConnected
+                CallEnd::NotConnected
             } else {
-                End::CutBefore
+                CallEnd::CutBefore
             };
         }
     };
     let status = answer.status().as_u16();
     let is_signed = is_signed(answer.headers(), id);
     match answer.into_body().collect().await {
-        Ok(body) => End::Answered {
+        Ok(body) => CallEnd::Answered {
             status,
             is_signed,
             body: String::from_utf8_lossy(&body.to_bytes()).into_owned(),
         },
-        Err(_) => End::CutInside,
+        Err(_) => CallEnd::CutInside,
     }
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,26 +1,26 @@
-//! What callers and workers saw in a run.
+//! The record of a run: calls of callers, runs at workers, and injected faults.
 
 use bridgevane_platform_emulator::Wish;
 use std::time::Duration;
 
-/// How a route's requests may run.
+/// How often a route's requests may run, and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Once at most, answered whole.
+pub enum RouteKind {
+    /// At most once; the answer has one body.
     Once,
-    /// Once at most, answered by a stream.
+    /// At most once; the answer is a stream.
     Stream,
-    /// A stream that may be taken up elsewhere.
+    /// The answer is a stream that may be resumed on another worker.
     Resumable,
 }
 
-impl Kind {
-    /// Whether a request may run more than once.
+impl RouteKind {
+    /// Returns whether a request may run more than once.
     pub fn may_repeat(self) -> bool {
         self == Self::Resumable
     }
 
-    /// The route's path.
+    /// Returns the route's path.
     pub fn path(self) -> &'static str {
         match self {
             Self::Once => "/once/x",
@@ -30,48 +30,48 @@
     }
 }
 
-/// How a call ended for its caller.
+/// The end of a call as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// An answer that looked complete.
+pub enum CallEnd {
+    /// An answer that arrived completely as far as HTTP tells.
     Answered {
-        /// Its status.
+        /// The status code.
         status: u16,
-        /// Whether it had a worker's signature.
+        /// Whether it carried a valid signature of a worker.
         is_signed: bool,
-        /// Its body.
+        /// The body.
         body: String,
     },
-    /// The connection ended inside the answer.
+    /// The connection ended in the middle of the answer.
     CutInside,
-    /// The connection ended without an answer.
+    /// The connection ended before an answer.
     CutBefore,
-    /// The caller's time was over.
+    /// No complete answer arrived within the caller's deadline.
     TimedOut,
-    /// No connection came about: nothing was sent.
+    /// No connection was established, or nothing was sent on it.
     NotConnected,
 }
 
-/// One call.
+/// One call of a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its identifier.
+    /// The request's id.
     pub id: String,
-    /// Its route's kind.
-    pub kind: Kind,
-    /// The daemon that it was sent to.
+    /// The route's kind.
+    pub kind: RouteKind,
+    /// The daemon to which it was sent.
     pub daemon: usize,
-    /// The key that it carried.
+    /// The API key that it carried.
     pub key: String,
     /// When it was sent.
     pub sent_at: Duration,
     /// When it ended.
     pub ended_at: Duration,
     /// How it ended.
-    pub end: End,
+    pub end: CallEnd,
 }
 
-/// One run at a worker.
+/// One run of a request at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// The request.
@@ -84,36 +84,36 @@
 
 /// A request that reached a worker, whether it ran or not.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Arrived {
+pub struct RequestArrival {
     /// The request.
     pub id: String,
     /// The worker.
     pub worker: String,
-    /// When it came.
+    /// When it arrived.
     pub at: Duration,
-    /// What the answer asked for.
-    pub wish: Option<Wish>,
+    /// What the answer announced.
+    pub announcement: Option<Wish>,
 }
 
-/// A key that the store acknowledged as removed.
+/// The removal of an API key, acknowledged by the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Removal {
+pub struct KeyRemoval {
     /// The key.
     pub key: String,
-    /// When the acknowledgement came.
+    /// When the store acknowledged it.
     pub at: Duration,
 }
 
-/// A worker that was told to leave.
+/// The change of a worker's record to draining.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Leaving {
+pub struct WorkerDrain {
     /// The worker.
     pub worker: String,
     /// When the store acknowledged it.
     pub at: Duration,
 }
 
-/// A daemon's planned stop, from its signal to the end of the process.
+/// A planned stop of a daemon, from its signal to the end of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedStop {
     /// The daemon.
@@ -124,45 +124,46 @@
     pub to: Duration,
 }
 
-/// A time in which something unplanned was wrong.
+/// A period with an unplanned fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disruption {
-    /// Its begin.
+    /// Its start.
     pub from: Duration,
     /// Its end.
     pub to: Duration,
 }
 
-/// A whole run.
+/// The record of a run; times count from the start of the calls.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// All calls.
+    /// The calls of all callers.
     pub calls: Vec<Call>,
-    /// All runs.
+    /// The runs at all workers.
     pub runs: Vec<Run>,
-    /// All requests that reached workers.
-    pub arrivals: Vec<Arrived>,
-    /// Keys that were removed.
-    pub removals: Vec<Removal>,
-    /// Workers that left.
-    pub leavings: Vec<Leaving>,
-    /// Planned stops.
+    /// The requests that reached workers.
+    pub arrivals: Vec<RequestArrival>,
+    /// The removals of API keys.
+    pub removals: Vec<KeyRemoval>,
+    /// The workers that were drained.
+    pub drains: Vec<WorkerDrain>,
+    /// The planned stops of daemons.
     pub stops: Vec<PlannedStop>,
-    /// Unplanned trouble.
+    /// The periods with unplanned faults.
     pub disruptions: Vec<Disruption>,
-    /// Daemons that had ended by themselves when the run was over.
-    pub ended: Vec<usize>,
-    /// When the last trouble was over.
-    pub calm_from: Duration,
-    /// Events of a whole stream.
+    /// The daemons that were not running at the end although no fault had ended them.
+    pub ended_daemons: Vec<usize>,
+    /// The end of the last unplanned fault.
+    pub undisturbed_from: Duration,
+    /// The number of events of a complete stream.
     pub stream_events: u64,
-    /// Daemons serve on without a proof: a removed key may be used while something is wrong.
+    /// Whether daemons continue to serve without a proof: a removed key may then be used during an
+    /// unplanned fault.
     pub serves_stale: bool,
 }
 
 impl History {
-    /// Whether nothing unplanned was wrong between two moments.
-    pub fn is_calm(&self, from: Duration, to: Duration) -> bool {
+    /// Returns whether no unplanned fault overlaps the period.
+    pub fn is_undisturbed(&self, from: Duration, to: Duration) -> bool {
         let overlaps = |disruption: &Disruption| disruption.from <= to && from <= disruption.to;
         !self.disruptions.iter().any(overlaps)
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,6 +1,6 @@
-//! A randomized soak: real gateway processes on loopback before the emulated platform, with
-//! faults from outside them, drawn from a seed. What callers and endpoints saw is checked
-//! against the promises afterwards ([`checks`]).
+//! A randomized fault soak: real gateway processes on loopback with the emulated platform, and
+//! faults drawn from a seed that are injected from outside the processes. Afterwards, the calls and
+//! runs recorded by callers and workers are checked against the gateway's guarantees ([`checks`]).
 
 pub mod checks;
 mod clients;
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -1,21 +1,22 @@
-//! What a run is made of.
+//! The options of a run.
 
 use crate::plan::Scale;
 use std::path::PathBuf;
 
-/// What a run is made of.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program under test.
     pub program: PathBuf,
-    /// Where logs and the plot go.
+    /// The folder for logs and the plot.
     pub folder: PathBuf,
-    /// Where the faults are drawn from.
+    /// The seed from which the faults are drawn.
     pub seed: u64,
-    /// How much there is.
+    /// The number of daemons and workers, and the run's length.
     pub scale: Scale,
-    /// Callers.
+    /// The number of callers.
     pub callers: usize,
-    /// Daemons serve on while the store is away (`--strict-key-removal false`).
+    /// Whether daemons continue to serve during an outage of the store
+    /// (`--strict-key-removal false`).
     pub serves_stale: bool,
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when: drawn from a seed, so that a run can be played again.
+//! The plan of a run: its faults and their times, drawn from a seed so that a run can be repeated.
 
 use derive_more::Display;
 use rand::RngExt;
@@ -6,19 +6,19 @@
 use rand_pcg::Pcg64;
 use std::time::Duration;
 
-/// Nothing goes wrong before this: everything starts.
-const CALM_START: Duration = Duration::from_millis(1_500);
-/// Nothing begins to go wrong in the last part: the last fault ends, and everything recovers.
-const CALM_END: Duration = Duration::from_millis(10_000);
+/// No fault begins before this time, so that all processes can start.
+const STARTUP_PERIOD: Duration = Duration::from_millis(1_500);
+/// No fault begins in this last part of a run, so that the last faults end and the fleet recovers.
+const RECOVERY_PERIOD: Duration = Duration::from_millis(10_000);
 
-/// Tells the numbers of the wishes from those of the faults.
-const WISH_STREAM: u64 = 0x5157_0000_0000_0000;
-/// How long a worker asks for something: longer than the window in which a limit is counted.
-const WISH_LASTS: Duration = Duration::from_millis(5_000);
-/// The last wish begins so long after the last fault has begun, when most of them are over.
-const CALM_WISH_AFTER: Duration = Duration::from_millis(3_500);
+/// Separates the random numbers of the announcements from those of the faults.
+const ANNOUNCEMENT_SEED: u64 = 0x5157_0000_0000_0000;
+/// The duration of an announcement: longer than the window over which a limit is counted.
+const ANNOUNCEMENT_DURATION: Duration = Duration::from_millis(5_000);
+/// The delay of the last announcement after the last fault can begin: most faults are over then.
+const LATE_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(3_500);
 
-/// A loopback connection that leads through a proxy.
+/// A connection between two processes that leads through a proxy.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Link {
     /// From the callers to a daemon.
@@ -27,7 +27,7 @@
     /// From a daemon to the store.
     #[display("{_0}-store")]
     Store(usize),
-    /// From a daemon to the daemon that it may follow.
+    /// From a daemon to the peer that it may follow.
     #[display("{_0}-peer")]
     Peer(usize),
     /// From all daemons to a worker.
@@ -35,28 +35,28 @@
     Worker(usize),
 }
 
-/// What a link does to what passes.
+/// How a link treats the bytes that are sent through it.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq)]
 pub enum LinkMode {
-    /// Everything passes.
+    /// Bytes are forwarded at once.
     #[default]
     #[display("passes")]
     Passes,
-    /// Everything passes later.
+    /// Bytes are forwarded with a delay.
     #[display("delayed")]
     Delayed,
-    /// Nothing passes until it heals.
+    /// No bytes are forwarded; they are held until the fault ends.
     #[display("silent")]
     Silent,
-    /// Only what goes out from the dialling side passes.
+    /// Only bytes from the connecting side are forwarded; the others are held.
     #[display("one way")]
     OneWay,
-    /// Connections are reset, open ones and new ones.
+    /// Open and new connections are reset.
     #[display("reset")]
     Reset,
 }
 
-/// One fault.
+/// A fault, or planned work such as a planned stop.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Fault {
     /// A daemon is killed and started again at once.
@@ -65,16 +65,16 @@
     /// All daemons are killed at the same moment.
     #[display("kill all daemons")]
     KillAll,
-    /// A daemon stands still.
+    /// A daemon is suspended (SIGSTOP).
     #[display("pause daemon {_0}")]
     Pause(usize),
-    /// A daemon gets a stop signal, and is started again when it has ended.
+    /// A daemon is stopped as planned (SIGTERM) and started again when it has ended.
     #[display("stop daemon {_0}")]
     Stop(usize),
-    /// A daemon gets the signal to read its settings again.
+    /// A daemon gets the signal to reload its settings (SIGHUP).
     #[display("reload daemon {_0}")]
     Reload(usize),
-    /// The store takes calls and says nothing.
+    /// The store accepts calls and doesn't answer.
     #[display("store silent")]
     StoreSilent,
     /// The store refuses every call.
@@ -83,105 +83,107 @@
     /// The store answers late.
     #[display("store slow")]
     StoreSlow,
-    /// The store forgets its history.
-    #[display("store forgets")]
+    /// The store loses its history of changes.
+    #[display("store loses its history")]
     StoreForgets,
     /// A link misbehaves.
     #[display("link {_0} {_1}")]
     Link(Link, LinkMode),
-    /// A worker drains and another takes its place.
+    /// A worker drains and another one replaces it.
     #[display("replace worker {_0}")]
     ReplaceWorker(usize),
     /// A worker fails its requests.
     #[display("worker {_0} fails")]
     WorkerFails(usize),
-    /// A worker says that it is full.
+    /// A worker refuses its requests as overloaded.
     #[display("worker {_0} is full")]
     WorkerFull(usize),
-    /// A worker breaks its answers off.
-    #[display("worker {_0} breaks off")]
+    /// A worker breaks off its answers.
+    #[display("worker {_0} breaks off its answers")]
     WorkerBreaksOff(usize),
     /// The operator changes the configuration.
     #[display("change the configuration")]
     ChangeConfig,
-    /// The operator takes a key away.
+    /// The operator removes an API key.
     #[display("remove a key")]
     RemoveKey,
 }
 
-/// A fault at its time.
+/// A fault with its time.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display("{:>6} ms  {fault} for {} ms", at.as_millis(), lasts.as_millis())]
 pub struct Event {
-    /// When it begins, from the start of the calls.
+    /// The time at which it begins, from the start of the calls.
     pub at: Duration,
-    /// How long it lasts, where it does.
+    /// Its duration, if the fault has one.
     pub lasts: Duration,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// What a worker asks for in its answers for a while.
+/// What a worker announces in its answers for a while.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
-pub enum WorkerWish {
-    /// So many requests a second at most, from all daemons together.
-    #[display("at most {_0} a second")]
+pub enum WorkerAnnouncement {
+    /// A limit in requests per second, for all daemons together.
+    #[display("a limit of {_0} per second")]
     Limit(f64),
-    /// Nothing new: it leaves, and its record says so only later.
-    #[display("nothing new")]
+    /// That it is leaving; its record says so only later.
+    #[display("that it is leaving")]
     Leaving,
-    /// Nothing for so long from each daemon that it turns away, and it turns all away.
-    #[display("{} ms of rest", _0.as_millis())]
-    Rest(Duration),
+    /// A back-off, requested from each daemon whose request it refuses; it refuses all requests.
+    #[display("a back-off of {} ms", _0.as_millis())]
+    Backoff(Duration),
 }
 
-/// A worker's wish at its time.
+/// A worker's announcement with its time.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
-#[display("{:>6} ms  worker {worker} asks for {wish} for {} ms", at.as_millis(), lasts.as_millis())]
-pub struct WishEvent {
-    /// When it begins, from the start of the calls.
+#[display("{:>6} ms  worker {worker} announces {announcement} for {} ms", at.as_millis(), lasts.as_millis())]
+pub struct AnnouncementEvent {
+    /// The time at which it begins, from the start of the calls.
     pub at: Duration,
-    /// How long it lasts.
+    /// Its duration.
     pub lasts: Duration,
-    /// The worker's place.
+    /// The worker's position.
     pub worker: usize,
-    /// What it is.
-    pub wish: WorkerWish,
+    /// The announcement.
+    pub announcement: WorkerAnnouncement,
 }
 
-/// How much there is that can go wrong.
+/// The size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Scale {
-    /// Daemons.
+    /// The number of daemons.
     pub daemons: usize,
-    /// Workers.
+    /// The number of workers.
     pub workers: usize,
-    /// How long callers call.
+    /// The time during which callers send calls.
     pub length: Duration,
 }
 
-/// A whole run.
+/// The plan of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Where it was drawn from.
+    /// The seed from which it was drawn.
     pub seed: u64,
-    /// The faults, in order of time.
+    /// The faults in order of time.
     pub events: Vec<Event>,
-    /// What workers ask for: once among the faults, and once when the last of them are over.
-    pub wishes: Vec<WishEvent>,
+    /// The announcements of workers: one during the faults, and one when most of them are over.
+    pub announcements: Vec<AnnouncementEvent>,
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64, scale: Scale) -> Self {
         let mut random = Pcg64::seed_from_u64(seed);
-        let span = scale.length.saturating_sub(CALM_START + CALM_END);
+        let span = scale
+            .length
+            .saturating_sub(STARTUP_PERIOD + RECOVERY_PERIOD);
         let span_ms = span.as_millis().max(1) as u64;
-        // About one fault a second: they come in series and overlap.
+        // About one fault per second, so that faults follow each other closely and overlap.
         let count = (span.as_secs_f64().ceil() as usize).max(2);
         let mut events: Vec<Event> = (0..count)
             .map(|_| {
-                let at = CALM_START + Duration::from_millis(random.random_range(0..span_ms));
+                let at = STARTUP_PERIOD + Duration::from_millis(random.random_range(0..span_ms));
                 let lasts = Duration::from_millis(random.random_range(200..4_000));
                 let fault = draw_fault(&mut random, scale);
                 Event { at, lasts, fault }
@@ -191,31 +193,32 @@
         Self {
             seed,
             events,
-            wishes: draw_wishes(seed, scale),
+            announcements: draw_announcements(seed, scale),
         }
     }
 }
 
-/// Wishes have a stream of numbers of their own, so that the faults of a seed stay what they were.
-fn draw_wishes(seed: u64, scale: Scale) -> Vec<WishEvent> {
-    let mut random = Pcg64::seed_from_u64(seed ^ WISH_STREAM);
-    let calm_from = scale.length.saturating_sub(CALM_END);
-    [CALM_START, calm_from + CALM_WISH_AFTER]
+/// Draws the announcements. They have their own random numbers, so that a seed keeps the faults that
+/// it had before there were announcements.
+fn draw_announcements(seed: u64, scale: Scale) -> Vec<AnnouncementEvent> {
+    let mut random = Pcg64::seed_from_u64(seed ^ ANNOUNCEMENT_SEED);
+    let recovery_from = scale.length.saturating_sub(RECOVERY_PERIOD);
+    [STARTUP_PERIOD, recovery_from + LATE_ANNOUNCEMENT_DELAY]
         .into_iter()
-        .map(|from| WishEvent {
+        .map(|from| AnnouncementEvent {
             at: from + Duration::from_millis(random.random_range(0..500)),
-            lasts: WISH_LASTS,
+            lasts: ANNOUNCEMENT_DURATION,
             worker: random.random_range(0..scale.workers),
-            wish: draw_wish(&mut random),
+            announcement: draw_announcement(&mut random),
         })
         .collect()
 }
 
-fn draw_wish(random: &mut Pcg64) -> WorkerWish {
+fn draw_announcement(random: &mut Pcg64) -> WorkerAnnouncement {
     match random.random_range(0..3) {
-        0 => WorkerWish::Limit(random.random_range(0.3..1.2)),
-        1 => WorkerWish::Leaving,
-        _ => WorkerWish::Rest(Duration::from_millis(random.random_range(1_000..3_000))),
+        0 => WorkerAnnouncement::Limit(random.random_range(0.3..1.2)),
+        1 => WorkerAnnouncement::Leaving,
+        _ => WorkerAnnouncement::Backoff(Duration::from_millis(random.random_range(1_000..3_000))),
     }
 }
 
--- a/crates/soak/src/plot.rs
+++ b/crates/soak/src/plot.rs
@@ -1,15 +1,15 @@
-//! Served, refused and failed calls over time, beside the faults, as an SVG picture.
+//! A plot (SVG) of served, refused and failed calls over time, with the faults' durations.
 
-use crate::history::{Call, End, History};
+use crate::history::{Call, CallEnd, History};
 use crate::plan::Plan;
 use derive_more::{Display, Error};
 use plotters::prelude::*;
 use std::path::Path;
 use std::time::Duration;
 
-/// The picture can't be drawn; the drawing library says why.
+/// The plot can't be drawn; `cause` is the drawing library's message.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("the plot can't be drawn: {cause}")]
+#[display("can't draw the plot: {cause}")]
 pub struct PlotError {
     cause: String,
 }
@@ -26,14 +26,14 @@
 const BUCKET: Duration = Duration::from_millis(500);
 
 fn is_served(call: &Call) -> bool {
-    matches!(call.end, End::Answered { status: 200, .. })
+    matches!(call.end, CallEnd::Answered { status: 200, .. })
 }
 
-/// Refused for now, and told so at once.
+/// Returns whether the call was refused with a status that says so (401 or 503).
 fn is_refused(call: &Call) -> bool {
     matches!(
         call.end,
-        End::Answered {
+        CallEnd::Answered {
             status: 401 | 503,
             ..
         }
@@ -44,11 +44,11 @@
     !is_served(call) && !is_refused(call)
 }
 
-/// Whether a call is of a kind.
-type Kind = fn(&Call) -> bool;
+/// Selects the calls of one line of the plot.
+type CallFilter = fn(&Call) -> bool;
 
-/// Calls of a kind for each half second.
-fn series(history: &History, length: Duration, kind: Kind) -> Vec<(f64, u32)> {
+/// Counts the selected calls per half second.
+fn series(history: &History, length: Duration, kind: CallFilter) -> Vec<(f64, u32)> {
     let buckets = (length.as_millis() / BUCKET.as_millis()) as usize + 1;
     let mut counts = vec![0; buckets];
     for call in history.calls.iter().filter(|call| kind(call)) {
@@ -60,17 +60,17 @@
     counts.map(|(at, count)| (second(at), count)).collect()
 }
 
-/// Draws the picture.
+/// Draws the plot into the file at `path`.
 ///
 /// # Errors
-/// [`PlotError`] when the picture can't be drawn or written.
+/// [`PlotError`] if the plot can't be drawn or written.
 pub(crate) fn draw(
     path: &Path,
     plan: &Plan,
     history: &History,
     length: Duration,
 ) -> Result<(), PlotError> {
-    let kinds: [(&str, Kind, RGBColor); 3] = [
+    let kinds: [(&str, CallFilter, RGBColor); 3] = [
         ("served", is_served, GREEN),
         ("refused", is_refused, BLUE),
         ("failed", is_failed, RED),
@@ -89,7 +89,7 @@
     chart
         .configure_mesh()
         .x_desc("seconds")
-        .y_desc("calls in half a second")
+        .y_desc("calls per half second")
         .draw()
         .map_err(PlotError::of)?;
     for event in &plan.events {
--- a/crates/soak/src/processes.rs
+++ b/crates/soak/src/processes.rs
@@ -1,4 +1,4 @@
-//! Daemons as processes: started, signalled and ended by their own ids.
+//! Daemons as child processes, signalled by their process ids.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -7,34 +7,34 @@
 use std::process::Stdio;
 use tokio::process::{Child, Command};
 
-/// What a daemon is started with.
+/// The settings with which a daemon is started.
 #[derive(Clone, Debug)]
 pub(crate) struct DaemonSettings {
     pub(crate) name: String,
     pub(crate) clients: SocketAddr,
     pub(crate) ready: SocketAddr,
     pub(crate) peers: SocketAddr,
-    /// The store, by way of this daemon's own proxy.
+    /// The address of this daemon's own proxy of the store.
     pub(crate) store: SocketAddr,
-    /// The daemons that follow the store.
+    /// The peer addresses through which it joins the other daemons.
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) key_removal_ms: u128,
-    /// It serves on while the store is away.
+    /// Whether it continues to serve during an outage of the store.
     pub(crate) serves_stale: bool,
 }
 
-/// A daemon; its process is killed when this ends.
+/// A running daemon; its process is killed when this is dropped.
 #[derive(Debug)]
 pub(crate) struct Daemon {
     pub(crate) settings: DaemonSettings,
     program: PathBuf,
     logs: PathBuf,
-    lives: usize,
+    starts: usize,
     process: Child,
 }
 
 impl Daemon {
-    /// Starts the daemon; its log goes into a file for each life.
+    /// Starts the daemon; each start logs to a file of its own.
     pub(crate) fn start(
         program: &Path,
         logs: &Path,
@@ -45,34 +45,34 @@
             settings,
             program: program.to_owned(),
             logs: logs.to_owned(),
-            lives: 1,
+            starts: 1,
             process,
         })
     }
 
-    /// Starts the daemon anew, at its old addresses.
+    /// Starts the daemon again at the same addresses.
     pub(crate) fn restart(&mut self) -> Result<(), std::io::Error> {
-        self.process = spawn(&self.program, &self.logs, &self.settings, self.lives)?;
-        self.lives += 1;
+        self.process = spawn(&self.program, &self.logs, &self.settings, self.starts)?;
+        self.starts += 1;
         Ok(())
     }
 
-    /// Sends a signal to the process, if it still runs.
+    /// Sends a signal to the process if it still runs.
     pub(crate) fn signal(&self, signal: Signal) {
         let id = self.process.id().and_then(|id| Pid::from_raw(id as i32));
         if let Some(pid) = id {
-            // A process that has just ended needs none.
+            // A process that has just ended can't be signalled; that is no error here.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Whether the process has ended.
+    /// Returns whether the process has ended.
     pub(crate) fn has_ended(&mut self) -> Result<bool, std::io::Error> {
         Ok(self.process.try_wait()?.is_some())
     }
 
     /// Waits until the process has ended.
-    pub(crate) async fn ended(&mut self) -> Result<(), std::io::Error> {
+    pub(crate) async fn wait_for_end(&mut self) -> Result<(), std::io::Error> {
         self.process.wait().await.map(|_| ())
     }
 }
@@ -81,9 +81,9 @@
     program: &Path,
     logs: &Path,
     settings: &DaemonSettings,
-    life: usize,
+    start_number: usize,
 ) -> Result<Child, std::io::Error> {
-    let log = File::create(logs.join(format!("{}-{life}.log", settings.name)))?;
+    let log = File::create(logs.join(format!("{}-{start_number}.log", settings.name)))?;
     let seeds: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
     Command::new(program)
         .arg("gateway")
@@ -102,8 +102,8 @@
         .stdin(Stdio::null())
         .stdout(log)
         .stderr(Stdio::inherit())
-        // A group of its own: a stopped daemon in a group that is left alone would have the system
-        // hang up on all of the group.
+        // The daemon gets its own process group: if a group becomes orphaned while one of its
+        // processes is stopped, the kernel sends SIGHUP to the whole group.
         .process_group(0)
         .kill_on_drop(true)
         .spawn()
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, silences, cuts one way or resets what passes through it.
+//! A loopback proxy that delays, blocks (in both directions or one) or resets connections.
 
 use crate::plan::LinkMode;
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How much later delayed bytes pass.
+/// The delay of every chunk in the mode [`LinkMode::Delayed`].
 const DELAY: Duration = Duration::from_millis(150);
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// A running proxy; it ends with this.
+/// A running proxy; dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     mode: watch::Sender<LinkMode>,
     accepting: JoinHandle<()>,
@@ -29,10 +29,10 @@
 }
 
 impl Proxy {
-    /// Starts a proxy before `target`.
+    /// Starts a proxy that forwards to `target`.
     ///
     /// # Errors
-    /// When no port is free.
+    /// Returns an error if no port is free.
     pub async fn start(target: SocketAddr) -> Result<Self, std::io::Error> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -45,7 +45,7 @@
         })
     }
 
-    /// From now on what passes fares so.
+    /// Sets the mode of all connections, open ones and new ones.
     pub fn set(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
@@ -53,17 +53,22 @@
 
 async fn accept(listener: TcpListener, target: SocketAddr, mode: watch::Receiver<LinkMode>) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(carry(stream, target, mode.clone()));
+        tokio::spawn(forward_connection(stream, target, mode.clone()));
     }
 }
 
-/// A reset in place of an orderly end.
+/// Makes the stream end with a reset (RST) when it is dropped.
 fn reset(stream: TcpStream) {
-    // A socket that is gone already needs none.
+    // A socket that is closed already can't be reset; that is no error here.
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn carry(near: TcpStream, target: SocketAddr, mut mode: watch::Receiver<LinkMode>) {
+/// Forwards one connection until both directions end or a reset is set.
+async fn forward_connection(
+    near: TcpStream,
+    target: SocketAddr,
+    mut mode: watch::Receiver<LinkMode>,
+) {
     if *mode.borrow() == LinkMode::Reset {
         return reset(near);
     }
@@ -72,10 +77,20 @@
     };
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let out = tokio::spawn(pump(near_read, far_write, mode.clone(), Direction::Out));
-    let back = tokio::spawn(pump(far_read, near_write, mode.clone(), Direction::Back));
+    let out = tokio::spawn(forward_bytes(
+        near_read,
+        far_write,
+        mode.clone(),
+        Direction::Out,
+    ));
+    let back = tokio::spawn(forward_bytes(
+        far_read,
+        near_write,
+        mode.clone(),
+        Direction::Back,
+    ));
     let is_reset = async {
-        // The sender lives as long as the run.
+        // An error means that the proxy was dropped: the connection is closed as well.
         let _ = mode.wait_for(|mode| *mode == LinkMode::Reset).await;
     };
     let (out_end, back_end) = (out.abort_handle(), back.abort_handle());
@@ -90,14 +105,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
-    /// From the dialling side.
+    /// From the connecting side to the target.
     Out,
-    /// To it.
+    /// From the target to the connecting side.
     Back,
 }
 
-/// Carries bytes one way; bytes that a cut holds up go on when it heals.
-async fn pump(
+/// Forwards bytes in one direction; blocked bytes are held and forwarded once the mode permits it.
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut mode: watch::Receiver<LinkMode>,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,12 +1,12 @@
-//! One run: a stage, callers, the faults of a plan, and the verdict.
+//! One run: starts the processes and callers, injects the plan's faults, and checks the record.
 
-use crate::checks::{Broken, broken};
+use crate::checks::{Violation, find_violations};
 use crate::clients::{Caller, Calls};
-use crate::history::{Disruption, End, History, Leaving, PlannedStop, Removal};
+use crate::history::{CallEnd, Disruption, History, KeyRemoval, PlannedStop, WorkerDrain};
 use crate::options::Options;
-use crate::plan::{Event, Fault, LinkMode, Plan, WishEvent, WorkerWish};
+use crate::plan::{AnnouncementEvent, Event, Fault, LinkMode, Plan, WorkerAnnouncement};
 use crate::plot::{self, PlotError};
-use crate::stage::{STREAM_EVENTS, Stage};
+use crate::stage::{Environment, STREAM_EVENTS};
 use bridgevane_platform_emulator::{Behaviour, Fault as StoreFault, Wish};
 use derive_more::{Display, Error, From};
 use rustix::process::Signal;
@@ -16,53 +16,53 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Answers of a slow store take so long.
+/// The duration of an answer of the slow store.
 const SLOW_STORE: Duration = Duration::from_millis(300);
-/// How long daemons may take to start.
-const START_LIMIT: Duration = Duration::from_millis(1_000);
+/// The time that daemons have to start before the calls begin.
+const START_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// The longest planned stop.
+/// Longer than a planned stop may take (6 s); after this a stop counts as ended by another fault.
 const STOP_LIMIT: Duration = Duration::from_millis(7_000);
 
-/// A run can't be made.
+/// The error of a run that couldn't be performed.
 #[derive(Debug, Display, Error, From)]
 pub enum SoakError {
-    /// A process, a port or a file is not to be had.
-    #[display("the run can't be made: {_0}")]
+    /// A process, port or file isn't available.
+    #[display("can't run the soak: {_0}")]
     System(std::io::Error),
     /// The plot can't be drawn.
     #[display("{_0}")]
     Plot(PlotError),
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// What went wrong by plan.
+    /// The plan of the run.
     pub plan: Plan,
-    /// What was seen.
+    /// The record of the run.
     pub history: History,
-    /// The promises that were broken.
-    pub broken: Vec<Broken>,
+    /// The violated guarantees.
+    pub broken: Vec<Violation>,
 }
 
 impl Outcome {
-    /// One line: how many calls ended how, and how many promises were broken.
+    /// Returns one line with the number of calls by their end, of faults and of violations.
     pub fn summary(&self) -> String {
         let calls = &self.history.calls;
-        let count = |is: fn(&End) -> bool| calls.iter().filter(|call| is(&call.end)).count();
-        let served = count(|end| matches!(end, End::Answered { status: 200, .. }));
+        let count = |is: fn(&CallEnd) -> bool| calls.iter().filter(|call| is(&call.end)).count();
+        let served = count(|end| matches!(end, CallEnd::Answered { status: 200, .. }));
         let refused = count(|end| {
             matches!(
                 end,
-                End::Answered {
+                CallEnd::Answered {
                     status: 401 | 503,
                     ..
                 }
             )
         });
-        let answered = count(|end| matches!(end, End::Answered { .. }));
-        let not_connected = count(|end| *end == End::NotConnected);
+        let answered = count(|end| matches!(end, CallEnd::Answered { .. }));
+        let not_connected = count(|end| *end == CallEnd::NotConnected);
         format!(
             "seed {}: {} calls, {served} served, {refused} refused, {} failed, \
              {not_connected} not connected, {} cut or timed out; {} faults, {} broken",
@@ -76,33 +76,33 @@
     }
 }
 
-/// What the faults note beside what callers and workers see.
+/// The part of the record that the tasks of faults write.
 #[derive(Debug, Default)]
-struct Notes {
-    removals: Vec<Removal>,
-    leavings: Vec<Leaving>,
+struct FaultRecord {
+    removals: Vec<KeyRemoval>,
+    drains: Vec<WorkerDrain>,
     stops: Vec<PlannedStop>,
     disruptions: Vec<Disruption>,
-    calm_from: Duration,
+    undisturbed_from: Duration,
 }
 
 struct Shared {
-    stage: Mutex<Stage>,
-    notes: Mutex<Notes>,
+    environment: Mutex<Environment>,
+    record: Mutex<FaultRecord>,
     started: Instant,
 }
 
-/// Makes one run.
+/// Performs one run.
 ///
 /// # Errors
-/// [`SoakError`] when it can't be made; broken promises are part of the outcome.
+/// [`SoakError`] if the run can't be performed; violations are part of the outcome.
 pub async fn run(options: &Options) -> Result<Outcome, SoakError> {
     std::fs::create_dir_all(&options.folder)?;
     let plan = Plan::draw(options.seed, options.scale);
-    let mut stage = Stage::start(options).await?;
-    sleep(START_LIMIT).await;
-    stage.started = Instant::now();
-    let started = stage.started;
+    let mut environment = Environment::start(options).await?;
+    sleep(START_PERIOD).await;
+    environment.started = Instant::now();
+    let started = environment.started;
     let until = started + options.scale.length;
     let calls = Calls::default();
     let mut callers = JoinSet::new();
@@ -110,7 +110,7 @@
         let caller = Caller {
             number,
             seed: options.seed,
-            doors: stage.doors(),
+            client_addresses: environment.client_addresses(),
             started,
             until,
             calls: calls.clone(),
@@ -118,136 +118,141 @@
         callers.spawn(caller.run());
     }
     let shared = Arc::new(Shared {
-        stage: Mutex::new(stage),
-        notes: Mutex::default(),
+        environment: Mutex::new(environment),
+        record: Mutex::default(),
         started,
     });
     let mut faults = JoinSet::new();
     for event in plan.events.iter().copied() {
-        faults.spawn(play(shared.clone(), event));
+        faults.spawn(inject_fault(shared.clone(), event));
     }
-    for wish in plan.wishes.iter().copied() {
-        faults.spawn(play_wish(shared.clone(), wish));
+    for announcement in plan.announcements.iter().copied() {
+        faults.spawn(make_announcement(shared.clone(), announcement));
     }
-    while let Some(played) = faults.join_next().await {
-        played.map_err(std::io::Error::other)??;
+    while let Some(task) = faults.join_next().await {
+        task.map_err(std::io::Error::other)??;
     }
     while callers.join_next().await.is_some() {}
-    let notes = std::mem::take(&mut *shared.notes.lock().await);
-    let mut stage = shared.stage.lock().await;
+    let record = std::mem::take(&mut *shared.record.lock().await);
+    let mut environment = shared.environment.lock().await;
     let history = History {
         calls: calls.take(),
-        runs: stage.runs(),
-        arrivals: stage.arrivals(),
-        ended: stage.ended()?,
-        removals: notes.removals,
-        leavings: notes.leavings,
-        stops: notes.stops,
-        disruptions: notes.disruptions,
-        calm_from: notes.calm_from,
+        runs: environment.runs(),
+        arrivals: environment.arrivals(),
+        ended_daemons: environment.stopped_daemons()?,
+        removals: record.removals,
+        drains: record.drains,
+        stops: record.stops,
+        disruptions: record.disruptions,
+        undisturbed_from: record.undisturbed_from,
         stream_events: STREAM_EVENTS,
         serves_stale: options.serves_stale,
     };
-    let picture = options.folder.join("served.svg");
-    plot::draw(&picture, &plan, &history, options.scale.length)?;
+    let plot_path = options.folder.join("served.svg");
+    plot::draw(&plot_path, &plan, &history, options.scale.length)?;
     Ok(Outcome {
-        broken: broken(&history),
+        broken: find_violations(&history),
         plan,
         history,
     })
 }
 
-/// Plays one fault, and notes when something unplanned was wrong.
-async fn play(shared: Arc<Shared>, event: Event) -> Result<(), std::io::Error> {
+/// Injects one fault at its time, and records its period if it is unplanned.
+async fn inject_fault(shared: Arc<Shared>, event: Event) -> Result<(), std::io::Error> {
     sleep_until(shared.started + event.at).await;
     let from = shared.started.elapsed();
-    let is_planned = strike(&shared, event).await?;
+    let is_planned = apply_fault(&shared, event).await?;
     let to = shared.started.elapsed();
-    let mut notes = shared.notes.lock().await;
+    let mut record = shared.record.lock().await;
     if !is_planned {
-        notes.disruptions.push(Disruption { from, to });
+        record.disruptions.push(Disruption { from, to });
     }
     if !is_planned {
-        notes.calm_from = notes.calm_from.max(to);
+        record.undisturbed_from = record.undisturbed_from.max(to);
     }
     Ok(())
 }
 
-/// A worker asks for something for a while; that is no trouble.
-async fn play_wish(shared: Arc<Shared>, event: WishEvent) -> Result<(), std::io::Error> {
+/// Lets a worker make an announcement for a while; this isn't recorded as a fault.
+async fn make_announcement(
+    shared: Arc<Shared>,
+    event: AnnouncementEvent,
+) -> Result<(), std::io::Error> {
     sleep_until(shared.started + event.at).await;
-    let worker = shared.stage.lock().await.worker(event.worker);
-    match event.wish {
-        WorkerWish::Limit(per_s) => {
+    let worker = shared.environment.lock().await.worker(event.worker);
+    match event.announcement {
+        WorkerAnnouncement::Limit(per_s) => {
             worker.ask_for(Some(Wish::Limit(per_s)));
             sleep(event.lasts).await;
             worker.ask_for(None);
         }
-        WorkerWish::Leaving => {
+        WorkerAnnouncement::Leaving => {
             worker.ask_for(Some(Wish::Leaving));
             sleep(event.lasts).await;
-            let mut stage = shared.stage.lock().await;
-            // Another fault may have replaced it.
-            if stage.worker(event.worker).id == worker.id {
-                stage.replace_worker(event.worker).await?;
+            let mut environment = shared.environment.lock().await;
+            // Another fault may have replaced the worker.
+            if environment.worker(event.worker).id == worker.id {
+                environment.replace_worker(event.worker).await?;
             }
         }
-        WorkerWish::Rest(rest) => {
+        WorkerAnnouncement::Backoff(backoff) => {
             worker.behave(Behaviour::Full);
-            worker.ask_for(Some(Wish::Rest(rest)));
+            worker.ask_for(Some(Wish::Rest(backoff)));
             sleep(event.lasts).await;
             worker.ask_for(None);
-            let stage = shared.stage.lock().await;
-            if stage.worker(event.worker).id == worker.id {
-                stage.behave_well(event.worker);
+            let environment = shared.environment.lock().await;
+            if environment.worker(event.worker).id == worker.id {
+                environment.restore_behaviour(event.worker);
             }
         }
     }
     Ok(())
 }
 
-/// Strikes and heals; true when it was planned work.
-async fn strike(shared: &Shared, event: Event) -> Result<bool, std::io::Error> {
+/// Applies a fault and ends it after its duration; returns whether it was planned work.
+async fn apply_fault(shared: &Shared, event: Event) -> Result<bool, std::io::Error> {
     let lasts = event.lasts;
     match event.fault {
-        Fault::Kill(at) => kill(shared, &[at]).await?,
+        Fault::Kill(at) => kill_and_restart(shared, &[at]).await?,
         Fault::KillAll => {
-            let count = shared.stage.lock().await.daemons.len();
+            let count = shared.environment.lock().await.daemons.len();
             let all: Vec<usize> = (0..count).collect();
-            kill(shared, &all).await?;
+            kill_and_restart(shared, &all).await?;
         }
         Fault::Pause(at) => {
-            shared.stage.lock().await.daemons[at].signal(Signal::STOP);
+            shared.environment.lock().await.daemons[at].signal(Signal::STOP);
             sleep(lasts).await;
-            shared.stage.lock().await.daemons[at].signal(Signal::CONT);
+            shared.environment.lock().await.daemons[at].signal(Signal::CONT);
         }
         Fault::Stop(at) => {
-            stop(shared, at).await?;
+            stop_and_restart(shared, at).await?;
             return Ok(true);
         }
         Fault::Reload(at) => {
-            shared.stage.lock().await.daemons[at].signal(Signal::HUP);
+            shared.environment.lock().await.daemons[at].signal(Signal::HUP);
             return Ok(true);
         }
-        Fault::StoreSilent => store(shared, StoreFault::Silent, lasts).await,
-        Fault::StoreBusy => store(shared, StoreFault::Busy, lasts).await,
-        Fault::StoreSlow => store(shared, StoreFault::Slow(SLOW_STORE), lasts).await,
-        Fault::StoreForgets => shared.stage.lock().await.store.forget(),
+        Fault::StoreSilent => disturb_store(shared, StoreFault::Silent, lasts).await,
+        Fault::StoreBusy => disturb_store(shared, StoreFault::Busy, lasts).await,
+        Fault::StoreSlow => disturb_store(shared, StoreFault::Slow(SLOW_STORE), lasts).await,
+        Fault::StoreForgets => shared.environment.lock().await.store.forget(),
         Fault::Link(link, mode) => {
-            shared.stage.lock().await.set_link(link, mode);
+            shared.environment.lock().await.set_link(link, mode);
             sleep(lasts).await;
             let passes = LinkMode::Passes;
-            shared.stage.lock().await.set_link(link, passes);
+            shared.environment.lock().await.set_link(link, passes);
         }
         Fault::ReplaceWorker(at) => {
-            replace_worker(shared, at).await?;
+            drain_worker(shared, at).await?;
             return Ok(true);
         }
-        Fault::WorkerFails(at) => worker(shared, at, Behaviour::Fails, lasts).await,
-        Fault::WorkerFull(at) => worker(shared, at, Behaviour::Full, lasts).await,
-        Fault::WorkerBreaksOff(at) => worker(shared, at, Behaviour::BreaksOff(3), lasts).await,
+        Fault::WorkerFails(at) => disturb_worker(shared, at, Behaviour::Fails, lasts).await,
+        Fault::WorkerFull(at) => disturb_worker(shared, at, Behaviour::Full, lasts).await,
+        Fault::WorkerBreaksOff(at) => {
+            disturb_worker(shared, at, Behaviour::BreaksOff(3), lasts).await
+        }
         Fault::ChangeConfig => {
-            shared.stage.lock().await.change_config();
+            shared.environment.lock().await.change_config();
             return Ok(true);
         }
         Fault::RemoveKey => {
@@ -258,31 +263,31 @@
     Ok(false)
 }
 
-async fn kill(shared: &Shared, daemons: &[usize]) -> Result<(), std::io::Error> {
-    let mut stage = shared.stage.lock().await;
+async fn kill_and_restart(shared: &Shared, daemons: &[usize]) -> Result<(), std::io::Error> {
+    let mut environment = shared.environment.lock().await;
     for at in daemons {
-        stage.daemons[*at].signal(Signal::KILL);
+        environment.daemons[*at].signal(Signal::KILL);
     }
     for at in daemons {
-        stage.daemons[*at].ended().await?;
-        stage.daemons[*at].restart()?;
+        environment.daemons[*at].wait_for_end().await?;
+        environment.daemons[*at].restart()?;
     }
     Ok(())
 }
 
-/// Stops a daemon as planned, and starts it again when it has ended.
-async fn stop(shared: &Shared, at: usize) -> Result<(), std::io::Error> {
+/// Stops a daemon as planned and starts it again when it has ended.
+async fn stop_and_restart(shared: &Shared, at: usize) -> Result<(), std::io::Error> {
     let from = shared.started.elapsed();
-    shared.stage.lock().await.daemons[at].signal(Signal::TERM);
-    // The stage is free meanwhile: other faults may come, a kill of this daemon, too.
+    shared.environment.lock().await.daemons[at].signal(Signal::TERM);
+    // The lock is free in between: other faults may occur, including a kill of this daemon.
     loop {
         sleep(Duration::from_millis(20)).await;
-        let mut stage = shared.stage.lock().await;
-        if stage.daemons[at].has_ended()? {
-            stage.daemons[at].restart()?;
+        let mut environment = shared.environment.lock().await;
+        if environment.daemons[at].has_ended()? {
+            environment.daemons[at].restart()?;
             break;
         }
-        // Killed and started again by another fault: this stop is over.
+        // Another fault killed the daemon and started it again: this stop is over.
         if shared.started.elapsed() > from + STOP_LIMIT {
             break;
         }
@@ -293,38 +298,38 @@
         from,
         to,
     };
-    shared.notes.lock().await.stops.push(stop);
+    shared.record.lock().await.stops.push(stop);
     Ok(())
 }
 
-async fn store(shared: &Shared, fault: StoreFault, lasts: Duration) {
-    shared.stage.lock().await.store.fault(Some(fault));
+async fn disturb_store(shared: &Shared, fault: StoreFault, lasts: Duration) {
+    shared.environment.lock().await.store.fault(Some(fault));
     sleep(lasts).await;
-    shared.stage.lock().await.store.fault(None);
+    shared.environment.lock().await.store.fault(None);
 }
 
-async fn worker(shared: &Shared, at: usize, behaviour: Behaviour, lasts: Duration) {
-    shared.stage.lock().await.behave(at, behaviour);
+async fn disturb_worker(shared: &Shared, at: usize, behaviour: Behaviour, lasts: Duration) {
+    shared.environment.lock().await.set_behaviour(at, behaviour);
     sleep(lasts).await;
-    shared.stage.lock().await.behave_well(at);
+    shared.environment.lock().await.restore_behaviour(at);
 }
 
-async fn replace_worker(shared: &Shared, at: usize) -> Result<(), std::io::Error> {
-    let left = shared.stage.lock().await.replace_worker(at).await?;
-    let leaving = Leaving {
-        worker: left.id,
+async fn drain_worker(shared: &Shared, at: usize) -> Result<(), std::io::Error> {
+    let drained = shared.environment.lock().await.replace_worker(at).await?;
+    let drain = WorkerDrain {
+        worker: drained.id,
         at: shared.started.elapsed(),
     };
-    shared.notes.lock().await.leavings.push(leaving);
+    shared.record.lock().await.drains.push(drain);
     Ok(())
 }
 
 async fn remove_key(shared: &Shared) {
-    let removed = shared.stage.lock().await.remove_key();
+    let removed = shared.environment.lock().await.remove_key();
     let at = shared.started.elapsed();
     if let Some(key) = removed {
         let key = key.to_owned();
-        let removal = Removal { key, at };
-        shared.notes.lock().await.removals.push(removal);
+        let removal = KeyRemoval { key, at };
+        shared.record.lock().await.removals.push(removal);
     }
 }
--- a/crates/soak/src/stage.rs
+++ b/crates/soak/src/stage.rs
@@ -1,7 +1,7 @@
-//! Store, workers, proxies and daemons of a run.
+//! The store, workers, proxies and daemons of a run.
 
-use crate::checks::KEY_REMOVAL;
-use crate::history::{Arrived, Run};
+use crate::checks::KEY_REMOVAL_BOUND;
+use crate::history::{RequestArrival, Run};
 use crate::options::Options;
 use crate::plan::{Link, LinkMode};
 use crate::processes::{Daemon, DaemonSettings};
@@ -15,26 +15,26 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// Daemons that follow the store.
-const SEEDS: usize = 2;
-/// Events of a whole stream.
+/// The number of daemons through which the others join.
+const SEED_DAEMONS: usize = 2;
+/// The number of events of a complete stream.
 pub(crate) const STREAM_EVENTS: u64 = 12;
-/// The time between two events.
-const EVENT_PAUSE: Duration = Duration::from_millis(25);
-/// How long a plain request takes.
-const PLAIN_WORK: Duration = Duration::from_millis(15);
-/// Keys that callers use in turn; some are taken away.
+/// The time between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(25);
+/// The duration of a plain request at its worker.
+const PLAIN_DURATION: Duration = Duration::from_millis(15);
+/// The API keys of callers; a run removes some of them.
 pub(crate) const KEYS: [&str; 6] = ["key-0", "key-1", "key-2", "key-3", "key-4", "key-5"];
 
-/// A worker's place: one worker after the other runs there.
+/// A position for a worker, with the worker that holds it now.
 #[derive(Debug)]
-struct Place {
+struct WorkerPosition {
     service: &'static str,
     worker: Worker,
     proxy: Proxy,
 }
 
-/// A daemon's proxies.
+/// The proxies of a daemon: before it, and between it and the store and a peer.
 #[derive(Debug)]
 struct Proxies {
     callers: Proxy,
@@ -42,29 +42,29 @@
     peer: Proxy,
 }
 
-/// Everything that runs.
+/// The store, daemons, workers and proxies of a run.
 #[derive(Debug)]
-pub(crate) struct Stage {
+pub(crate) struct Environment {
     pub(crate) store: Store,
     pub(crate) daemons: Vec<Daemon>,
     proxies: Vec<Proxies>,
-    places: Vec<Place>,
-    gone: Vec<Worker>,
+    positions: Vec<WorkerPosition>,
+    replaced: Vec<Worker>,
     keys: Vec<&'static str>,
     version: u64,
-    born: usize,
+    workers_started: usize,
     pub(crate) started: Instant,
 }
 
-/// Ports for daemons: below those that the system gives to outgoing connections, which could
-/// take one between the look and the start of the daemon.
+/// The ports of daemons: below the ephemeral ports, since an outgoing connection could otherwise take
+/// a port between the check that it is free and the daemon's start.
 const PORTS: std::ops::Range<u16> = 20_000..32_000;
 
-/// Ports that this process has given out: stages may run side by side, and a daemon takes its port
-/// only a while later.
-static PORTS_GIVEN: AtomicU32 = AtomicU32::new(0);
+/// The number of ports that this process has assigned: runs in one process may be concurrent, and a
+/// daemon binds its port only some time later.
+static PORTS_ASSIGNED: AtomicU32 = AtomicU32::new(0);
 
-/// Gives ports that are free, from a place of this process's own on.
+/// Assigns free ports, starting at an offset derived from the process id.
 #[derive(Debug)]
 struct Ports {
     first: u32,
@@ -78,9 +78,9 @@
     }
 
     fn next(&self) -> u16 {
-        let given = PORTS_GIVEN.fetch_add(1, Ordering::Relaxed);
-        let place = self.first.wrapping_add(given) % u32::from(PORTS.end - PORTS.start);
-        PORTS.start + place as u16
+        let assigned = PORTS_ASSIGNED.fetch_add(1, Ordering::Relaxed);
+        let position = self.first.wrapping_add(assigned) % u32::from(PORTS.end - PORTS.start);
+        PORTS.start + position as u16
     }
 
     async fn free_address(&self) -> Result<SocketAddr, std::io::Error> {
@@ -95,37 +95,37 @@
     }
 }
 
-fn behaviour(service: &str) -> Behaviour {
+fn normal_behaviour(service: &str) -> Behaviour {
     if service == PLAIN {
-        Behaviour::Whole(PLAIN_WORK)
+        Behaviour::Whole(PLAIN_DURATION)
     } else {
-        Behaviour::Events(STREAM_EVENTS, EVENT_PAUSE)
+        Behaviour::Events(STREAM_EVENTS, EVENT_INTERVAL)
     }
 }
 
-impl Stage {
-    /// Starts everything.
+impl Environment {
+    /// Starts the store, workers, proxies and daemons.
     pub(crate) async fn start(options: &Options) -> Result<Self, std::io::Error> {
         let scale = options.scale;
-        let mut stage = Self {
+        let mut environment = Self {
             store: Store::start().await,
             daemons: Vec::new(),
             proxies: Vec::new(),
-            places: Vec::new(),
-            gone: Vec::new(),
+            positions: Vec::new(),
+            replaced: Vec::new(),
             keys: KEYS.to_vec(),
             version: 0,
-            born: 0,
+            workers_started: 0,
             started: Instant::now(),
         };
-        stage.change_config();
+        environment.change_config();
         for at in 0..scale.workers {
             let service = if at % 2 == 0 { PLAIN } else { MODEL };
-            let place = stage.settle(service).await?;
-            stage.places.push(place);
+            let position = environment.start_worker(service).await?;
+            environment.positions.push(position);
         }
-        stage.start_daemons(options).await?;
-        Ok(stage)
+        environment.start_daemons(options).await?;
+        Ok(environment)
     }
 
     async fn start_daemons(&mut self, options: &Options) -> Result<(), std::io::Error> {
@@ -140,11 +140,11 @@
             let proxies = Proxies {
                 callers: Proxy::start(clients).await?,
                 store: Proxy::start(self.store.address).await?,
-                peer: Proxy::start(peers[at % SEEDS.min(count)]).await?,
+                peer: Proxy::start(peers[at % SEED_DAEMONS.min(count)]).await?,
             };
-            // A seed knows itself and the others; the rest one seed, by their own proxy.
-            let seeds = if at < SEEDS {
-                peers.iter().take(SEEDS).copied().collect()
+            // The first daemons know each other directly, the rest one of them through a proxy.
+            let seeds = if at < SEED_DAEMONS {
+                peers.iter().take(SEED_DAEMONS).copied().collect()
             } else {
                 vec![proxies.peer.address]
             };
@@ -155,7 +155,7 @@
                 peers: peers[at],
                 store: proxies.store.address,
                 seeds,
-                key_removal_ms: KEY_REMOVAL.as_millis(),
+                key_removal_ms: KEY_REMOVAL_BOUND.as_millis(),
                 serves_stale: options.serves_stale,
             };
             let daemon = Daemon::start(&options.program, &options.folder, settings)?;
@@ -165,32 +165,35 @@
         Ok(())
     }
 
-    /// A new worker with a proxy before it, in the store's records.
-    async fn settle(&mut self, service: &'static str) -> Result<Place, std::io::Error> {
-        let id = format!("i-{}", self.born);
-        self.born += 1;
-        let worker = Worker::start(&id, behaviour(service)).await;
+    /// Starts a worker with a proxy before it, and writes its record to the store.
+    async fn start_worker(
+        &mut self,
+        service: &'static str,
+    ) -> Result<WorkerPosition, std::io::Error> {
+        let id = format!("i-{}", self.workers_started);
+        self.workers_started += 1;
+        let worker = Worker::start(&id, normal_behaviour(service)).await;
         let proxy = Proxy::start(worker.address).await?;
         let record = worker.record_at(proxy.address, service, "z", "ready");
         self.store.put(&worker.key(), &record);
-        Ok(Place {
+        Ok(WorkerPosition {
             service,
             worker,
             proxy,
         })
     }
 
-    /// Puts another worker in a place; gives the one that drains.
+    /// Starts another worker in a position; drains and returns the one that held it.
     pub(crate) async fn replace_worker(&mut self, at: usize) -> Result<Worker, std::io::Error> {
-        let service = self.places[at].service;
-        let new = self.settle(service).await?;
-        let old = std::mem::replace(&mut self.places[at], new);
+        let service = self.positions[at].service;
+        let new = self.start_worker(service).await?;
+        let old = std::mem::replace(&mut self.positions[at], new);
         let record = old
             .worker
             .record_at(old.proxy.address, service, "z", "draining");
         self.store.put(&old.worker.key(), &record);
-        self.gone.push(old.worker.clone());
-        // It serves what it has, and whoever has not heard yet.
+        self.replaced.push(old.worker.clone());
+        // Its proxy stays for its running requests and for daemons that don't know the change yet.
         let proxy = old.proxy;
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_secs(60)).await;
@@ -199,18 +202,18 @@
         Ok(old.worker)
     }
 
-    pub(crate) fn behave(&self, at: usize, behaviour: Behaviour) {
-        self.places[at].worker.behave(behaviour);
+    pub(crate) fn set_behaviour(&self, at: usize, behaviour: Behaviour) {
+        self.positions[at].worker.behave(behaviour);
     }
 
-    pub(crate) fn behave_well(&self, at: usize) {
-        let place = &self.places[at];
-        place.worker.behave(behaviour(place.service));
+    pub(crate) fn restore_behaviour(&self, at: usize) {
+        let position = &self.positions[at];
+        position.worker.behave(normal_behaviour(position.service));
     }
 
-    /// The worker that is in a place now.
+    /// Returns the worker that holds a position now.
     pub(crate) fn worker(&self, at: usize) -> Worker {
-        self.places[at].worker.clone()
+        self.positions[at].worker.clone()
     }
 
     pub(crate) fn set_link(&self, link: Link, mode: LinkMode) {
@@ -218,23 +221,23 @@
             Link::Callers(at) => self.proxies[at].callers.set(mode),
             Link::Store(at) => self.proxies[at].store.set(mode),
             Link::Peer(at) => self.proxies[at].peer.set(mode),
-            Link::Worker(at) => self.places[at].proxy.set(mode),
+            Link::Worker(at) => self.positions[at].proxy.set(mode),
         }
     }
 
-    /// Daemons that have ended though nobody ended them.
-    pub(crate) fn ended(&mut self) -> Result<Vec<usize>, std::io::Error> {
-        let mut ended = Vec::new();
+    /// Returns the daemons that aren't running.
+    pub(crate) fn stopped_daemons(&mut self) -> Result<Vec<usize>, std::io::Error> {
+        let mut stopped = Vec::new();
         for (at, daemon) in self.daemons.iter_mut().enumerate() {
             if daemon.has_ended()? {
-                ended.push(at);
+                stopped.push(at);
             }
         }
-        Ok(ended)
+        Ok(stopped)
     }
 
-    /// Where callers reach the daemons.
-    pub(crate) fn doors(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses at which callers reach the daemons.
+    pub(crate) fn client_addresses(&self) -> Vec<SocketAddr> {
         let proxies = self.proxies.iter();
         proxies.map(|proxies| proxies.callers.address).collect()
     }
@@ -246,7 +249,7 @@
         self.store.put(CONFIG_KEY, &document);
     }
 
-    /// Takes the last key away, but never the first.
+    /// Removes the last key, but never the first one; returns the removed key.
     pub(crate) fn remove_key(&mut self) -> Option<&'static str> {
         if self.keys.len() < 2 {
             return None;
@@ -257,26 +260,26 @@
     }
 
     fn all_workers(&self) -> impl Iterator<Item = &Worker> {
-        let living = self.places.iter().map(|place| &place.worker);
-        living.chain(&self.gone)
+        let current = self.positions.iter().map(|position| &position.worker);
+        current.chain(&self.replaced)
     }
 
-    /// All requests that reached workers.
-    pub(crate) fn arrivals(&self) -> Vec<Arrived> {
+    /// Returns the requests that reached workers.
+    pub(crate) fn arrivals(&self) -> Vec<RequestArrival> {
         let of_worker = |worker: &Worker| {
             let arrivals = worker.arrivals().into_iter();
-            let arrived = arrivals.map(|arrival| Arrived {
+            let arrived = arrivals.map(|arrival| RequestArrival {
                 id: arrival.id,
                 worker: worker.id.clone(),
                 at: Instant::from_std(arrival.at).duration_since(self.started),
-                wish: arrival.wish,
+                announcement: arrival.wish,
             });
             arrived.collect::<Vec<_>>()
         };
         self.all_workers().flat_map(of_worker).collect()
     }
 
-    /// All runs at all workers.
+    /// Returns the runs at all workers.
     pub(crate) fn runs(&self) -> Vec<Run> {
         let all = self.all_workers();
         all.flat_map(|worker| {
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,9 +1,13 @@
-//! Each predicate catches a planted fault of its kind, and is content with a sound run.
+//! Each check finds a planted violation of its kind, and none in a correct record.
 
 use bridgevane_platform_emulator::Wish;
-use bridgevane_soak::checks::{Broken, CONTACT, DRAIN, KEY_REMOVAL, RECOVERY, broken, whole_body};
+use bridgevane_soak::checks::{
+    DRAIN_BOUND, KEY_REMOVAL_BOUND, RECOVERY_BOUND, UNDISTURBED_PERIOD, Violation, find_violations,
+    whole_body,
+};
 use bridgevane_soak::history::{
-    Arrived, Call, Disruption, End, History, Kind, Leaving, PlannedStop, Removal, Run,
+    Call, CallEnd, Disruption, History, KeyRemoval, PlannedStop, RequestArrival, RouteKind, Run,
+    WorkerDrain,
 };
 use std::time::Duration;
 
@@ -13,19 +17,19 @@
     Duration::from_millis(ms)
 }
 
-fn answered(status: u16, is_signed: bool, body: String) -> End {
-    End::Answered {
+fn answered(status: u16, is_signed: bool, body: String) -> CallEnd {
+    CallEnd::Answered {
         status,
         is_signed,
         body,
     }
 }
 
-fn served(kind: Kind, id: &str) -> End {
+fn served(kind: RouteKind, id: &str) -> CallEnd {
     answered(200, true, whole_body(kind, id, STREAM_EVENTS))
 }
 
-fn call(id: &str, kind: Kind, sent_at: Duration, end: End) -> Call {
+fn call(id: &str, kind: RouteKind, sent_at: Duration, end: CallEnd) -> Call {
     Call {
         id: id.into(),
         kind,
@@ -45,9 +49,9 @@
     }
 }
 
-/// One call of each kind, served as it should be, twenty seconds into the run.
-fn sound() -> History {
-    let kinds = [Kind::Once, Kind::Stream, Kind::Resumable];
+/// Returns a record of one correctly served call per kind, 20 s into the run.
+fn correct_record() -> History {
+    let kinds = [RouteKind::Once, RouteKind::Stream, RouteKind::Resumable];
     let ids = ["a", "b", "c"];
     let at = ms(20_000);
     let calls = kinds.iter().zip(ids);
@@ -61,153 +65,185 @@
     }
 }
 
+/// Guards against checks that report correct runs.
 #[test]
-fn a_sound_run_breaks_nothing() {
-    assert_eq!(broken(&sound()), vec![]);
+fn a_correct_record_has_no_violations() {
+    assert_eq!(find_violations(&correct_record()), vec![]);
 }
 
+/// Guards against a check that accepts the answer of another request, an incomplete or wrong stream,
+/// or an unsigned answer.
 #[test]
-fn another_s_answer_a_missing_piece_and_a_missing_signature_are_mixed() {
+fn wrong_incomplete_and_unsigned_answers_are_found() {
     let wrong = [
-        served(Kind::Stream, "other"),
-        answered(200, true, whole_body(Kind::Stream, "b", STREAM_EVENTS - 1)),
-        answered(200, true, whole_body(Kind::Stream, "b", 1).repeat(3)),
-        answered(200, false, whole_body(Kind::Stream, "b", STREAM_EVENTS)),
+        served(RouteKind::Stream, "other"),
+        answered(
+            200,
+            true,
+            whole_body(RouteKind::Stream, "b", STREAM_EVENTS - 1),
+        ),
+        answered(200, true, whole_body(RouteKind::Stream, "b", 1).repeat(3)),
+        answered(
+            200,
+            false,
+            whole_body(RouteKind::Stream, "b", STREAM_EVENTS),
+        ),
     ];
     for end in wrong {
-        let mut history = sound();
+        let mut history = correct_record();
         history.calls[1].end = end;
-        let found = broken(&history);
+        let found = find_violations(&history);
         assert!(
-            matches!(found.as_slice(), [Broken::Mixed { .. }]),
+            matches!(found.as_slice(), [Violation::WrongAnswer { .. }]),
             "{found:?}"
         );
     }
 }
 
+/// Guards against missed double runs, and against reports of permitted ones.
 #[test]
-fn a_second_run_of_what_may_run_once_is_found() {
-    let mut history = sound();
+fn a_second_run_of_a_request_that_may_run_once_is_found() {
+    let mut history = correct_record();
     history.runs.push(run("c", ms(20_050)));
-    assert_eq!(broken(&history), vec![], "it may be repeated");
+    assert_eq!(find_violations(&history), vec![], "it may be repeated");
     history.runs.push(run("a", ms(20_050)));
     let id = "a".into();
-    assert_eq!(broken(&history), vec![Broken::Twice { id, times: 2 }]);
+    assert_eq!(
+        find_violations(&history),
+        vec![Violation::RanTooOften { id, times: 2 }]
+    );
 }
 
+/// Guards against a check that only sees runs that precede the refusal.
 #[test]
-fn a_refusal_of_what_ran_is_found_also_when_it_ran_later() {
+fn a_run_of_a_refused_request_is_found_before_and_after_the_refusal() {
     for ran_at in [ms(20_010), ms(25_000)] {
-        let mut history = sound();
+        let mut history = correct_record();
         history.calls[0].end = answered(503, false, String::new());
         history.runs[0].at = ran_at;
         let id = "a".into();
         let status = 503;
-        // One of three unserved is not recovered, too; that is another promise.
-        assert!(broken(&history).contains(&Broken::RefusedAndRun { id, status }));
+        // One unserved call of three also violates the recovery; that is another check.
+        assert!(find_violations(&history).contains(&Violation::RanDespiteRefusal { id, status }));
     }
 }
 
+/// Guards against requests that the gateway invents or whose id it changes.
 #[test]
-fn a_run_that_nobody_asked_for_is_found() {
-    let mut history = sound();
+fn a_run_of_a_request_that_no_caller_sent_is_found() {
+    let mut history = correct_record();
     history.runs.push(run("strange", ms(20_000)));
     let id = "strange".into();
-    assert_eq!(broken(&history), vec![Broken::Unasked { id }]);
+    assert_eq!(find_violations(&history), vec![Violation::NeverSent { id }]);
 }
 
+/// Guards against a bound that is off: a key may be used up to the bound, not after it.
 #[test]
-fn a_removed_key_may_be_used_until_its_bound() {
+fn a_removed_key_is_found_only_after_its_bound() {
     for (removed_at, found) in [(19_999, 3), (20_000, 3), (20_001, 0)] {
-        let mut history = sound();
-        history.removals.push(Removal {
+        let mut history = correct_record();
+        history.removals.push(KeyRemoval {
             key: "key".into(),
-            at: ms(removed_at) - KEY_REMOVAL,
+            at: ms(removed_at) - KEY_REMOVAL_BOUND,
         });
-        assert_eq!(broken(&history).len(), found);
+        assert_eq!(find_violations(&history).len(), found);
     }
 }
 
+/// Guards against reports of removed keys that daemons may serve during a fault if key removal isn't
+/// strict.
 #[test]
-fn a_removed_key_may_be_used_longer_where_daemons_serve_on_while_something_is_wrong() {
-    let mut history = sound();
-    let removed_at = ms(20_000) - KEY_REMOVAL;
-    history.removals.push(Removal {
+fn a_removed_key_is_excused_during_a_fault_only_if_daemons_serve_stale() {
+    let mut history = correct_record();
+    let removed_at = ms(20_000) - KEY_REMOVAL_BOUND;
+    history.removals.push(KeyRemoval {
         key: "key".into(),
         at: removed_at,
     });
     history.serves_stale = true;
-    assert_eq!(broken(&history).len(), 3, "nothing was wrong");
+    assert_eq!(find_violations(&history).len(), 3, "nothing was wrong");
     history.disruptions.push(Disruption {
-        from: removed_at - CONTACT,
-        to: removed_at - CONTACT,
+        from: removed_at - UNDISTURBED_PERIOD,
+        to: removed_at - UNDISTURBED_PERIOD,
     });
-    assert_eq!(broken(&history), vec![]);
+    assert_eq!(find_violations(&history), vec![]);
     history.serves_stale = false;
-    assert_eq!(broken(&history).len(), 3, "where it is strict, always");
+    assert_eq!(
+        find_violations(&history).len(),
+        3,
+        "where it is strict, always"
+    );
 }
 
+/// Guards against missed requests at a draining worker; an unplanned fault excuses them.
 #[test]
-fn a_leaving_worker_gets_nothing_after_the_bound_while_nothing_is_wrong() {
-    let mut history = sound();
-    let left_at = ms(20_000) - DRAIN - ms(5);
-    history.leavings.push(Leaving {
+fn a_request_at_a_draining_worker_after_the_bound_is_found_unless_a_fault_excuses_it() {
+    let mut history = correct_record();
+    let left_at = ms(20_000) - DRAIN_BOUND - ms(5);
+    history.drains.push(WorkerDrain {
         worker: "worker".into(),
         at: left_at,
     });
-    assert_eq!(broken(&history).len(), 3);
+    assert_eq!(find_violations(&history).len(), 3);
     history.disruptions.push(Disruption {
-        from: left_at - CONTACT + ms(1),
+        from: left_at - UNDISTURBED_PERIOD + ms(1),
         to: left_at,
     });
-    assert_eq!(broken(&history), vec![]);
+    assert_eq!(find_violations(&history), vec![]);
 }
 
+/// Guards against missed answers cut by a planned stop; an unplanned fault excuses them.
 #[test]
-fn a_planned_stop_that_cuts_is_found_unless_something_else_was_wrong() {
-    let mut history = sound();
+fn an_answer_cut_by_a_planned_stop_is_found_unless_a_fault_excuses_it() {
+    let mut history = correct_record();
     history.stops.push(PlannedStop {
         daemon: 0,
         from: ms(19_900),
         to: ms(22_000),
     });
-    assert_eq!(broken(&history), vec![]);
-    history.calls[1].end = End::CutInside;
-    let cut = Broken::CutByStop {
+    assert_eq!(find_violations(&history), vec![]);
+    history.calls[1].end = CallEnd::CutInside;
+    let cut = Violation::CutByStop {
         id: "b".into(),
         daemon: 0,
     };
-    assert!(broken(&history).contains(&cut));
+    assert!(find_violations(&history).contains(&cut));
     history.disruptions.push(Disruption {
         from: ms(18_000),
         to: ms(18_001),
     });
-    assert!(!broken(&history).contains(&cut));
+    assert!(!find_violations(&history).contains(&cut));
 }
 
+/// Guards against crashes that the callers' answers hide: another daemon serves them.
 #[test]
 fn a_daemon_that_ends_by_itself_is_found() {
-    let mut history = sound();
-    history.ended = vec![2];
-    assert_eq!(broken(&history), vec![Broken::Ended { daemon: 2 }]);
+    let mut history = correct_record();
+    history.ended_daemons = vec![2];
+    assert_eq!(
+        find_violations(&history),
+        vec![Violation::DaemonEnded { daemon: 2 }]
+    );
 }
 
+/// Guards against a fleet that stays degraded after the last fault.
 #[test]
-fn too_little_served_after_the_last_trouble_is_found() {
-    let mut history = sound();
-    history.calm_from = ms(20_000) - RECOVERY;
-    history.calls[0].end = End::TimedOut;
-    let (served, asked) = (2, 3);
+fn too_few_served_requests_after_the_last_fault_are_found() {
+    let mut history = correct_record();
+    history.undisturbed_from = ms(20_000) - RECOVERY_BOUND;
+    history.calls[0].end = CallEnd::TimedOut;
+    let (served, sent) = (2, 3);
     assert_eq!(
-        broken(&history),
-        vec![Broken::NotRecovered { served, asked }]
+        find_violations(&history),
+        vec![Violation::NotRecovered { served, sent }]
     );
-    history.calm_from = ms(20_001) - RECOVERY;
-    assert_eq!(broken(&history), vec![], "it was too soon");
+    history.undisturbed_from = ms(20_001) - RECOVERY_BOUND;
+    assert_eq!(find_violations(&history), vec![], "it was too soon");
 }
 
-/// A daemon's requests at a worker that asks for something, one each `every`, answered at once.
-fn asked_for(wish: Wish, requests: u64, every: u64) -> History {
+/// Returns a record of one daemon's requests at a worker that makes an announcement; a request is
+/// sent every `every` ms and served.
+fn announcing(announcement: Wish, requests: u64, every: u64) -> History {
     let mut history = History {
         stream_events: STREAM_EVENTS,
         ..History::default()
@@ -215,58 +251,68 @@
     for at in 0..requests {
         let id = format!("w{at}");
         let sent_at = ms(20_000 + at * every);
-        let end = served(Kind::Once, &id);
-        history.calls.push(call(&id, Kind::Once, sent_at, end));
+        let end = served(RouteKind::Once, &id);
+        history.calls.push(call(&id, RouteKind::Once, sent_at, end));
         history.runs.push(run(&id, sent_at));
-        history.arrivals.push(Arrived {
+        history.arrivals.push(RequestArrival {
             id,
             worker: "worker".into(),
             at: sent_at,
-            wish: Some(wish),
+            announcement: Some(announcement),
         });
     }
     history
 }
 
+/// Guards against missed requests above a limit that the daemon knew.
 #[test]
-fn a_worker_that_gets_more_than_its_limit_is_found() {
-    // Told at 20.1 s: of those from 20.6 s on, 40 come in 4 s.
-    let found = broken(&asked_for(Wish::Limit(1.0), 60, 100));
+fn requests_above_a_known_limit_are_found() {
+    // The daemon knows the limit at 20.1 s: of the requests from 20.6 s on, 40 arrive within 4 s.
+    let found = find_violations(&announcing(Wish::Limit(1.0), 60, 100));
     assert!(matches!(
         found.as_slice(),
-        [Broken::Limited {
+        [Violation::LimitExceeded {
             got: 40,
             allowed: 11,
             ..
         }]
     ));
-    assert_eq!(broken(&asked_for(Wish::Limit(1.0), 12, 400)), []);
-    let mut excused = asked_for(Wish::Limit(1.0), 60, 100);
+    assert_eq!(find_violations(&announcing(Wish::Limit(1.0), 12, 400)), []);
+    let mut disturbed = announcing(Wish::Limit(1.0), 60, 100);
     let (from, to) = (ms(20_500), ms(20_550));
-    excused.disruptions.push(Disruption { from, to });
-    assert_eq!(broken(&excused), [], "the daemon may have been restarted");
+    disturbed.disruptions.push(Disruption { from, to });
+    assert_eq!(
+        find_violations(&disturbed),
+        [],
+        "the daemon may have been restarted"
+    );
 }
 
+/// Guards against missed requests at a worker that the daemon knew to be leaving.
 #[test]
-fn a_request_at_a_worker_that_leaves_is_found() {
-    let history = asked_for(Wish::Leaving, 30, 100);
-    // Told at 20.1 s: those from 22.1 s on.
-    let found = broken(&history);
+fn requests_at_a_worker_known_to_be_leaving_are_found() {
+    let history = announcing(Wish::Leaving, 30, 100);
+    // The daemon knows it at 20.1 s: the requests from 22.1 s on are violations.
+    let found = find_violations(&history);
     assert_eq!(found.len(), 9, "{found:?}");
-    assert!(matches!(found[0], Broken::SentToLeaving { .. }));
-    assert_eq!(broken(&asked_for(Wish::Leaving, 21, 100)), []);
+    assert!(matches!(found[0], Violation::SentToLeaving { .. }));
+    assert_eq!(find_violations(&announcing(Wish::Leaving, 21, 100)), []);
 }
 
+/// Guards against missed requests during a back-off; two are allowed.
 #[test]
-fn requests_at_a_worker_that_rests_are_found() {
+fn requests_during_a_requested_backoff_are_found() {
     let rest = |ms: u64| Wish::Rest(Duration::from_millis(ms));
-    let found = broken(&asked_for(rest(1_000), 20, 100));
+    let found = find_violations(&announcing(rest(1_000), 20, 100));
     assert!(
-        matches!(found.as_slice(), [Broken::Unrested { got: 5, .. }]),
+        matches!(
+            found.as_slice(),
+            [Violation::SentDuringBackoff { got: 5, .. }]
+        ),
         "{found:?}"
     );
     assert_eq!(
-        broken(&asked_for(rest(1_000), 20, 250)),
+        find_violations(&announcing(rest(1_000), 20, 250)),
         [],
         "two are allowed"
     );
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans come from their seeds alone, and proxies do what a plan says.
+//! Plans depend on their seeds alone, and proxies implement the modes of a plan.
 
 use bridgevane_soak::plan::{LinkMode, Plan, Scale};
 use bridgevane_soak::proxy::Proxy;
@@ -14,14 +14,16 @@
     length: Duration::from_secs(40),
 };
 
+/// Guards against a failed run that can't be repeated from its seed.
 #[test]
-fn a_seed_gives_one_plan_and_another_seed_another() {
+fn the_plan_of_a_seed_is_reproducible_and_differs_between_seeds() {
     assert_eq!(Plan::draw(7, SCALE), Plan::draw(7, SCALE));
     assert_ne!(Plan::draw(7, SCALE).events, Plan::draw(8, SCALE).events);
 }
 
+/// Guards against faults that are never drawn, or that leave no time to recover.
 #[test]
-fn every_kind_of_fault_comes_and_leaves_time_to_recover() {
+fn every_kind_of_fault_is_drawn_and_none_lasts_into_the_last_6_s() {
     let plans = (0..60).map(|seed| Plan::draw(seed, SCALE));
     let events: Vec<_> = plans.flat_map(|plan| plan.events).collect();
     let kinds: HashSet<String> = events
@@ -55,8 +57,9 @@
     matches!(reading.await, Ok(Ok(_)))
 }
 
+/// Guards against a proxy that loses held bytes, or that lets bytes through a blocked link.
 #[tokio::test]
-async fn a_proxy_passes_delays_silences_and_resets() {
+async fn a_proxy_forwards_holds_and_resets_as_its_mode_says() {
     let listener = echo().await;
     let target = listener.local_addr().unwrap();
     tokio::spawn(serve_echo(listener));
