--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -10,7 +10,8 @@
 pub const KEY_REMOVAL_BOUND: Duration = Duration::from_millis(2_000);
 /// The time within which daemons must stop sending to a worker that drains or is leaving.
 pub const DRAIN_BOUND: Duration = Duration::from_millis(2_000);
-/// The length of the period without unplanned faults that must precede an event for a bound to hold.
+/// The length of the period without unplanned faults that must precede an event for a bound to
+/// hold.
 pub const UNDISTURBED_PERIOD: Duration = Duration::from_millis(3_000);
 /// The time after the last unplanned fault within which requests must be served again.
 pub const RECOVERY_BOUND: Duration = Duration::from_millis(3_000);
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -198,8 +198,8 @@
     }
 }
 
-/// Draws the announcements. They have their own random numbers, so that a seed keeps the faults that
-/// it had before there were announcements.
+/// Draws the announcements. They have their own random numbers, so that a seed keeps the faults
+/// that it had before there were announcements.
 fn draw_announcements(seed: u64, scale: Scale) -> Vec<AnnouncementEvent> {
     let mut random = Pcg64::seed_from_u64(seed ^ ANNOUNCEMENT_SEED);
     let recovery_from = scale.length.saturating_sub(RECOVERY_PERIOD);
--- a/crates/soak/src/stage.rs
+++ b/crates/soak/src/stage.rs
@@ -56,8 +56,8 @@
     pub(crate) started: Instant,
 }
 
-/// The ports of daemons: below the ephemeral ports, since an outgoing connection could otherwise take
-/// a port between the check that it is free and the daemon's start.
+/// The ports of daemons: below the ephemeral ports, since an outgoing connection could otherwise
+/// take a port between the check that it is free and the daemon's start.
 const PORTS: std::ops::Range<u16> = 20_000..32_000;
 
 /// The number of ports that this process has assigned: runs in one process may be concurrent, and a
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -71,8 +71,8 @@
     assert_eq!(find_violations(&correct_record()), vec![]);
 }
 
-/// Guards against a check that accepts the answer of another request, an incomplete or wrong stream,
-/// or an unsigned answer.
+/// Guards against a check that accepts the answer of another request, an incomplete or wrong
+/// stream, or an unsigned answer.
 #[test]
 fn wrong_incomplete_and_unsigned_answers_are_found() {
     let wrong = [
@@ -150,8 +150,8 @@
     }
 }
 
-/// Guards against reports of removed keys that daemons may serve during a fault if key removal isn't
-/// strict.
+/// Guards against reports of removed keys that daemons may serve during a fault if key removal
+/// isn't strict.
 #[test]
 fn a_removed_key_is_excused_during_a_fault_only_if_daemons_serve_stale() {
     let mut history = correct_record();
--- a/crates/standins/src/engine_model.rs
+++ b/crates/standins/src/engine_model.rs
@@ -304,7 +304,8 @@
         }
     }
 
-    /// Returns the cache events after `sequence`; if older events were dropped, the numbers have a gap.
+    /// Returns the cache events after `sequence`; if older events were dropped, the numbers have a
+    /// gap.
     pub fn cache_events_after(&self, sequence: u64) -> Vec<CacheEvent> {
         self.cache_events
             .iter()
--- a/crates/standins/src/platform_server.rs
+++ b/crates/standins/src/platform_server.rs
@@ -52,7 +52,7 @@
     limit: u32,
     second: u64,
     used: u32,
-    most_used: u32,
+    peak_use: u32,
 }
 
 impl Rate {
@@ -61,7 +61,7 @@
             limit,
             second: 0,
             used: 0,
-            most_used: 0,
+            peak_use: 0,
         }
     }
 
@@ -72,7 +72,7 @@
             self.used = 0;
         }
         self.used += 1;
-        self.most_used = self.most_used.max(self.used);
+        self.peak_use = self.peak_use.max(self.used);
         self.used <= self.limit
     }
 }
@@ -211,11 +211,11 @@
     }
 
     /// Returns the number of calls in the busiest second so far.
-    pub fn most_used(&self) -> PlatformUse {
+    pub fn peak_use(&self) -> PlatformUse {
         let platform = self.lock();
         PlatformUse {
-            most_writes_per_s: platform.writes.most_used,
-            most_reads_per_s: platform.reads.most_used,
+            most_writes_per_s: platform.writes.peak_use,
+            most_reads_per_s: platform.reads.peak_use,
         }
     }
 
@@ -396,5 +396,5 @@
 }
 
 async fn read_use(State(standin): State<PlatformStandin>) -> Json<PlatformUse> {
-    Json(standin.most_used())
+    Json(standin.peak_use())
 }
--- a/crates/standins/tests/contract.rs
+++ b/crates/standins/tests/contract.rs
@@ -149,7 +149,7 @@
     assert!(refused(kv.grant_lease(DurationMs(1)).await.err()));
     assert!(refused(kv.get("k").await.err()));
     assert!(refused(kv.ticket(&"m".into(), 1).await.err()));
-    assert_eq!(standin.most_used().most_writes_per_s, 1);
+    assert_eq!(standin.peak_use().most_writes_per_s, 1);
 }
 
 /// Guards against a key that outlives its lease, such as a holder record of a dead holder.
