--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,9 +1,9 @@
-//! What daemons spend for control, with real processes on loopback.
+//! The cost of control traffic between daemons, measured with real processes on loopback.
 //!
 //! `cargo bench --bench fleet` runs 4, 8, 16, 32 and 64 daemons of one data centre before one
-//! platform stand-in, under a configuration of the design size, and prints for each count
-//! the processor time, memory and bytes a second of one daemon without requests, the calls
-//! of the platform, and how long changes take to be in force everywhere.
+//! platform stand-in, with a configuration of the design size. For each count it prints the
+//! CPU time, memory and bytes per second of one daemon without requests, the calls to the
+//! platform, and the time until changes are active on all daemons.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -15,17 +15,17 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-const COUNTS: [usize; 5] = [4, 8, 16, 32, 64];
-/// The design size, by data centre.
+const DAEMON_COUNTS: [usize; 5] = [4, 8, 16, 32, 64];
+/// The design size of one data centre: numbers of customers, tiers, services and engines.
 const CUSTOMERS: usize = 1_100;
 const TIERS: usize = 8;
 const SERVICES: usize = 19;
 const ENGINES: usize = 121;
-/// Stand-in engines that share the addresses of all.
+/// The number of stand-in processes, whose addresses all configured engines share.
 const ENGINE_PROCESSES: usize = 4;
-/// Until the updates of so many daemons that started at once have been passed on.
-const SETTLE_PER_DAEMON: Duration = Duration::from_millis(700);
-const MEASURE: Duration = Duration::from_secs(15);
+/// The time per daemon until the updates of all started daemons are forwarded.
+const SETTLE_TIME_PER_DAEMON: Duration = Duration::from_millis(700);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(15);
 const CHANGES: usize = 12;
 
 fn configuration(engines: &[SocketAddr]) -> String {
@@ -46,7 +46,7 @@
         } else {
             format!("{at:032x}")
         };
-        // The first one sends the requests of the bench and has no limits.
+        // The first customer sends the requests of the bench and has no limits.
         let limits = match at {
             0 => "",
             _ => "concurrency_limit = 50\nrate_limit_tps = 4000",
@@ -68,8 +68,8 @@
     text
 }
 
-/// Processor milliseconds and resident kilobytes of a process.
-fn usage(id: u32) -> (u64, u64) {
+/// Returns the CPU time in milliseconds and the resident memory in kilobytes of a process.
+fn process_usage(id: u32) -> (u64, u64) {
     const MS_PER_TICK: u64 = 10;
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let after_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
@@ -88,7 +88,7 @@
     ((ticks(11) + ticks(12)) * MS_PER_TICK, resident.unwrap_or(0))
 }
 
-/// Bytes that loopback has carried, headers included.
+/// Returns the number of bytes received on the loopback interface, including headers.
 fn loopback_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text
@@ -98,7 +98,7 @@
     first.unwrap_or(0)
 }
 
-/// One figure of a daemon's metrics page, summed over labels that hold `label`.
+/// Returns a metric of a daemon, summed over the lines that contain `label`.
 async fn metric(daemon: &Process, name: &str, label: &str) -> f64 {
     let page = send(daemon.address, http::Method::GET, "/metrics", &[], "")
         .await
@@ -117,7 +117,7 @@
     sum
 }
 
-async fn wait_for_members(daemons: &[Process]) {
+async fn wait_until_all_known(daemons: &[Process]) {
     for daemon in daemons {
         let address = daemon.address;
         let count = daemons.len();
@@ -130,43 +130,43 @@
         })
         .await;
         eventually("all are known", || async move {
-            let rows = ask(operators, "show vms").await.json()["rows"].clone();
+            let rows = run_statement(operators, "show vms").await.json()["rows"].clone();
             rows.as_array().map(Vec::len) == Some(count)
         })
         .await;
     }
 }
 
-/// Time from the command until the slowest daemon has the change.
-async fn change_time(daemons: &[Process], at: usize) -> Duration {
+/// Returns the time from the command until the slowest daemon has the change.
+async fn measure_change(daemons: &[Process], at: usize) -> Duration {
     let statement = format!("set customer customer-{at} rate_limit_tps = {}", 5_000 + at);
     let body = json!({ "statement": statement, "operation_id": format!("change-{at}") });
     let asked = &daemons[at % daemons.len()];
     let begun = Instant::now();
-    let answer = ask_json(asked.operators, body).await.json();
+    let answer = post_statement(asked.operators, body).await.json();
     let version = answer["version"].as_u64().expect("the change takes effect");
     loop {
-        let rows = ask(asked.operators, "show vms").await.json()["rows"].clone();
+        let rows = run_statement(asked.operators, "show vms").await.json()["rows"].clone();
         let rows = rows.as_array().cloned().unwrap_or_default();
-        let is_there =
+        let is_active =
             |row: &serde_json::Value| field(row, "config_version").as_u64() >= Some(version);
-        if rows.len() == daemons.len() && rows.iter().all(is_there) {
+        if rows.len() == daemons.len() && rows.iter().all(is_active) {
             return begun.elapsed();
         }
-        // Asking costs the daemons time, too.
+        // A pause, since the statements cost the daemons time as well.
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// What requests of so many tokens cost all daemons together: processor microseconds and bytes
-/// between daemons, a request.
-async fn request_cost(daemons: &[Process], tokens: usize) -> (f64, f64) {
+/// Returns what a request of `tokens` tokens costs all daemons together: CPU time in microseconds
+/// and bytes between daemons.
+async fn measure_request_cost(daemons: &[Process], tokens: usize) -> (f64, f64) {
     const REQUESTS: usize = 1_280;
     const AT_ONCE: usize = 128;
     let cpu = || {
         daemons
             .iter()
-            .map(|daemon| usage(daemon.id()).0)
+            .map(|daemon| process_usage(daemon.id()).0)
             .sum::<u64>()
     };
     let bytes_before = sum_metric(daemons, "bridgevane_peer_bytes", "purpose=\"request\"").await;
@@ -202,45 +202,46 @@
     ((cpu_after - cpu_before) as f64 * 1_000.0 / requests, bytes)
 }
 
+/// Measures a fleet of `count` daemons; returns a row of the table.
 async fn measure(count: usize) -> String {
     let engines: Vec<Process> = (0..ENGINE_PROCESSES)
-        .map(|_| standin(&["engine", "--slots", "64"]))
+        .map(|_| start_standin(&["engine", "--slots", "64"]))
         .collect();
     let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
     let text = configuration(&addresses);
     let file = configuration_file("fleet_bench", &text);
-    let platform = standin(&["platform", "--config", file.to_str().expect("a text path")]);
+    let platform = start_standin(&["platform", "--config", file.to_str().expect("a text path")]);
     let mut daemons: Vec<Process> = Vec::new();
     for at in 0..count {
         let seeds: Vec<SocketAddr> = daemons.iter().take(3).map(|daemon| daemon.peers).collect();
-        daemons.push(daemon(
+        daemons.push(start_daemon(
             &format!("vm-{at}"),
             DATA_CENTRE,
             platform.address,
             &seeds,
         ));
     }
-    wait_for_members(&daemons).await;
-    tokio::time::sleep(SETTLE_PER_DAEMON * count as u32).await;
-    let cpu = |daemons: &[Process]| daemons.iter().map(|d| usage(d.id()).0).sum::<u64>();
+    wait_until_all_known(&daemons).await;
+    tokio::time::sleep(SETTLE_TIME_PER_DAEMON * count as u32).await;
+    let cpu = |daemons: &[Process]| daemons.iter().map(|d| process_usage(d.id()).0).sum::<u64>();
     let control_before = sum_metric(&daemons, "bridgevane_peer_bytes", "purpose=\"control\"").await;
     let calls_before = sum_metric(&daemons, "bridgevane_platform_calls", "").await;
     let (cpu_before, bytes_before) = (cpu(&daemons), loopback_bytes());
-    tokio::time::sleep(MEASURE).await;
+    tokio::time::sleep(MEASUREMENT_TIME).await;
     let (cpu_after, bytes_after) = (cpu(&daemons), loopback_bytes());
     let control_after = sum_metric(&daemons, "bridgevane_peer_bytes", "purpose=\"control\"").await;
     let calls_after = sum_metric(&daemons, "bridgevane_platform_calls", "").await;
-    let resident: u64 = daemons.iter().map(|d| usage(d.id()).1).sum();
+    let resident: u64 = daemons.iter().map(|d| process_usage(d.id()).1).sum();
     let mut changes = Vec::new();
     let cpu_idle = cpu(&daemons);
     for at in 0..CHANGES {
-        changes.push(change_time(&daemons, at + 1).await.as_millis());
+        changes.push(measure_change(&daemons, at + 1).await.as_millis());
     }
     let cpu_changes = cpu(&daemons) - cpu_idle;
     changes.sort_unstable();
-    let (cpu_few, bytes_few) = request_cost(&daemons, 20).await;
-    let (cpu_many, bytes_many) = request_cost(&daemons, 120).await;
-    let per = |value: f64| value / count as f64 / MEASURE.as_secs_f64();
+    let (cpu_short, bytes_short) = measure_request_cost(&daemons, 20).await;
+    let (cpu_long, bytes_long) = measure_request_cost(&daemons, 120).await;
+    let per = |value: f64| value / count as f64 / MEASUREMENT_TIME.as_secs_f64();
     // A frame is counted where it is sent and where it is received.
     format!(
         "| {count} | {:.2} | {:.1} | {:.0} | {:.0} | {:.2} | {} / {} | {:.1} | {:.0} / {:.0} | {:.0} / {:.0} |",
@@ -248,14 +249,14 @@
         resident as f64 / count as f64 / 1024.0,
         per(control_after - control_before) / 2.0,
         per((bytes_after - bytes_before) as f64),
-        (calls_after - calls_before) / MEASURE.as_secs_f64(),
+        (calls_after - calls_before) / MEASUREMENT_TIME.as_secs_f64(),
         changes[changes.len() / 2],
         changes[changes.len() - 1],
         cpu_changes as f64 / count as f64 / CHANGES as f64,
-        cpu_few,
-        cpu_many,
-        bytes_few,
-        bytes_many,
+        cpu_short,
+        cpu_long,
+        bytes_short,
+        bytes_long,
     )
 }
 
@@ -265,7 +266,7 @@
         .filter_map(|argument| argument.parse().ok())
         .collect();
     let counts = if counts.is_empty() {
-        COUNTS.to_vec()
+        DAEMON_COUNTS.to_vec()
     } else {
         counts
     };
--- a/benches/latency.rs
+++ b/benches/latency.rs
@@ -1,5 +1,5 @@
-//! What the daemon adds to a call: directly to the engine stand-in, through the barest
-//! pass-through by the same HTTP library, and through the daemon, side by side.
+//! The latency that the daemon adds to a call: the bench compares calls to the engine stand-in
+//! directly, through a minimal proxy with the same HTTP library, and through the daemon.
 //!
 //! `cargo bench --bench latency` prints the table of docs/BENCHMARKS.md.
 
@@ -26,8 +26,8 @@
 const PARALLEL: usize = 32;
 const PROMPT: &str = "A short question. [tokens=1]";
 
-/// Passes a body on to the engine, and the answer back, untouched.
-async fn pass(State(client): State<HttpClient>, request: Request) -> Response {
+/// Forwards a body to the engine and returns the answer, both unchanged.
+async fn forward(State(client): State<HttpClient>, request: Request) -> Response {
     let body = request
         .into_body()
         .collect()
@@ -43,10 +43,10 @@
     response.map(Body::new)
 }
 
-/// Serves until the servers are dropped.
-async fn pass_through(engine: SocketAddr) -> (Servers, SocketAddr) {
+/// Starts the minimal proxy; it serves until the servers are dropped.
+async fn start_minimal_proxy(engine: SocketAddr) -> (Servers, SocketAddr) {
     let router = Router::new()
-        .route("/engine/generate", post(pass))
+        .route("/engine/generate", post(forward))
         .with_state(HttpClient::new(engine));
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
@@ -74,26 +74,28 @@
     json!({ "model": "tutor", "stream": true, "max_tokens": 8, "prompt": PROMPT })
 }
 
-struct Way {
+/// One of the compared paths to the engine.
+struct CallPath {
     name: &'static str,
     address: SocketAddr,
     path: &'static str,
     body: fn(usize) -> Value,
 }
 
-async fn call(client: &HttpClient, way: &Way, at: usize) -> Duration {
+/// Sends one call, reads the whole answer, and returns the time that it took.
+async fn call(client: &HttpClient, call_path: &CallPath, at: usize) -> Duration {
     let begun = Instant::now();
     let request = client
-        .request(http::Method::POST, way.path)
+        .request(http::Method::POST, call_path.path)
         .header("content-type", "application/json")
         .header("authorization", format!("Bearer {CUSTOMER_KEY}"))
-        .body(Full::new((way.body)(at).to_string().into()))
+        .body(Full::new((call_path.body)(at).to_string().into()))
         .expect("a request");
     let response = client.send(request).await.expect("an answer");
     assert!(
         response.status().is_success(),
         "{}: {}",
-        way.name,
+        call_path.name,
         response.status()
     );
     response
@@ -104,29 +106,30 @@
     begun.elapsed()
 }
 
-/// One call after the other: latency.
-async fn serial(way: &Way) -> (f64, f64) {
-    let client = HttpClient::new(way.address);
+/// Measures latency with one call after the other; returns the median and the 99th percentile in
+/// µs.
+async fn serial(call_path: &CallPath) -> (f64, f64) {
+    let client = HttpClient::new(call_path.address);
     for at in 0..WARM_UP {
-        call(&client, way, at).await;
+        call(&client, call_path, at).await;
     }
     let mut times = Vec::new();
     for at in 0..CALLS {
-        times.push(call(&client, way, at).await.as_secs_f64() * 1e6);
+        times.push(call(&client, call_path, at).await.as_secs_f64() * 1e6);
     }
     times.sort_by(f64::total_cmp);
     (times[CALLS / 2], times[CALLS * 99 / 100])
 }
 
-/// Many calls at once: throughput.
-async fn parallel(way: &'static Way) -> f64 {
+/// Measures throughput with [`PARALLEL`] callers; returns calls per second.
+async fn parallel(call_path: &'static CallPath) -> f64 {
     let begun = Instant::now();
     let callers: Vec<_> = (0..PARALLEL)
         .map(|caller| {
             tokio::spawn(async move {
-                let client = HttpClient::new(way.address);
+                let client = HttpClient::new(call_path.address);
                 for at in 0..CALLS / PARALLEL {
-                    call(&client, way, caller * CALLS + at).await;
+                    call(&client, call_path, caller * CALLS + at).await;
                 }
             })
         })
@@ -137,9 +140,10 @@
     CALLS as f64 / begun.elapsed().as_secs_f64()
 }
 
-async fn run() {
-    // A step of no length: what is measured is what stands before the engine.
-    let engine = standin(&[
+/// Measures the three paths and prints a table.
+async fn measure_paths() {
+    // Steps of almost no duration, so that the path before the engine is measured.
+    let engine = start_standin(&[
         "engine",
         "--step-ms",
         "0.001",
@@ -153,63 +157,67 @@
     let text =
         configuration(DATA_CENTRE, &[engine.address], &[]).replace("slots = 16", "slots = 512");
     let file = configuration_file("latency_bench", &text);
-    let platform = standin(&["platform", "--config", file.to_str().expect("a text path")]);
-    let near = daemon("vm-0", DATA_CENTRE, platform.address, &[]);
-    ready(&near).await;
-    let (_servers, pass_through_address) = pass_through(engine.address).await;
-    let ways: &'static [Way] = Box::leak(Box::new([
-        Way {
+    let platform = start_standin(&["platform", "--config", file.to_str().expect("a text path")]);
+    let daemon = start_daemon("vm-0", DATA_CENTRE, platform.address, &[]);
+    wait_until_ready(&daemon).await;
+    let (_servers, proxy_address) = start_minimal_proxy(engine.address).await;
+    let paths: &'static [CallPath] = Box::leak(Box::new([
+        CallPath {
             name: "engine directly",
             address: engine.address,
             path: "/engine/generate",
             body: engine_body,
         },
-        Way {
+        CallPath {
             name: "pass-through",
-            address: pass_through_address,
+            address: proxy_address,
             path: "/engine/generate",
             body: engine_body,
         },
-        Way {
+        CallPath {
             name: "bridgevane",
-            address: near.address,
+            address: daemon.address,
             path: "/v1/completions",
             body: caller_body,
         },
     ]));
     println!("| way | p50 us | p99 us | calls/s, {PARALLEL} at once |");
     println!("|---|---|---|---|");
-    for way in ways {
-        let (p50, p99) = serial(way).await;
-        let rate = parallel(way).await;
-        println!("| {} | {p50:.0} | {p99:.0} | {rate:.0} |", way.name);
+    for call_path in paths {
+        let (p50, p99) = serial(call_path).await;
+        let rate = parallel(call_path).await;
+        println!("| {} | {p50:.0} | {p99:.0} | {rate:.0} |", call_path.name);
     }
 }
 
-/// Calls with idempotency keys, by where the key's home is: the daemon that is called, or another.
-async fn keyed_calls() {
+/// Measures calls with idempotency keys, by the key's home: the called daemon or another one.
+async fn measure_keyed_calls() {
     let fleet = Fleet::start("latency_keyed", 1, 3).await;
     let vms: Vec<VmId> = (0..3)
         .map(|at| format!("vm-{at}").as_str().into())
         .collect();
     let address = fleet.daemons[0].address;
-    let (mut here, mut elsewhere) = (Vec::new(), Vec::new());
+    let (mut own_home, mut other_home) = (Vec::new(), Vec::new());
     for at in 0..WARM_UP + CALLS {
         let key = format!("key-{at}");
         let name = format!("key/desk/grand-bay/{key}");
-        let is_here = home_of(&name, vms.iter()) == Some(&vms[0]);
+        let is_own_home = home_of(&name, vms.iter()) == Some(&vms[0]);
         let begun = Instant::now();
-        let answer = keyed(address, "/svc/desk/bookings/7", &key, "piano at four").await;
+        let answer = keyed_call(address, "/svc/desk/bookings/7", &key, "piano at four").await;
         assert_eq!(answer.status, 200, "{}", answer.text);
         let took_us = begun.elapsed().as_secs_f64() * 1e6;
         if at >= WARM_UP {
-            let times = if is_here { &mut here } else { &mut elsewhere };
+            let times = if is_own_home {
+                &mut own_home
+            } else {
+                &mut other_home
+            };
             times.push(took_us);
         }
     }
     println!("| keyed call, home of the key | calls | p50 us | p99 us |");
     println!("|---|---|---|---|");
-    for (name, mut times) in [("here", here), ("elsewhere", elsewhere)] {
+    for (name, mut times) in [("here", own_home), ("elsewhere", other_home)] {
         times.sort_by(f64::total_cmp);
         let calls = times.len();
         let (p50, p99) = (times[calls / 2], times[calls * 99 / 100]);
@@ -221,7 +229,7 @@
     tokio::runtime::Runtime::new()
         .expect("a runtime")
         .block_on(async {
-            run().await;
-            keyed_calls().await;
+            measure_paths().await;
+            measure_keyed_calls().await;
         });
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration in force: changes, races, lost answers, outages, starts during outages.
+//! The active configuration: changes, concurrent changes, lost answers, outages, and starts during
+//! an outage.
 
 mod support;
 
@@ -6,51 +7,53 @@
 use std::net::SocketAddr;
 use support::*;
 
-async fn change(operators: SocketAddr, operation: &str, statement: &str) -> Answer {
-    ask_json(
+async fn propose_change(operators: SocketAddr, operation: &str, statement: &str) -> Answer {
+    post_statement(
         operators,
         json!({ "statement": statement, "operation_id": operation }),
     )
     .await
 }
 
-async fn version_at(operators: SocketAddr) -> Vec<Value> {
-    let answer = ask(operators, "show vms").await.json();
+async fn versions_seen_by(operators: SocketAddr) -> Vec<Value> {
+    let answer = run_statement(operators, "show vms").await.json();
     let rows = answer["rows"].as_array().cloned().unwrap_or_default();
     rows.iter()
         .map(|row| field(row, "config_version"))
         .collect()
 }
 
-async fn in_force_everywhere(fleet: &Fleet, version: u64) {
+async fn wait_until_active_everywhere(fleet: &Fleet, version: u64) {
     let operators = fleet.daemons[0].operators;
     let count = fleet.daemons.len();
-    eventually("the version is in force everywhere", || async move {
-        let versions = version_at(operators).await;
+    eventually("the version is active on every daemon", || async move {
+        let versions = versions_seen_by(operators).await;
         versions.len() == count && versions.iter().all(|found| *found == version)
     })
     .await;
 }
 
+/// Guards against changes that some daemons miss, and against an operation that is repeated through
+/// another daemon and applied twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_is_in_force_on_every_vm_and_safe_to_send_twice() {
+async fn a_change_is_activated_on_every_vm_and_applied_once_when_repeated() {
     let fleet = Fleet::start("change", 1, 4).await;
     let statement = "set class practice first_token_target_ms = 7000";
-    let answer = change(fleet.daemons[1].operators, "op-1", statement).await;
+    let answer = propose_change(fleet.daemons[1].operators, "op-1", statement).await;
     assert_eq!(
         answer.json(),
         json!({ "result": "took-effect", "version": 2 })
     );
-    in_force_everywhere(&fleet, 2).await;
+    wait_until_active_everywhere(&fleet, 2).await;
     // The same operation again, through another daemon.
-    let again = change(fleet.daemons[3].operators, "op-1", statement).await;
+    let again = propose_change(fleet.daemons[3].operators, "op-1", statement).await;
     assert_eq!(
         again.json(),
         json!({ "result": "took-effect", "version": 2 })
     );
-    let same = change(fleet.daemons[3].operators, "op-2", statement).await;
+    let same = propose_change(fleet.daemons[3].operators, "op-2", statement).await;
     assert_eq!(same.json(), json!({ "result": "no-change" }));
-    let wrong = change(
+    let wrong = propose_change(
         fleet.daemons[0].operators,
         "op-3",
         "set class practise tier = 1",
@@ -62,7 +65,7 @@
         "{}",
         wrong.text
     );
-    let invalid = change(
+    let invalid = propose_change(
         fleet.daemons[0].operators,
         "op-4",
         "set class practice min_share = 0.9",
@@ -70,13 +73,16 @@
     .await;
     assert_eq!(invalid.status, 400);
     assert!(invalid.text.contains("0.5 or less"), "{}", invalid.text);
-    let history = ask(fleet.daemons[2].operators, "show history").await.json();
+    let history = run_statement(fleet.daemons[2].operators, "show history")
+        .await
+        .json();
     assert_eq!(history["rows"].as_array().map(Vec::len), Some(1));
     assert_eq!(field(&history["rows"][0], "operator"), "nadia");
 }
 
+/// Guards against a lost update: two operators edit the same section on the same base version.
 #[tokio::test(flavor = "multi_thread")]
-async fn two_operators_at_once_one_wins_and_the_other_is_told() {
+async fn of_two_concurrent_changes_of_a_section_one_conflicts() {
     let fleet = Fleet::start("race", 1, 2).await;
     let config = async |operators: SocketAddr| {
         let bearer = format!("Bearer {}", OPERATOR.split_once(':').expect("a token").1);
@@ -96,7 +102,7 @@
     let propose = |at: usize, operation: &str, mut body: Value| {
         body["operation_id"] = operation.into();
         let operators = fleet.daemons[at].operators;
-        async move { ask_json(operators, body).await }
+        async move { post_statement(operators, body).await }
     };
     let target = "first_token_target_ms = 5000";
     let (one, two) = tokio::join!(
@@ -113,34 +119,35 @@
     assert_eq!(loser["meanwhile"][0]["changed"], json!(["class.practice"]));
     // Changes of different sections don't conflict.
     let (one, two) = tokio::join!(
-        change(fleet.daemons[0].operators, "c", "set class report tier = 3"),
-        change(
+        propose_change(fleet.daemons[0].operators, "c", "set class report tier = 3"),
+        propose_change(
             fleet.daemons[1].operators,
             "d",
             "set class practice tier = 4"
         ),
     );
     assert_eq!([one.status, two.status], [200, 200], "{one:?} {two:?}");
-    in_force_everywhere(&fleet, 4).await;
+    wait_until_active_everywhere(&fleet, 4).await;
 }
 
+/// Guards against a wrong result for a change whose answer from the platform was lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_resolved_and_never_guessed() {
+async fn the_result_of_a_change_is_known_although_the_platforms_answer_was_lost() {
     let fleet = Fleet::start("lost_answer", 1, 2).await;
     fleet
-        .fault(&fleet.platform, json!({ "lose_answers": 1 }))
+        .set_fault(&fleet.platform, json!({ "lose_answers": 1 }))
         .await;
     let operators = fleet.daemons[0].operators;
-    let answer = change(operators, "op", "set class practice tier = 5").await;
+    let answer = propose_change(operators, "op", "set class practice tier = 5").await;
     assert_eq!(
         answer.json(),
         json!({ "result": "took-effect", "version": 2 })
     );
-    in_force_everywhere(&fleet, 2).await;
+    wait_until_active_everywhere(&fleet, 2).await;
     fleet
-        .fault(&fleet.platform, json!({ "is_down": true }))
+        .set_fault(&fleet.platform, json!({ "is_down": true }))
         .await;
-    let answer = change(operators, "op-2", "set class practice tier = 6").await;
+    let answer = propose_change(operators, "op-2", "set class practice tier = 6").await;
     assert_eq!(answer.status, 503);
     assert!(
         answer.text.contains("did not take effect"),
@@ -149,19 +156,21 @@
     );
 }
 
+/// Guards against requests that fail while the platform is down, also through daemons that started
+/// during the outage and got the configuration from their peers.
 #[tokio::test(flavor = "multi_thread")]
-async fn serving_goes_on_without_the_platform_and_a_new_vm_learns_from_its_peers() {
+async fn daemons_serve_and_start_during_a_platform_outage() {
     let mut fleet = Fleet::start("outage", 1, 2).await;
     let operators = fleet.daemons[0].operators;
-    let answer = change(operators, "op", "set class practice tier = 5").await;
+    let answer = propose_change(operators, "op", "set class practice tier = 5").await;
     assert_eq!(answer.status, 200, "{}", answer.text);
-    in_force_everywhere(&fleet, 2).await;
+    wait_until_active_everywhere(&fleet, 2).await;
     fleet
-        .fault(&fleet.platform, json!({ "is_down": true }))
+        .set_fault(&fleet.platform, json!({ "is_down": true }))
         .await;
     fleet.add_daemon("vm-2");
-    ready(&fleet.daemons[2]).await;
-    in_force_everywhere(&fleet, 2).await;
+    wait_until_ready(&fleet.daemons[2]).await;
+    wait_until_active_everywhere(&fleet, 2).await;
     for daemon in &fleet.daemons {
         let answer = chat(daemon.address, "Still here. [tokens=3]", 10).await;
         assert_eq!(
@@ -169,21 +178,21 @@
             expected_text("Still here. [tokens=3]")
         );
     }
-    // All of the first ones are replaced, one after the other, while the platform is away.
+    // The first daemons are killed during the outage, so that only daemons started in it remain.
     fleet.daemons.remove(0).kill();
     fleet.daemons.remove(0).kill();
     fleet.add_daemon("vm-3");
-    ready(&fleet.daemons[1]).await;
+    wait_until_ready(&fleet.daemons[1]).await;
     let answer = chat(fleet.daemons[1].address, "Still here. [tokens=3]", 10).await;
     assert_eq!(
         answer.streamed_text(),
         expected_text("Still here. [tokens=3]")
     );
-    // The platform comes back, holding what was accepted.
-    fleet.fault(&fleet.platform, json!({})).await;
+    // The platform recovers with the changes that it accepted before.
+    fleet.set_fault(&fleet.platform, json!({})).await;
     let operators = fleet.daemons[1].operators;
     eventually("changes are possible again", || async move {
-        change(operators, "op-9", "set class practice tier = 6")
+        propose_change(operators, "op-9", "set class practice tier = 6")
             .await
             .status
             == 200
@@ -191,31 +200,37 @@
     .await;
 }
 
+/// Guards against a daemon that accepts requests before it has a configuration.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_without_platform_and_peers_takes_no_requests() {
+async fn a_vm_without_platform_and_peers_refuses_requests() {
     let fleet = Fleet::start("alone", 1, 1).await;
     fleet
-        .fault(&fleet.platform, json!({ "is_down": true }))
+        .set_fault(&fleet.platform, json!({ "is_down": true }))
         .await;
-    let alone = daemon("vm-x", DATA_CENTRE, fleet.platform.address, &[]);
+    let alone = start_daemon("vm-x", DATA_CENTRE, fleet.platform.address, &[]);
     let answer = chat(alone.address, "Too early.", 10).await;
     assert_eq!(answer.status, 503);
     assert_eq!(answer.header("x-bridgevane-outcome"), "not-run");
     assert_ne!(answer.header("retry-after"), "");
 }
 
+/// Guards against an answer that looks complete although a frozen VM is missing in it.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_name_the_vms_that_did_not_answer() {
+async fn answers_to_operators_name_the_vms_that_did_not_answer() {
     let fleet = Fleet::start("missing", 1, 3).await;
     fleet.daemons[2].signal("STOP");
-    let answer = ask(fleet.daemons[0].operators, "show vms").await.json();
+    let answer = run_statement(fleet.daemons[0].operators, "show vms")
+        .await
+        .json();
     fleet.daemons[2].signal("CONT");
     assert_eq!(answer["answered"], json!(["vm-0", "vm-1"]));
     assert_eq!(answer["missing"], json!(["vm-2"]));
 }
 
+/// Guards against operators with a wrong token, and against daemons that start without required
+/// settings or with a short peer key.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stranger_is_refused_by_operators_and_daemons() {
+async fn wrong_operator_tokens_and_missing_settings_are_refused() {
     let fleet = Fleet::start("stranger", 1, 1).await;
     let headers = [
         ("authorization", "Bearer wrong-token"),
@@ -225,13 +240,13 @@
     let operators = fleet.daemons[0].operators;
     let answer = send(operators, http::Method::POST, "/v1/ask", &headers, body).await;
     assert_eq!(answer.status, 401);
-    let stranger = std::process::Command::new(BINARY)
+    let refused_start = std::process::Command::new(BINARY)
         .args(["serve", "--vm-id", "vm-0", "--data-centre", DATA_CENTRE])
         .args(["--peer-key", "short"])
         .output()
         .expect("the binary runs");
-    assert_eq!(stranger.status.code(), Some(2));
-    let text = String::from_utf8_lossy(&stranger.stderr).into_owned();
+    assert_eq!(refused_start.status.code(), Some(2));
+    let text = String::from_utf8_lossy(&refused_start.stderr).into_owned();
     for flag in [
         "caller-address",
         "operator-address",
--- a/tests/crashing_prompts.rs
+++ b/tests/crashing_prompts.rs
@@ -1,7 +1,8 @@
-//! A prompt that ends each engine that begins to run it, sent again and again to several daemons.
+//! A prompt that crashes every engine that begins to run it, sent repeatedly to several daemons.
 //!
-//! The same cause as in the gateway's `crashing_requests.rs`: an attempt that broke off with its engine
-//! was repeated on the next one, up to eight times a try, and nothing was remembered across tries.
+//! Guards against one prompt that crashes all engines. As in the gateway's `crashing_requests.rs`,
+//! an attempt whose engine crashed was repeated on the next engine, up to eight times per request,
+//! and no daemon remembered the prompt when a client sent it again.
 
 mod support;
 
@@ -9,18 +10,18 @@
 use support::*;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_that_has_ended_three_engines_is_stopped() {
+async fn a_prompt_that_crashed_three_engines_is_refused() {
     let mut fleet = Fleet::start("deadly", 8, 3).await;
     let mut answers = Vec::new();
     for at in 0..6 {
         let daemon = fleet.daemons[at % 3].address;
-        answers.push(chat(daemon, DEADLY, 50).await);
-        // Between two tries of a caller the engines' ends have become known.
+        answers.push(chat(daemon, CRASHING_PROMPT, 50).await);
+        // Every daemon gets to know of the crashes before the caller's next try.
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    let ended = fleet.engines.iter_mut().filter_map(Process::has_ended);
+    let ended = fleet.engines.iter_mut().filter_map(Process::exit_status);
     let ended = ended.count();
-    assert!(ended <= 3, "{ended} of 8 engines have ended");
+    assert!(ended <= 3, "{ended} of 8 engines have crashed");
     for answer in answers {
         assert_eq!(answer.status, 502, "{}", answer.text);
         assert_eq!(answer.header("x-should-retry"), "false");
--- a/tests/data_centre.rs
+++ b/tests/data_centre.rs
@@ -1,4 +1,5 @@
-//! Daemons of one data centre acting together, as processes, killed and frozen by their ids.
+//! Several daemons of one data centre as processes, which are killed and frozen by their process
+//! ids.
 
 mod support;
 
@@ -7,16 +8,18 @@
 
 const LONG: &str = "Draft the report of the whole year. [tokens=120]";
 
+/// Guards against a stream that ends, and new requests that wait, when the daemon that decides for
+/// their pool is killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_the_death_of_its_pools_home() {
     let mut fleet = Fleet::start("home_death", 2, 3).await;
-    let home = fleet.home().await;
+    let home = fleet.home_index().await;
     let other = (home + 1) % 3;
     let address = fleet.daemons[other].address;
     let streaming = tokio::spawn(async move { chat(address, LONG, 500).await });
     tokio::time::sleep(Duration::from_millis(800)).await;
     fleet.daemons[home].kill();
-    // New work is decided without the home, at once.
+    // A new request is decided without the home, without delay.
     let fresh = chat(address, "A question. [tokens=5]", 50).await;
     assert_eq!(
         fresh.streamed_text(),
@@ -27,10 +30,11 @@
     assert!(answer.text.ends_with("data: [DONE]\n\n"));
 }
 
+/// Guards against requests that wait for a frozen home, and against wrong answers when it resumes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_home_is_passed_over_and_does_no_harm_when_it_wakes() {
+async fn requests_are_served_while_the_home_is_frozen_and_after_it_resumes() {
     let fleet = Fleet::start("home_frozen", 2, 3).await;
-    let home = fleet.home().await;
+    let home = fleet.home_index().await;
     let other = &fleet.daemons[(home + 1) % 3];
     fleet.daemons[home].signal("STOP");
     let prompt = "Who teaches on Monday? [tokens=4]";
@@ -40,13 +44,14 @@
         assert_eq!(answer.streamed_text(), expected_text(prompt));
     }
     fleet.daemons[home].signal("CONT");
-    fleet.all_see(3).await;
+    fleet.wait_for_members_everywhere(3).await;
     for daemon in &fleet.daemons {
         let answer = chat(daemon.address, prompt, 50).await;
         assert_eq!(answer.streamed_text(), expected_text(prompt));
     }
 }
 
+/// Guards against lost, repeated, foreign or swapped tokens after a fault or crash of an engine.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_resumes_on_another_engine_without_loss_or_repetition() {
     let fleet = Fleet::start("resume", 2, 2).await;
@@ -59,33 +64,34 @@
     .enumerate()
     {
         for engine in &fleet.engines {
-            fleet.fault(engine, fault.clone()).await;
+            fleet.set_fault(engine, fault.clone()).await;
         }
         let prompt = format!("Fault {at}, resumed. [tokens=60]");
         let answer = chat(fleet.daemons[0].address, &prompt, 100).await;
         assert_eq!(answer.streamed_text(), expected_text(&prompt), "fault {at}");
     }
-    // An engine that crashes in mid-stream.
+    // An engine crashes in the middle of a stream.
     let address = fleet.daemons[1].address;
     let streaming = tokio::spawn(async move { chat(address, LONG, 500).await });
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     fleet
-        .fault(&fleet.engines[0], serde_json::json!({ "crash": true }))
+        .set_fault(&fleet.engines[0], serde_json::json!({ "crash": true }))
         .await;
     let answer = streaming.await.expect("the call ends");
     assert_eq!(answer.streamed_text(), expected_text(LONG));
 }
 
-/// Failed beside load: the process ended before the last bytes of the stream were sent.
+/// Guards against a planned stop that cuts a stream or accepts new requests. Under load, the
+/// process ended before the last bytes of the stream were sent.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_off_no_stream_and_takes_no_new_work() {
+async fn a_planned_stop_completes_streams_and_refuses_new_requests() {
     let mut fleet = Fleet::start("planned_stop", 2, 3).await;
-    let home = fleet.home().await;
+    let home = fleet.home_index().await;
     let address = fleet.daemons[home].address;
     let streaming = tokio::spawn(async move { chat(address, LONG, 500).await });
     tokio::time::sleep(Duration::from_millis(500)).await;
     fleet.daemons[home].signal("TERM");
-    eventually("it is not ready", || async move {
+    eventually("the stopping daemon isn't ready", || async move {
         let answer = send(address, http::Method::GET, "/readyz", &[], "").await;
         answer.status == 503
     })
@@ -105,22 +111,25 @@
     assert!(fleet.daemons[home].wait().success());
 }
 
+/// Guards against a drain or undrain that a daemon other than the asked one ignores.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drained_vm_takes_no_new_work_until_it_is_undrained() {
+async fn a_drained_vm_refuses_requests_until_it_is_undrained() {
     let fleet = Fleet::start("drain", 1, 3).await;
     let drained = fleet.daemons[2].address;
-    let answer = ask(fleet.daemons[0].operators, "drain vm vm-2").await;
+    let answer = run_statement(fleet.daemons[0].operators, "drain vm vm-2").await;
     assert_eq!(answer.status, 200, "{}", answer.text);
     assert_eq!(chat(drained, "New. [tokens=2]", 10).await.status, 503);
-    let answer = ask(fleet.daemons[1].operators, "undrain vm vm-2").await;
+    let answer = run_statement(fleet.daemons[1].operators, "undrain vm vm-2").await;
     assert_eq!(answer.status, 200, "{}", answer.text);
     assert_eq!(chat(drained, "New. [tokens=2]", 10).await.status, 200);
-    let answer = ask(fleet.daemons[1].operators, "drain vm vm-9").await;
+    let answer = run_statement(fleet.daemons[1].operators, "drain vm vm-9").await;
     assert_eq!(answer.status, 404, "{}", answer.text);
 }
 
+/// Guards against a VM that keeps accepting requests although the platform's VM list says that it
+/// is leaving.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_platforms_list_makes_a_vm_leave() {
+async fn a_vm_that_the_platforms_list_marks_as_leaving_is_not_ready() {
     let fleet = Fleet::start("list_leaving", 1, 2).await;
     let entry = |at: usize, leaving: bool| {
         serde_json::json!({
@@ -155,6 +164,8 @@
     );
 }
 
+/// Guards against a call that runs twice when it is repeated with its idempotency key through
+/// another daemon, also after its answer was lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_call_runs_once_through_any_daemon() {
     let fleet = Fleet::start("keyed", 1, 3).await;
@@ -162,17 +173,17 @@
     for key in 0..6 {
         let key = format!("key-{key}");
         for daemon in &fleet.daemons {
-            let answer = keyed(daemon.address, path, &key, "piano at four").await;
+            let answer = keyed_call(daemon.address, path, &key, "piano at four").await;
             assert_eq!(answer.status, 200, "{}", answer.text);
         }
-        let other = keyed(fleet.daemons[0].address, path, &key, "piano at five").await;
+        let other = keyed_call(fleet.daemons[0].address, path, &key, "piano at five").await;
         assert_eq!(other.status, 422, "{}", other.text);
     }
-    // An answer that gets lost after the call ran.
+    // The answer is lost after the call ran.
     fleet
-        .fault(&fleet.plain, serde_json::json!({ "lose_answers": 1 }))
+        .set_fault(&fleet.plain, serde_json::json!({ "lose_answers": 1 }))
         .await;
-    let lost = keyed(fleet.daemons[0].address, path, "lost", "violin").await;
+    let lost = keyed_call(fleet.daemons[0].address, path, "lost", "violin").await;
     assert_eq!(
         lost.header("x-bridgevane-outcome"),
         "unknown",
@@ -180,7 +191,7 @@
         lost.text
     );
     assert_eq!(lost.header("x-should-retry"), "false");
-    let again = keyed(fleet.daemons[1].address, path, "lost", "violin").await;
+    let again = keyed_call(fleet.daemons[1].address, path, "lost", "violin").await;
     assert_eq!(
         again.header("x-bridgevane-outcome"),
         "unknown",
@@ -206,14 +217,15 @@
     );
 }
 
+/// Guards against a call that runs twice because the daemon that ran it was killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_keyed_call_runs_twice_across_the_death_of_a_daemon() {
     let mut fleet = Fleet::start("keyed_death", 1, 3).await;
     let path = "/svc/desk/bookings/7";
     fleet
-        .fault(&fleet.plain, serde_json::json!({ "delay_ms": 400 }))
+        .set_fault(&fleet.plain, serde_json::json!({ "delay_ms": 400 }))
         .await;
-    // Calls that are under way at the daemon that dies, and some that have ended.
+    // When the daemon is killed, some of its calls are running and some have ended.
     let victim = fleet.daemons[2].address;
     let calls: Vec<_> = (0..12)
         .map(|key| {
@@ -226,11 +238,11 @@
     for call in calls {
         call.await.expect("the call ends");
     }
-    fleet.fault(&fleet.plain, serde_json::json!({})).await;
+    fleet.set_fault(&fleet.plain, serde_json::json!({})).await;
     for round in 0..4 {
         for key in 0..12 {
             let daemon = &fleet.daemons[(round + key) % 2];
-            keyed(daemon.address, path, &format!("dying-{key}"), "x").await;
+            keyed_call(daemon.address, path, &format!("dying-{key}"), "x").await;
         }
         tokio::time::sleep(Duration::from_millis(2_500)).await;
     }
@@ -252,7 +264,7 @@
     );
 }
 
-/// A call whose daemon may die under it.
+/// Sends a call to a daemon that may be killed meanwhile; ignores the result.
 async fn keyed_or_cut(address: std::net::SocketAddr, path: &str, key: &str) {
     let client = bridgevane_adapters::HttpClient::new(address);
     let bearer = format!("Bearer {CUSTOMER_KEY}");
--- a/tests/data_centres.rs
+++ b/tests/data_centres.rs
@@ -1,5 +1,5 @@
-//! Seven daemons in three data centres under steady load, while VMs are killed and frozen, an
-//! engine crashes, and one data centre is cut off from the platform.
+//! Seven daemons in three data centres under constant load, while VMs are killed and frozen, an
+//! engine crashes, and one data centre is disconnected from the platform.
 
 mod support;
 
@@ -11,15 +11,16 @@
 use std::time::Duration;
 use support::*;
 
-const PLACES: [&str; 3] = ["mi-a", "mi-b", "bo-c"];
+const DATA_CENTRES: [&str; 3] = ["mi-a", "mi-b", "bo-c"];
 
-struct Place {
+struct DataCentre {
     daemons: Vec<Process>,
     engines: Vec<Process>,
 }
 
-/// Calls one after the other until it is told to stop; every answer must be whole and its own.
-async fn load(address: SocketAddr, caller: usize, stop: Arc<AtomicBool>, whole: Arc<AtomicU64>) {
+/// Sends one call after the other until `stop` is set; every answer must be complete and correct,
+/// or a refusal of a call that wasn't run.
+async fn load(address: SocketAddr, caller: usize, stop: Arc<AtomicBool>, served: Arc<AtomicU64>) {
     let mut count = 0;
     while !stop.load(Ordering::Relaxed) {
         count += 1;
@@ -27,7 +28,7 @@
         let answer = chat(address, &prompt, 50).await;
         if answer.status == 200 {
             assert_eq!(answer.streamed_text(), expected_text(&prompt));
-            whole.fetch_add(1, Ordering::Relaxed);
+            served.fetch_add(1, Ordering::Relaxed);
         } else {
             assert_eq!(
                 answer.header("x-bridgevane-outcome"),
@@ -39,9 +40,9 @@
     }
 }
 
-/// The versions of all daemons that answer, by VM.
+/// Returns the configuration versions of all daemons that answer, by VM.
 async fn versions(operators: SocketAddr) -> BTreeMap<String, u64> {
-    let rows = ask(operators, "show vms").await.json()["rows"].clone();
+    let rows = run_statement(operators, "show vms").await.json()["rows"].clone();
     let rows = rows.as_array().cloned().unwrap_or_default();
     let version = |row: &Value| {
         let vm = field(row, "vm").as_str().unwrap_or_default().to_owned();
@@ -50,8 +51,8 @@
     rows.iter().map(version).collect()
 }
 
-/// Notes versions and checks that none ever falls.
-async fn note(seen: &mut BTreeMap<String, u64>, operators: SocketAddr) {
+/// Records the versions and checks that none is lower than before.
+async fn check_versions(seen: &mut BTreeMap<String, u64>, operators: SocketAddr) {
     for (vm, version) in versions(operators).await {
         let before = seen.entry(vm.clone()).or_default();
         assert!(version >= *before, "{vm} went from {before} to {version}");
@@ -59,27 +60,27 @@
     }
 }
 
-async fn start() -> (Process, Proxy, Vec<Place>) {
-    let engines: Vec<Vec<Process>> = PLACES
+async fn start() -> (Process, Proxy, Vec<DataCentre>) {
+    let engines: Vec<Vec<Process>> = DATA_CENTRES
         .iter()
-        .map(|_| (0..2).map(|_| standin(&["engine"])).collect())
+        .map(|_| (0..2).map(|_| start_standin(&["engine"])).collect())
         .collect();
     let mut placed = Vec::new();
-    for (place, engines) in PLACES.iter().zip(&engines) {
+    for (data_centre, engines) in DATA_CENTRES.iter().zip(&engines) {
         placed.extend(
             engines
                 .iter()
-                .map(|engine| ((*place).to_owned(), engine.address)),
+                .map(|engine| ((*data_centre).to_owned(), engine.address)),
         );
     }
-    let file = configuration_file("data_centres", &configuration_of(&placed, &[]));
-    let platform = standin(&["platform", "--config", file.to_str().expect("a text path")]);
-    // The last data centre reaches the platform by a way that can be cut.
-    let way = Proxy::to(platform.address).await;
-    let mut places = Vec::new();
-    for ((at, place), engines) in PLACES.iter().enumerate().zip(engines) {
+    let file = configuration_file("data_centres", &configuration_of_data_centres(&placed, &[]));
+    let platform = start_standin(&["platform", "--config", file.to_str().expect("a text path")]);
+    // The last data centre reaches the platform through a proxy that can be blocked.
+    let proxy = Proxy::start(platform.address).await;
+    let mut data_centres = Vec::new();
+    for ((at, data_centre), engines) in DATA_CENTRES.iter().enumerate().zip(engines) {
         let address = if at == 2 {
-            way.address
+            proxy.address
         } else {
             platform.address
         };
@@ -87,24 +88,29 @@
         let mut daemons: Vec<Process> = Vec::new();
         for vm in 0..count {
             let seeds: Vec<SocketAddr> = daemons.iter().map(|daemon| daemon.peers).collect();
-            daemons.push(daemon(&format!("{place}-{vm}"), place, address, &seeds));
+            daemons.push(start_daemon(
+                &format!("{data_centre}-{vm}"),
+                data_centre,
+                address,
+                &seeds,
+            ));
         }
-        places.push(Place { daemons, engines });
+        data_centres.push(DataCentre { daemons, engines });
     }
-    let entry = |place: &str, vm: usize, daemon: &Process| {
-        json!({ "vm": format!("{place}-{vm}"), "data_centre": place,
+    let entry = |data_centre: &str, vm: usize, daemon: &Process| {
+        json!({ "vm": format!("{data_centre}-{vm}"), "data_centre": data_centre,
                 "peer_address": daemon.peers, "leaving": false })
     };
     let mut list = Vec::new();
-    for (place, here) in PLACES.iter().zip(&places) {
+    for (data_centre, here) in DATA_CENTRES.iter().zip(&data_centres) {
         list.extend(
             here.daemons
                 .iter()
                 .enumerate()
-                .map(|(vm, daemon)| entry(place, vm, daemon)),
+                .map(|(vm, daemon)| entry(data_centre, vm, daemon)),
         );
         for daemon in &here.daemons {
-            ready(daemon).await;
+            wait_until_ready(daemon).await;
         }
     }
     let headers = [("content-type", "application/json")];
@@ -117,48 +123,51 @@
         list,
     )
     .await;
-    (platform, way, places)
+    (platform, proxy, data_centres)
 }
 
+/// Guards against cut or mixed answers and against configurations that are reverted while parts
+/// fail.
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_cut_mixed_or_reverted_while_things_fail() {
-    let (_platform, way, mut places) = start().await;
+async fn answers_stay_correct_and_versions_never_fall_during_failures() {
+    let (_platform, proxy, mut data_centres) = start().await;
     let stop = Arc::new(AtomicBool::new(false));
-    let whole = Arc::new(AtomicU64::new(0));
-    // Callers use VMs that stay up; what fails is around them.
-    let callers: Vec<_> = places
+    let served = Arc::new(AtomicU64::new(0));
+    // Callers use only VMs that are neither killed nor frozen.
+    let callers: Vec<_> = data_centres
         .iter()
         .enumerate()
-        .flat_map(|(at, place)| {
+        .flat_map(|(at, data_centre)| {
             [
-                (at * 2, place.daemons[0].address),
-                (at * 2 + 1, place.daemons[1].address),
+                (at * 2, data_centre.daemons[0].address),
+                (at * 2 + 1, data_centre.daemons[1].address),
             ]
         })
         .filter(|(caller, _)| *caller != 3)
-        .map(|(caller, address)| tokio::spawn(load(address, caller, stop.clone(), whole.clone())))
+        .map(|(caller, address)| tokio::spawn(load(address, caller, stop.clone(), served.clone())))
         .collect();
     let mut seen = BTreeMap::new();
-    let first = places[0].daemons[0].operators;
-    let cut_off = places[2].daemons[0].operators;
-    // The VM list must have been read before the cut: it names the daemons elsewhere.
+    let first = data_centres[0].daemons[0].operators;
+    let disconnected = data_centres[2].daemons[0].operators;
+    // The VM list, which names the daemons of other data centres, must be read before the
+    // disconnection.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    way.cut(true);
+    proxy.set_blocked(true);
     for round in 0..3u64 {
         let statement = format!(
             "set class practice first_token_target_ms = {}",
             6_000 + round
         );
         let body = json!({ "statement": statement, "operation_id": format!("round-{round}") });
-        let answer = ask_json(first, body).await;
+        let answer = post_statement(first, body).await;
         assert_eq!(answer.status, 200, "{}", answer.text);
         match round {
-            0 => places[1].daemons[1].kill(),
-            1 => places[0].daemons[2].signal("STOP"),
+            0 => data_centres[1].daemons[1].kill(),
+            1 => data_centres[0].daemons[2].signal("STOP"),
             _ => {
                 let crash = json!({ "crash": true }).to_string();
                 let headers = [("content-type", "application/json")];
-                let engine = places[2].engines[0].address;
+                let engine = data_centres[2].engines[0].address;
                 send(
                     engine,
                     http::Method::POST,
@@ -171,32 +180,32 @@
         }
         for _ in 0..20 {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            note(&mut seen, first).await;
-            note(&mut seen, cut_off).await;
+            check_versions(&mut seen, first).await;
+            check_versions(&mut seen, disconnected).await;
         }
     }
-    // The data centre without the platform has learnt it from the others.
+    // The disconnected data centre gets the version from the others.
     eventually(
-        "the cut-off data centre has the newest version",
+        "the disconnected data centre has the newest version",
         || async move {
-            versions(cut_off)
+            versions(disconnected)
                 .await
                 .values()
                 .all(|version| *version == 4)
         },
     )
     .await;
-    places[0].daemons[2].signal("CONT");
-    way.cut(false);
+    data_centres[0].daemons[2].signal("CONT");
+    proxy.set_blocked(false);
     eventually("the frozen VM has the newest version", || async move {
         let versions = versions(first).await;
         versions.len() == 3 && versions.values().all(|version| *version == 4)
     })
     .await;
-    note(&mut seen, first).await;
+    check_versions(&mut seen, first).await;
     stop.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await.expect("every answer was whole or not run");
     }
-    assert!(whole.load(Ordering::Relaxed) > 20);
+    assert!(served.load(Ordering::Relaxed) > 20);
 }
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,4 +1,4 @@
-//! The documents say what the code does.
+//! The documentation agrees with the code.
 
 use bridgevane::modules::serve::operators::query_language::parse;
 use bridgevane_events::Event;
@@ -11,8 +11,10 @@
     std::fs::read_to_string(path).expect("the document is there")
 }
 
+/// Guards against events that the catalogue misses, has under another text, or has although they
+/// were removed.
 #[test]
-fn the_catalogue_holds_every_event_and_no_other() {
+fn the_catalogue_contains_every_event_and_no_other() {
     let catalogue = document("EVENTS.md");
     let rows: Vec<&str> = catalogue
         .lines()
@@ -39,11 +41,12 @@
     assert_eq!(rows.len(), expected.len());
     let mut numbers: Vec<u32> = Event::ALL.iter().map(|event| event.number()).collect();
     numbers.dedup();
-    assert_eq!(numbers.len(), expected.len(), "numbers are given once");
+    assert_eq!(numbers.len(), expected.len(), "every number is unique");
 }
 
+/// Guards against examples of statements that the parser refuses.
 #[test]
-fn the_statements_of_the_language_page_can_be_read() {
+fn the_statements_of_the_language_page_can_be_parsed() {
     let page = document("LANGUAGE.md");
     let statements: Vec<&str> = page
         .lines()
@@ -55,8 +58,9 @@
     }
 }
 
+/// Guards against errors of the parser that point at a wrong place or change unnoticed.
 #[test]
-fn errors_of_the_language_point_at_the_word() {
+fn errors_of_the_parser_point_at_the_wrong_word() {
     let wrong = [
         "shwo requests",
         "show request",
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -1,5 +1,5 @@
-//! The duties of a fleet of separate processes before the emulated platform: usage is told once, with
-//! every request, and a holder that is killed is followed.
+//! The duties of a fleet of separate processes with the emulated platform: the usage of every
+//! request is submitted once, and a killed holder gets a successor.
 
 use bridgevane_platform_emulator::{
     Behaviour, CONFIG_KEY, DutyApi, LEASE_MS, PLAIN, Store, ToldUsage, Worker, document, request,
@@ -12,9 +12,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::process::{Child, Command};
 
-/// The longest that anything may take, beside other tests.
-const LIMIT: Duration = Duration::from_secs(40);
-/// Requests that one daemon gets in one go.
+/// The timeout of every wait; other tests run at the same time.
+const TIMEOUT: Duration = Duration::from_secs(40);
+/// The number of requests per daemon and round.
 const REQUESTS: u64 = 10;
 
 struct Gateway {
@@ -23,7 +23,7 @@
     clients: SocketAddr,
 }
 
-struct Stage {
+struct GatewayFleet {
     store: Store,
     api: DutyApi,
     gateways: Vec<Gateway>,
@@ -40,23 +40,23 @@
     };
     let mut answer = String::new();
     if stream.write_all(text.as_bytes()).await.is_ok() {
-        // An answer that breaks off isn't a whole one, and is seen so.
+        // The caller sees that an answer that breaks off is incomplete.
         let _ = stream.read_to_string(&mut answer).await;
     }
     answer
 }
 
-async fn wait_for(what: &str, is_so: impl AsyncFn() -> bool) {
+async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) {
     let waiting = async {
-        while !is_so().await {
+        while !condition().await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(LIMIT, waiting).await;
+    let waited = tokio::time::timeout(TIMEOUT, waiting).await;
     waited.unwrap_or_else(|_| panic!("in time: {what}"));
 }
 
-async fn start(stage: &Stage, at: usize, peers: &[SocketAddr]) -> Gateway {
+async fn start_gateway(fleet: &GatewayFleet, at: usize, peers: &[SocketAddr]) -> Gateway {
     let (clients, ready) = (free_address().await, free_address().await);
     let seeds: Vec<String> = peers.iter().map(ToString::to_string).collect();
     let name = format!("vm-{at}");
@@ -67,8 +67,8 @@
         .args(["--ready-address", &ready.to_string()])
         .args(["--peer-address", &peers[at].to_string()])
         .args(["--seed-addresses", &seeds.join(",")])
-        .args(["--store-address", &stage.store.address.to_string()])
-        .args(["--duty-address", &stage.api.address.to_string()])
+        .args(["--store-address", &fleet.store.address.to_string()])
+        .args(["--duty-address", &fleet.api.address.to_string()])
         .args(["--duties", "usage_report"])
         .args(["--lease-ms", &LEASE_MS.to_string()])
         .args(["--usage-window-s", "1", "--usage-late-s", "8"])
@@ -88,12 +88,12 @@
     }
 }
 
-async fn stage(daemons: usize) -> Stage {
+async fn start_fleet(daemons: usize) -> GatewayFleet {
     let store = Store::start().await;
     store.put(CONFIG_KEY, &document(1));
     let worker = Worker::start("i-plain", Behaviour::Whole(Duration::ZERO)).await;
     store.put(&worker.key(), &worker.record(PLAIN, "z", "ready"));
-    let mut stage = Stage {
+    let mut fleet = GatewayFleet {
         store,
         api: DutyApi::start().await,
         gateways: Vec::new(),
@@ -103,14 +103,14 @@
         peers.push(free_address().await);
     }
     for at in 0..daemons {
-        let gateway = start(&stage, at, &peers).await;
-        stage.gateways.push(gateway);
+        let gateway = start_gateway(&fleet, at, &peers).await;
+        fleet.gateways.push(gateway);
     }
-    stage
+    fleet
 }
 
-impl Stage {
-    /// Sends requests to every daemon; gives how many were answered with success.
+impl GatewayFleet {
+    /// Sends requests to every daemon and returns how many were served.
     async fn send_to_all(&self, round: &str) -> u64 {
         let mut served = 0;
         for gateway in &self.gateways {
@@ -123,42 +123,47 @@
         served
     }
 
-    /// Requests that the platform was told of, after a check that no window was told in two ways.
-    fn told(&self) -> u64 {
+    /// Returns the number of requests in the submitted usage, after a check that fencing tokens
+    /// never fall and that no window was submitted with different counts.
+    fn usage_count(&self) -> u64 {
         let mut by_window: HashMap<u64, ToldUsage> = HashMap::new();
         let mut newest_fence = 0;
-        for told in self.api.usage() {
-            assert!(told.fence >= newest_fence, "{told:?} after {newest_fence}");
-            newest_fence = told.fence;
-            let first = by_window.entry(told.window).or_insert(told.clone());
-            assert_eq!(first.counts, told.counts, "{told:?}");
+        for usage in self.api.usage() {
+            assert!(
+                usage.fence >= newest_fence,
+                "{usage:?} after {newest_fence}"
+            );
+            newest_fence = usage.fence;
+            let first = by_window.entry(usage.window).or_insert(usage.clone());
+            assert_eq!(first.counts, usage.counts, "{usage:?}");
         }
-        let counts = by_window.values().flat_map(|told| told.counts.values());
+        let counts = by_window.values().flat_map(|usage| usage.counts.values());
         counts.copied().map(u64::from).sum()
     }
 }
 
+/// Guards against usage that is lost or submitted twice when the holder of the duties is killed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn every_request_of_all_daemons_is_told_once_also_after_the_holder_was_killed() {
-    let mut stage = stage(3).await;
-    let served = stage.send_to_all("before").await;
+async fn the_usage_of_every_request_is_submitted_once_also_after_the_holder_was_killed() {
+    let mut fleet = start_fleet(3).await;
+    let served = fleet.send_to_all("before").await;
     assert_eq!(served, 3 * REQUESTS);
-    wait_for("all requests are told", async || stage.told() >= served).await;
-    assert_eq!(stage.told(), served);
-    let before = stage.api.usage().last().cloned().expect("some usage");
-    let killed = stage
+    wait_for("all is submitted", async || fleet.usage_count() >= served).await;
+    assert_eq!(fleet.usage_count(), served);
+    let before = fleet.api.usage().last().cloned().expect("some usage");
+    let killed = fleet
         .gateways
         .iter()
         .position(|gateway| gateway.name == before.holder);
-    let mut killed = stage.gateways.remove(killed.expect("the holder runs"));
+    let mut killed = fleet.gateways.remove(killed.expect("the holder runs"));
     killed.process.kill().await.expect("it runs");
-    // Nothing of it is lost, since the killed daemon had told all that it counted.
-    let served_after = stage.send_to_all("after").await;
+    // No usage is lost: the killed daemon had submitted all that it counted.
+    let served_after = fleet.send_to_all("after").await;
     assert_eq!(served_after, 2 * REQUESTS);
     let all = served + served_after;
-    wait_for("the successor tells the rest", async || stage.told() >= all).await;
-    assert_eq!(stage.told(), all);
-    let after = stage.api.usage().last().cloned().expect("some usage");
+    wait_for("the rest is submitted", async || fleet.usage_count() >= all).await;
+    assert_eq!(fleet.usage_count(), all);
+    let after = fleet.api.usage().last().cloned().expect("some usage");
     assert_ne!(after.holder, before.holder);
     assert!(after.fence > before.fence);
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway as separate processes before the emulated platform.
+//! The gateway as separate processes with the emulated platform.
 
 use bridgevane_platform_emulator::{
     Behaviour, CONFIG_KEY, Fault, MODEL, PLAIN, Store, Wish, Worker, document, request,
@@ -11,10 +11,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::process::{Child, Command};
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Store, workers and gateways.
-struct Stage {
+/// A store, workers and gateways.
+struct GatewayFleet {
     store: Store,
     workers: Vec<Worker>,
     gateways: Vec<Gateway>,
@@ -26,13 +26,13 @@
     ready: SocketAddr,
 }
 
-/// An address that was free a moment ago.
+/// Returns an address whose port was just free.
 async fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     listener.local_addr().expect("it listens")
 }
 
-async fn gateway(store: &Store, name: &str) -> Gateway {
+async fn start_gateway(store: &Store, name: &str) -> Gateway {
     let (clients, ready) = (free_address().await, free_address().await);
     let process = Command::new(env!("CARGO_BIN_EXE_bridgevane"))
         .arg("gateway")
@@ -60,7 +60,7 @@
     gateway
 }
 
-async fn stage(gateways: usize) -> Stage {
+async fn start_fleet(gateways: usize) -> GatewayFleet {
     let store = Store::start().await;
     store.put(CONFIG_KEY, &document(1));
     let whole = Behaviour::Whole(Duration::ZERO);
@@ -73,25 +73,25 @@
     for (worker, service) in workers.iter().zip([PLAIN, MODEL, MODEL]) {
         store.put(&worker.key(), &worker.record(service, "z", "ready"));
     }
-    let mut stage = Stage {
+    let mut fleet = GatewayFleet {
         store,
         workers,
         gateways: Vec::new(),
     };
     for at in 0..gateways {
-        let gateway = gateway(&stage.store, &format!("vm-{at}")).await;
-        stage.gateways.push(gateway);
+        let gateway = start_gateway(&fleet.store, &format!("vm-{at}")).await;
+        fleet.gateways.push(gateway);
     }
-    stage
+    fleet
 }
 
-async fn wait_for(what: &str, is_so: impl AsyncFn() -> bool) {
+async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) {
     let waiting = async {
-        while !is_so().await {
+        while !condition().await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(LIMIT, waiting).await;
+    let waited = tokio::time::timeout(TIMEOUT, waiting).await;
     waited.unwrap_or_else(|_| panic!("in time: {what}"));
 }
 
@@ -111,19 +111,19 @@
     exchange(gateway.ready, text).await.contains(" 200 ")
 }
 
-impl Stage {
-    async fn ask(&self, path: &str, id: &str) -> String {
+impl GatewayFleet {
+    async fn send(&self, path: &str, id: &str) -> String {
         exchange(self.gateways[0].clients, &request(path, id)).await
     }
 }
 
-/// Stops a gateway by its signal and gives its log.
-async fn stop(mut gateway: Gateway) -> String {
+/// Stops a gateway with SIGTERM and returns its log.
+async fn stop_gateway(mut gateway: Gateway) -> String {
     signal(&gateway, Signal::TERM);
     let mut log = String::new();
     let mut output = gateway.process.stdout.take().expect("it is piped");
     let reading = output.read_to_string(&mut log);
-    let read = tokio::time::timeout(LIMIT, reading).await;
+    let read = tokio::time::timeout(TIMEOUT, reading).await;
     read.expect("it ends").expect("its log can be read");
     log
 }
@@ -134,36 +134,38 @@
     kill_process(pid, signal).expect("it runs");
 }
 
+/// Guards against failures that an operator can't trace: each refused or cut request must be
+/// explained by the log lines with its id, and counted in the metrics.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_whole_path_and_a_failure_explained_by_its_id() {
-    let mut stage = stage(1).await;
-    let got = stage.ask("/once/x", "a1").await;
+    let mut fleet = start_fleet(1).await;
+    let answer = fleet.send("/once/x", "a1").await;
     assert!(
-        got.starts_with("HTTP/1.1 200") && got.ends_with("whole a1"),
-        "{got}"
+        answer.starts_with("HTTP/1.1 200") && answer.ends_with("whole a1"),
+        "{answer}"
     );
-    let got = stage.ask("/stream/x", "a2").await;
+    let answer = fleet.send("/stream/x", "a2").await;
     assert!(
-        got.contains("piece 4") && got.ends_with("0\r\n\r\n"),
-        "{got}"
+        answer.contains("piece 4") && answer.ends_with("0\r\n\r\n"),
+        "{answer}"
     );
-    // A refusal: the worker is full.
-    stage.workers[0].behave(Behaviour::Full);
-    let got = stage.ask("/once/x", "a3").await;
+    // The worker refuses as overloaded.
+    fleet.workers[0].behave(Behaviour::Full);
+    let answer = fleet.send("/once/x", "a3").await;
     assert!(
-        got.starts_with("HTTP/1.1 503") && got.contains("retry-after"),
-        "{got}"
+        answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after"),
+        "{answer}"
     );
-    // A stream that is cut off, and one that goes on elsewhere.
-    stage.workers[1].behave(Behaviour::BreaksOff(2));
-    stage.workers[2].behave(Behaviour::BreaksOff(2));
-    let got = stage.ask("/stream/x", "a4").await;
+    // Both workers of the route break off their streams.
+    fleet.workers[1].behave(Behaviour::BreaksOff(2));
+    fleet.workers[2].behave(Behaviour::BreaksOff(2));
+    let answer = fleet.send("/stream/x", "a4").await;
     assert!(
-        got.contains("piece 2") && !got.ends_with("0\r\n\r\n"),
-        "{got}"
+        answer.contains("piece 2") && !answer.ends_with("0\r\n\r\n"),
+        "{answer}"
     );
     let text = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    let page = exchange(stage.gateways[0].ready, text).await;
+    let page = exchange(fleet.gateways[0].ready, text).await;
     for row in [
         "bridgevane_gateway_refused_total{",
         "reason=\"overloaded\"",
@@ -173,7 +175,7 @@
     ] {
         assert!(page.contains(row), "{row} in {page}");
     }
-    let log = stop(stage.gateways.remove(0)).await;
+    let log = stop_gateway(fleet.gateways.remove(0)).await;
     let lines_of = |id: &str| -> Vec<&str> {
         let quoted = format!("\"{id}\"");
         log.lines().filter(|line| line.contains(&quoted)).collect()
@@ -192,101 +194,105 @@
     assert!(log.contains("the daemon serves") && log.contains("all streams have ended"));
 }
 
+/// Guards against a stream that SIGHUP or a planned stop cuts.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn signals_cut_nothing() {
-    let mut stage = stage(1).await;
-    for worker in &stage.workers {
+    let mut fleet = start_fleet(1).await;
+    for worker in &fleet.workers {
         worker.behave(Behaviour::Events(20, Duration::from_millis(40)));
     }
-    let gateway = stage.gateways.remove(0);
+    let gateway = fleet.gateways.remove(0);
     let clients = gateway.clients;
     signal(&gateway, Signal::HUP);
     let streaming =
         tokio::spawn(async move { exchange(clients, &request("/stream/x", "b1")).await });
-    let ran = async || stage.workers.iter().any(|worker| !worker.ran().is_empty());
+    let ran = async || fleet.workers.iter().any(|worker| !worker.ran().is_empty());
     wait_for("the stream runs", ran).await;
     signal(&gateway, Signal::HUP);
-    // Two signals that wait together may be told in either order.
+    // Two pending signals may be handled in either order.
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let log = stop(gateway).await;
-    let got = streaming.await.expect("the client ends");
+    let log = stop_gateway(gateway).await;
+    let answer = streaming.await.expect("the client ends");
     assert!(
-        got.contains("piece 20") && got.ends_with("0\r\n\r\n"),
-        "{got}"
+        answer.contains("piece 20") && answer.ends_with("0\r\n\r\n"),
+        "{answer}"
     );
     assert_eq!(log.matches("\"event\":1005").count(), 2, "{log}");
 }
 
+/// Guards against requests served on an outdated configuration, and against a gateway that stays
+/// unready after the outage.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_outage_of_the_store_fails_closed_and_heals() {
-    let stage = stage(2).await;
-    let first = &stage.gateways[0];
-    stage.store.fault(Some(Fault::Silent));
-    let got = stage.ask("/once/x", "c1").await;
+async fn a_gateway_refuses_requests_during_a_store_outage_and_recovers() {
+    let fleet = start_fleet(2).await;
+    let first = &fleet.gateways[0];
+    fleet.store.fault(Some(Fault::Silent));
+    let answer = fleet.send("/once/x", "c1").await;
     assert!(
-        got.starts_with("HTTP/1.1 200"),
-        "the last proof still holds: {got}"
+        answer.starts_with("HTTP/1.1 200"),
+        "the last proof is still valid: {answer}"
     );
     wait_for("not ready", async || !is_ready(first).await).await;
-    let got = stage.ask("/once/x", "c2").await;
+    let answer = fleet.send("/once/x", "c2").await;
     assert!(
-        got.starts_with("HTTP/1.1 503") && got.contains("not_ready"),
-        "{got}"
+        answer.starts_with("HTTP/1.1 503") && answer.contains("not_ready"),
+        "{answer}"
     );
-    assert!(!stage.workers[0].ran().contains(&"c2".to_owned()));
-    stage.store.fault(None);
+    assert!(!fleet.workers[0].ran().contains(&"c2".to_owned()));
+    fleet.store.fault(None);
     wait_for("ready", async || is_ready(first).await).await;
-    let got = stage.ask("/once/x", "c3").await;
-    assert!(got.starts_with("HTTP/1.1 200"), "{got}");
+    let answer = fleet.send("/once/x", "c3").await;
+    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
-/// Asks so often; gives how many were answered well.
-async fn served(stage: &Stage, requests: usize) -> usize {
+/// Sends `requests` requests one after the other and returns how many were served.
+async fn count_served(fleet: &GatewayFleet, requests: usize) -> usize {
     let mut served = 0;
     for at in 0..requests {
-        let got = stage.ask("/once/x", &format!("r{at}")).await;
-        served += usize::from(got.starts_with("HTTP/1.1 200"));
+        let answer = fleet.send("/once/x", &format!("r{at}")).await;
+        served += usize::from(answer.starts_with("HTTP/1.1 200"));
     }
     served
 }
 
-/// Guards against a worker's limit that is lost between the wire and the rule.
+/// Guards against an announced limit that is parsed but not enforced.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_worker_gets_no_more_than_the_limit_that_it_names() {
-    let stage = stage(1).await;
-    stage.workers[0].ask_for(Some(Wish::Limit(0.5)));
-    assert_eq!(served(&stage, 1).await, 1);
-    // Half as many again in 4 s, and five.
-    assert!(served(&stage, 20).await <= 8);
+async fn a_worker_gets_no_more_requests_than_its_announced_limit() {
+    let fleet = start_fleet(1).await;
+    fleet.workers[0].ask_for(Some(Wish::Limit(0.5)));
+    assert_eq!(count_served(&fleet, 1).await, 1);
+    // 1.5 times the limit over 4 s, plus five.
+    assert!(count_served(&fleet, 20).await <= 8);
 }
 
-/// Guards against a worker that is taken for a ready one again, by its old record, after an outage in which it has said that it leaves.
+/// Guards against a leaving worker that counts as ready again after an outage of the store: it
+/// announced during the outage that it is leaving, and its record in the store is older.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_worker_that_leaves_during_an_outage_gets_nothing_after_it() {
-    let stage = stage(1).await;
-    let daemon = &stage.gateways[0];
-    stage.store.fault(Some(Fault::Silent));
-    stage.workers[0].ask_for(Some(Wish::Leaving));
-    assert_eq!(served(&stage, 1).await, 1);
+async fn a_worker_that_announces_leaving_during_an_outage_gets_no_requests_afterwards() {
+    let fleet = start_fleet(1).await;
+    let daemon = &fleet.gateways[0];
+    fleet.store.fault(Some(Fault::Silent));
+    fleet.workers[0].ask_for(Some(Wish::Leaving));
+    assert_eq!(count_served(&fleet, 1).await, 1);
     wait_for("not ready", async || !is_ready(daemon).await).await;
-    stage.store.fault(None);
+    fleet.store.fault(None);
     wait_for("ready", async || is_ready(daemon).await).await;
-    assert_eq!(served(&stage, 3).await, 0);
-    assert_eq!(stage.workers[0].ran().len(), 1);
+    assert_eq!(count_served(&fleet, 3).await, 0);
+    assert_eq!(fleet.workers[0].ran().len(), 1);
 }
 
-/// Guards against a worker's rest that is lost between the wire and the rule.
+/// Guards against a requested back-off that is parsed but not enforced.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_worker_that_asks_for_rest_gets_nothing_meanwhile() {
-    let stage = stage(1).await;
-    let worker = &stage.workers[0];
+async fn a_worker_gets_no_requests_during_its_requested_backoff() {
+    let fleet = start_fleet(1).await;
+    let worker = &fleet.workers[0];
     worker.ask_for(Some(Wish::Rest(Duration::from_secs(60))));
     worker.behave(Behaviour::Full);
-    let got = stage.ask("/once/x", "s1").await;
+    let answer = fleet.send("/once/x", "s1").await;
     assert!(
-        got.contains("retry-after: 5") || got.contains("retry-after: 60"),
-        "{got}"
+        answer.contains("retry-after: 5") || answer.contains("retry-after: 60"),
+        "{answer}"
     );
     worker.behave(Behaviour::Whole(Duration::ZERO));
-    assert_eq!(served(&stage, 20).await, 0);
+    assert_eq!(count_served(&fleet, 20).await, 0);
 }
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Bad and hostile input: each a typed answer, nothing of one caller reaches another, nobody
-//! else is slowed.
+//! Invalid and hostile input: every request gets a typed answer, no data of one caller reaches
+//! another, and other callers are still served.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Sends bytes as they are and reads until the other side closes or a while has passed.
-async fn raw(address: SocketAddr, bytes: &[u8]) -> String {
+/// Sends bytes as they are and reads until the daemon closes the connection or 3 s have passed.
+async fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     // The daemon may close before it has read everything.
     let _ = stream.write_all(bytes).await;
@@ -26,7 +26,7 @@
     )
 }
 
-async fn still_serves(fleet: &Fleet) {
+async fn assert_serves(fleet: &Fleet) {
     let prompt = "Still well? [tokens=3]";
     let answer = chat(fleet.daemons[0].address, prompt, 10).await;
     assert_eq!(answer.streamed_text(), expected_text(prompt));
@@ -36,8 +36,10 @@
 /// Name, path, headers, body, status, code.
 type BadCase<'a> = (&'a str, &'a str, Headers<'a>, &'a str, u16, &'a str);
 
+/// Guards against an invalid request that gets an untyped error, or one that doesn't say that it
+/// wasn't run.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_get_typed_answers() {
+async fn invalid_requests_get_typed_errors() {
     let fleet = Fleet::start("bad_requests", 1, 1).await;
     let address = fleet.daemons[0].address;
     let bearer = format!("Bearer {CUSTOMER_KEY}");
@@ -153,38 +155,39 @@
         assert_eq!(answer.header("x-bridgevane-outcome"), "not-run", "{name}");
         assert!(answer.header("x-request-id").starts_with("req-"), "{name}");
     }
-    // Fields that nobody knows are no error: client libraries send many.
+    // Unknown fields are no error: client libraries send many.
     let body = serde_json::json!({
         "model": "tutor", "prompt": "p [tokens=1]", "max_tokens": 4, "temperature": 0.3,
         "seed": 7, "made_up": { "deep": [1, 2, { "x": null }] },
     });
     assert_eq!(post(address, "/v1/completions", body).await.status, 200);
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
 }
 
+/// Guards against request smuggling, and against answers to pipelined requests in the wrong order.
 #[tokio::test(flavor = "multi_thread")]
-async fn smuggled_pipelined_and_broken_requests_reach_nobody_else() {
+async fn smuggled_requests_are_not_run_and_pipelined_ones_are_answered_in_order() {
     let fleet = Fleet::start("smuggled", 1, 1).await;
     let address = fleet.daemons[0].address;
-    // Two lengths that disagree: whatever the answer, what follows the head never counts as a
-    // request of its own with somebody's key.
+    // Two contradicting lengths: the bytes after the head must not be run as a second request with
+    // the key that they contain.
     let smuggled = format!(
         "{}0\r\n\r\nGET /v1/models HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {CUSTOMER_KEY}\r\n\r\n",
         head("content-length: 5\r\ntransfer-encoding: chunked\r\n"),
     );
-    let answer = raw(address, smuggled.as_bytes()).await;
+    let answer = send_raw(address, smuggled.as_bytes()).await;
     assert!(!answer.contains("\"object\":\"list\""), "{answer}");
     let twice = head("content-length: 5\r\ncontent-length: 6\r\n") + "hello!";
-    let answer = raw(address, twice.as_bytes()).await;
+    let answer = send_raw(address, twice.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
     let long_head = head(&format!("x-long: {}\r\n", "y".repeat(200 << 10)));
-    let answer = raw(address, long_head.as_bytes()).await;
+    let answer = send_raw(address, long_head.as_bytes()).await;
     assert!(
         answer.starts_with("HTTP/1.1 431"),
         "{}",
         &answer[..answer.len().min(200)]
     );
-    let garbage = raw(
+    let garbage = send_raw(
         address,
         b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 not http at all\r\n\r\n",
     )
@@ -215,16 +218,18 @@
     }
     let first = bridgevane_standins::token_text("first [tokens=2]", 0);
     let second = bridgevane_standins::token_text("second [tokens=1]", 0);
-    let places = (text.find(first.trim()), text.find(second.trim()));
+    let offsets = (text.find(first.trim()), text.find(second.trim()));
     assert!(
-        matches!(places, (Some(one), Some(two)) if one < two),
+        matches!(offsets, (Some(one), Some(two)) if one < two),
         "{text}"
     );
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
 }
 
+/// Guards against requests that keep running for a disconnected caller, and against slow senders
+/// that block other callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_stops_reading_or_goes_away_frees_its_engine() {
+async fn disconnected_and_slow_callers_hold_no_engine() {
     let fleet = Fleet::start("vanishing", 1, 1).await;
     let address = fleet.daemons[0].address;
     let body = serde_json::json!({
@@ -237,27 +242,36 @@
          content-length: {}\r\n\r\n{body}",
         body.len()
     );
-    let mut gone = TcpStream::connect(address).await.expect("a connection");
-    gone.write_all(request.as_bytes()).await.expect("sent");
+    let mut disconnected = TcpStream::connect(address).await.expect("a connection");
+    disconnected
+        .write_all(request.as_bytes())
+        .await
+        .expect("sent");
     let mut buffer = [0; 256];
-    assert_ne!(gone.read(&mut buffer).await.expect("a first piece"), 0);
-    drop(gone);
+    assert_ne!(
+        disconnected.read(&mut buffer).await.expect("a first piece"),
+        0
+    );
+    drop(disconnected);
     let operators = fleet.daemons[0].operators;
-    eventually("its request is over", || async move {
-        let rows = ask(operators, "show requests").await.json()["rows"].clone();
+    eventually("its request has ended", || async move {
+        let rows = run_statement(operators, "show requests").await.json()["rows"].clone();
         rows.as_array().is_some_and(Vec::is_empty)
     })
     .await;
-    // Many that never send their whole body hold nothing up.
+    // Callers that never complete their body don't delay others.
     let mut slow = Vec::new();
     for _ in 0..50 {
         let mut stream = TcpStream::connect(address).await.expect("a connection");
-        let begun = head("content-length: 1000\r\n") + "{\"model\":";
-        stream.write_all(begun.as_bytes()).await.expect("sent");
+        let partial_request = head("content-length: 1000\r\n") + "{\"model\":";
+        stream
+            .write_all(partial_request.as_bytes())
+            .await
+            .expect("sent");
         slow.push(stream);
     }
-    still_serves(&fleet).await;
-    // A caller that closes its sending side still gets its answer.
+    assert_serves(&fleet).await;
+    // A caller with a complete request and an unread answer doesn't disturb others.
     let mut half = TcpStream::connect(address).await.expect("a connection");
     let body = serde_json::json!({ "model": "tutor", "prompt": "half [tokens=2]" }).to_string();
     let request = format!(
@@ -266,12 +280,13 @@
         body.len()
     );
     half.write_all(request.as_bytes()).await.expect("sent");
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
     drop(slow);
 }
 
+/// Guards against a daemon that fails or forgets its peers after invalid bytes on its peer address.
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers_between_daemons_are_refused_and_harm_nobody() {
+async fn invalid_bytes_on_the_peer_address_do_no_harm() {
     let fleet = Fleet::start("peer_strangers", 1, 2).await;
     let peers = fleet.daemons[0].peers;
     let oversized = [0xff, 0xff, 0xff, 0xff, 1, 2, 3];
@@ -282,8 +297,8 @@
         &[0; 64],
     ];
     for input in inputs {
-        raw(peers, input).await;
+        send_raw(peers, input).await;
     }
-    fleet.all_see(2).await;
-    still_serves(&fleet).await;
+    fleet.wait_for_members_everywhere(2).await;
+    assert_serves(&fleet).await;
 }
--- a/tests/http_serve.rs
+++ b/tests/http_serve.rs
@@ -1,4 +1,4 @@
-//! Servers that are closed while answers are on their way.
+//! Closing servers while answers are being sent.
 
 use axum::Router;
 use axum::routing::get;
@@ -9,10 +9,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// More than the buffers of both sockets hold.
+/// More than the buffers of both sockets can hold.
 const LONG_ANSWER_BYTES: usize = 32 << 20;
 
-async fn serving() -> (Servers, SocketAddr) {
+async fn start_server() -> (Servers, SocketAddr) {
     let any = "127.0.0.1:0".parse().unwrap();
     let listener = listen(any).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -22,7 +22,7 @@
     (servers, address)
 }
 
-async fn ask(address: SocketAddr) -> TcpStream {
+async fn request_long_answer(address: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = b"GET /long HTTP/1.1\r\nhost: x\r\n\r\n";
     stream.write_all(request).await.unwrap();
@@ -31,31 +31,36 @@
     stream
 }
 
-/// A planned stop cut the end of a stream off: its request was over, its last bytes weren't sent.
+/// Guards against a planned stop that cuts the end of a stream: the request had ended, but its last
+/// bytes weren't sent yet.
 #[tokio::test]
-async fn closing_waits_until_the_answer_is_sent() {
-    let (servers, address) = serving().await;
-    let mut caller = ask(address).await;
+async fn closing_waits_until_running_answers_are_sent() {
+    let (servers, address) = start_server().await;
+    let mut caller = request_long_answer(address).await;
     let closing = tokio::spawn(servers.close());
     sleep(Duration::from_millis(200)).await;
-    assert!(!closing.is_finished(), "the caller hasn't read it");
+    assert!(!closing.is_finished(), "the caller hasn't read the answer");
     let mut rest = Vec::new();
     caller.read_to_end(&mut rest).await.unwrap();
     assert!(rest.len() > LONG_ANSWER_BYTES, "{} bytes", rest.len());
     timeout(Duration::from_secs(5), closing)
         .await
-        .expect("it closes then")
+        .expect("it closes once the answer is sent")
         .unwrap();
 }
 
+/// Guards against a planned stop that waits for clients that keep idle connections open.
 #[tokio::test]
-async fn closing_waits_for_no_idle_connection() {
-    let (servers, address) = serving().await;
-    let mut caller = ask(address).await;
-    let mut left = vec![0; LONG_ANSWER_BYTES];
-    caller.read_exact(&mut left).await.unwrap();
+async fn closing_does_not_wait_for_idle_connections() {
+    let (servers, address) = start_server().await;
+    let mut caller = request_long_answer(address).await;
+    let mut remaining = vec![0; LONG_ANSWER_BYTES];
+    caller.read_exact(&mut remaining).await.unwrap();
     timeout(Duration::from_secs(5), servers.close())
         .await
-        .expect("nothing is on its way");
-    assert!(TcpStream::connect(address).await.is_err(), "nobody listens");
+        .expect("no answer is being sent");
+    assert!(
+        TcpStream::connect(address).await.is_err(),
+        "the listener is closed"
+    );
 }
--- a/tests/platform_names.rs
+++ b/tests/platform_names.rs
@@ -1,8 +1,8 @@
-//! Nothing outside `platform/` knows the platform's names.
+//! No source file outside of `platform/` contains names of the platform's protocol.
 
 use std::path::{Path, PathBuf};
 
-/// Names of headers, fields and paths that mean nothing elsewhere.
+/// Names of headers, fields and paths that occur in the platform's protocol only.
 const NAMES: [&str; 40] = [
     "attempt-id",
     "deadline-ms",
@@ -46,7 +46,7 @@
     "bridgevane_boot",
 ];
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("the folder is there") {
         let path = entry.expect("an entry").path();
         let name = path
@@ -55,19 +55,20 @@
             .to_string_lossy()
             .into_owned();
         if path.is_dir() && !["target", "platform", ".git", "journal"].contains(&name.as_str()) {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
     }
 }
 
+/// Guards against code outside of `platform/` that depends on the platform's protocol.
 #[test]
-fn the_platform_s_names_stay_in_its_folder() {
+fn no_source_outside_of_the_platform_folder_contains_its_names() {
     let mut found = Vec::new();
-    sources(Path::new(env!("CARGO_MANIFEST_DIR")), &mut found);
-    let own = Path::new(file!()).file_name();
-    found.retain(|path| path.file_name() != own);
+    collect_sources(Path::new(env!("CARGO_MANIFEST_DIR")), &mut found);
+    let this_file = Path::new(file!()).file_name();
+    found.retain(|path| path.file_name() != this_file);
     assert!(found.len() > 100, "{}", found.len());
     for path in found {
         let text = std::fs::read_to_string(&path)
--- a/tests/report_logs.rs
+++ b/tests/report_logs.rs
@@ -1,4 +1,4 @@
-//! `bridgevane report logs` and `report request` on files, as the engineer on call runs them.
+//! `bridgevane report logs`, `report request` and `report tree` on log files.
 
 use std::fs;
 use std::path::PathBuf;
@@ -25,14 +25,16 @@
     String::from_utf8(output.stdout.clone()).expect("text")
 }
 
+/// Guards against events of a request that the report misses or shows out of order when they are in
+/// several files, and against unreadable lines that aren't mentioned.
 #[test]
-fn a_request_is_followed_from_its_id_to_the_cause_over_all_files() {
+fn the_report_of_a_request_shows_its_events_of_all_files_in_order() {
     let one = log_file("one.log", &[REFUSED]);
     let two = log_file("two.log", &[FAILED, "cut {\"at\":"]);
     let files = [one.to_str().unwrap(), two.to_str().unwrap()];
     let output = report(&["request", "a3", files[0], files[1]]);
     assert!(output.status.success(), "{output:?}");
-    let shown = text(&output);
+    let printed = text(&output);
     let order = [
         "1308",
         "1306",
@@ -42,26 +44,27 @@
     let found: Vec<usize> = order
         .iter()
         .map(|part| {
-            shown
+            printed
                 .find(part)
-                .unwrap_or_else(|| panic!("{part}: {shown}"))
+                .unwrap_or_else(|| panic!("{part}: {printed}"))
         })
         .collect();
-    assert!(found.is_sorted(), "{shown}");
+    assert!(found.is_sorted(), "{printed}");
     let unknown = report(&["request", "b9", files[0]]);
     assert_eq!(unknown.status.code(), Some(1));
 }
 
+/// Guards against logs that the summary leaves out, in each of its forms.
 #[test]
-fn logs_are_summed_up_as_tables_json_and_a_picture() {
+fn the_summary_of_logs_is_shown_as_tables_json_and_a_plot() {
     let log = log_file("all.log", &[REFUSED, FAILED]);
     let log = log.to_str().unwrap();
     let svg = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("logs.svg");
     let output = report(&["logs", log, "--svg", svg.to_str().unwrap()]);
     assert!(output.status.success(), "{output:?}");
-    let shown = text(&output);
+    let printed = text(&output);
     for part in ["overloaded", "not_executed", "i-7", "c-1", "chat", "vm-a"] {
-        assert!(shown.contains(part), "{part}: {shown}");
+        assert!(printed.contains(part), "{part}: {printed}");
     }
     assert!(fs::read_to_string(svg).expect("drawn").starts_with("<svg"));
     let json = text(&report(&["logs", "--json", log]));
@@ -85,9 +88,10 @@
     )
 }
 
-/// The large site: whole data centres followed each other in circles, and nothing showed it.
+/// Guards against cycles of followers that the report doesn't show: in a large deployment, daemons
+/// of whole data centres followed each other in cycles, and no report showed it.
 #[test]
-fn the_tree_of_followers_is_shown_with_its_circles() {
+fn the_report_of_the_tree_of_followers_shows_cycles() {
     let lines = [
         started("a", "10.0.0.1:1"),
         started("b", "10.0.0.2:1"),
@@ -97,7 +101,7 @@
         follows("b", 1, "10.0.0.1:1"),
         follows("c", 1, "10.0.0.2:1"),
         follows("d", 1, "10.0.0.3:1"),
-        // b and c follow each other, d is below them; e follows nobody known.
+        // b and c follow each other and d follows c; the upstream of e is unknown.
         follows("b", 3, "10.0.0.3:1"),
         follows("e", 3, "10.0.0.9:1"),
     ];
@@ -122,9 +126,9 @@
     assert_eq!(after["depth"], 1);
     let table = text(&report(&["tree", log]));
     assert!(table.contains("at the source"), "{table}");
-    let nothing = log_file("no-tree.log", &[REFUSED]);
+    let no_tree = log_file("no-tree.log", &[REFUSED]);
     assert_eq!(
-        report(&["tree", nothing.to_str().unwrap()]).status.code(),
+        report(&["tree", no_tree.to_str().unwrap()]).status.code(),
         Some(1)
     );
 }
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Rollouts of model versions: by whom, in which order, and what a dead or frozen holder does.
+//! Rollouts of model versions: their order, and the death or freeze of the daemon that holds one.
 
 mod support;
 
@@ -9,24 +9,24 @@
 async fn roll_out(fleet: &Fleet, statement: &str) {
     let operators = fleet.daemons[0].operators;
     let body = json!({ "statement": statement, "operation_id": statement });
-    let answer = ask_json(operators, body).await;
+    let answer = post_statement(operators, body).await;
     assert_eq!(answer.status, 200, "{}", answer.text);
 }
 
 async fn rollouts(operators: std::net::SocketAddr) -> Vec<Value> {
-    let answer = ask(operators, "show rollouts").await.json();
+    let answer = run_statement(operators, "show rollouts").await.json();
     answer["rows"].as_array().cloned().unwrap_or_default()
 }
 
-async fn reaches(operators: std::net::SocketAddr, stage: &'static str) {
-    eventually("the rollout gets there", || async move {
+async fn wait_for_stage(operators: std::net::SocketAddr, stage: &'static str) {
+    eventually("the rollout reaches the stage", || async move {
         let rows = rollouts(operators).await;
         rows.iter().any(|row| field(row, "stage") == stage)
     })
     .await;
 }
 
-/// The orders that an engine took: fence, generation, version.
+/// Returns the orders that an engine accepted: fencing token, generation, version.
 async fn orders(engine: &Process) -> Vec<(u64, u64, u64)> {
     let answer = send(
         engine.address,
@@ -54,24 +54,25 @@
         .collect()
 }
 
-async fn holder(fleet: &Fleet) -> usize {
+async fn holder_index(fleet: &Fleet) -> usize {
     let rows = rollouts(fleet.daemons[0].operators).await;
     let vm = field(&rows[0], "vm");
     let at = (0..fleet.daemons.len()).find(|at| vm == format!("vm-{at}").as_str());
-    at.expect("one of the daemons holds it")
+    at.expect("one of the daemons holds the rollout")
 }
 
+/// Guards against engines that a rollout misses or orders twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rollout_reaches_every_engine_batch_by_batch() {
+async fn a_rollout_reaches_every_engine_once() {
     let fleet = Fleet::start("rollout", 3, 2).await;
     roll_out(&fleet, "roll out tutor version 2 batch 1 watch 300ms").await;
-    reaches(fleet.daemons[1].operators, "done").await;
+    wait_for_stage(fleet.daemons[1].operators, "done").await;
     for engine in &fleet.engines {
-        let taken = orders(engine).await;
-        assert_eq!(taken.len(), 1, "{taken:?}");
-        assert_eq!(taken[0].2, 2);
+        let accepted = orders(engine).await;
+        assert_eq!(accepted.len(), 1, "{accepted:?}");
+        assert_eq!(accepted[0].2, 2);
     }
-    // The next one goes on from there, under a higher generation.
+    // A second rollout follows with a higher generation.
     roll_out(&fleet, "roll out tutor version 3 batch 3 watch 100ms").await;
     eventually("every engine has version 3", || async {
         let mut versions = Vec::new();
@@ -81,38 +82,42 @@
         versions.iter().all(|version| *version == Some(3))
     })
     .await;
-    let answer = ask(fleet.daemons[0].operators, "roll out nobody version 2").await;
+    let answer = run_statement(fleet.daemons[0].operators, "roll out nobody version 2").await;
     assert_eq!(answer.status, 400, "{}", answer.text);
 }
 
+/// Guards against a rollout that stops when its holder is killed, and against orders with a lower
+/// fencing token after the takeover.
 #[tokio::test(flavor = "multi_thread")]
-async fn another_daemon_carries_a_rollout_on_after_its_holder_died() {
+async fn another_daemon_completes_a_rollout_after_its_holder_was_killed() {
     let mut fleet = Fleet::start("rollout_death", 3, 3).await;
     roll_out(&fleet, "roll out tutor version 2 batch 1 watch 2s").await;
-    reaches(fleet.daemons[0].operators, "watching").await;
-    let dead = holder(&fleet).await;
+    wait_for_stage(fleet.daemons[0].operators, "watching").await;
+    let dead = holder_index(&fleet).await;
     fleet.daemons.remove(dead).kill();
-    reaches_eventually_done(&fleet).await;
+    wait_until_done(&fleet).await;
     for engine in &fleet.engines {
-        let taken = orders(engine).await;
-        assert!(taken.iter().all(|order| order.2 == 2), "{taken:?}");
+        let accepted = orders(engine).await;
+        assert!(accepted.iter().all(|order| order.2 == 2), "{accepted:?}");
         assert!(
-            taken.is_sorted_by_key(|order| order.0),
-            "fences only rise: {taken:?}"
+            accepted.is_sorted_by_key(|order| order.0),
+            "fencing tokens never fall: {accepted:?}"
         );
     }
 }
 
+/// Guards against a former holder that wakes after its lease has expired and sends outdated orders.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_holder_that_was_frozen_past_its_lease_does_no_harm() {
+async fn a_holder_frozen_past_its_lease_sends_no_outdated_orders() {
     let fleet = Fleet::start("rollout_frozen", 3, 3).await;
     roll_out(&fleet, "roll out tutor version 2 batch 1 watch 2s").await;
-    reaches(fleet.daemons[0].operators, "watching").await;
-    let frozen = holder(&fleet).await;
+    wait_for_stage(fleet.daemons[0].operators, "watching").await;
+    let frozen = holder_index(&fleet).await;
     fleet.daemons[frozen].signal("STOP");
     let other = fleet.daemons[(frozen + 1) % 3].operators;
     for _ in 0..4 {
-        // Longer than one wait of the helper: dead, lease over, taken over, watched anew.
+        // Longer than one wait of `eventually`: the holder must be found dead and its lease expire;
+        // then another daemon takes over and watches the batch again.
         tokio::time::sleep(Duration::from_millis(4_000)).await;
         if rollouts(other)
             .await
@@ -122,13 +127,13 @@
             break;
         }
     }
-    reaches(other, "done").await;
+    wait_for_stage(other, "done").await;
     let mut before = Vec::new();
     for engine in &fleet.engines {
         before.push(orders(engine).await);
     }
     fleet.daemons[frozen].signal("CONT");
-    fleet.all_see(3).await;
+    fleet.wait_for_members_everywhere(3).await;
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     for (engine, before) in fleet.engines.iter().zip(before) {
         let after = orders(engine).await;
@@ -142,7 +147,7 @@
     }
 }
 
-async fn reaches_eventually_done(fleet: &Fleet) {
+async fn wait_until_done(fleet: &Fleet) {
     let operators = fleet.daemons[0].operators;
     for _ in 0..3 {
         if rollouts(operators)
@@ -154,5 +159,5 @@
         }
         tokio::time::sleep(Duration::from_millis(6_000)).await;
     }
-    reaches(operators, "done").await;
+    wait_for_stage(operators, "done").await;
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,25 +1,28 @@
-//! A short soak with fixed seeds: real processes, faults from outside, the promises kept.
+//! A short fault soak with fixed seeds: real processes, faults injected from outside, no guarantee
+//! violated.
 
 use bridgevane_soak::plan::Scale;
 use bridgevane_soak::{Options, run};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Fixed seeds; one that ever fails is added, with its cause in `crates/soak/REGRESSIONS.md`.
+/// Fixed seeds; a seed that fails is added, and its cause recorded in `crates/soak/REGRESSIONS.md`.
 const SEEDS: [u64; 2] = [1, 1_005];
 
+/// Guards against violations under faults, with strict key removal.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_are_kept_in_a_short_soak() {
-    play_seeds(false).await;
+async fn no_guarantee_is_violated_in_a_short_soak() {
+    run_seeds(false).await;
 }
 
-/// The same faults, with daemons that serve on while the store is away.
+/// Guards against violations under the same faults, with daemons that continue to serve during an
+/// outage of the store.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_are_kept_by_daemons_that_serve_on() {
-    play_seeds(true).await;
+async fn no_guarantee_is_violated_by_daemons_that_serve_stale() {
+    run_seeds(true).await;
 }
 
-async fn play_seeds(serves_stale: bool) {
+async fn run_seeds(serves_stale: bool) {
     for seed in SEEDS {
         let options = Options {
             program: PathBuf::from(env!("CARGO_BIN_EXE_bridgevane")),
@@ -34,7 +37,7 @@
             callers: 8,
             serves_stale,
         };
-        let outcome = run(&options).await.expect("it can be made");
+        let outcome = run(&options).await.expect("the soak runs");
         let events: Vec<String> = outcome
             .plan
             .events
--- a/tests/support/fake_home.rs
+++ b/tests/support/fake_home.rs
@@ -1,5 +1,5 @@
-//! A member of the data centre that a test plays: it is the home of some idempotency keys, and hears of
-//! the ends of their calls when the test lets it.
+//! A member of the data centre played by a test: it is the home of some idempotency keys, and
+//! acknowledges the ends of their calls late or not at all.
 
 use super::{DATA_CENTRE, PEER_KEY};
 use bridgevane_coordination::home_of;
@@ -20,45 +20,47 @@
 use tokio_util::codec::Framed;
 
 const VM: &str = "vm-played";
-/// How often it says that it lives.
-const HEARTBEAT: Duration = Duration::from_millis(300);
+/// The interval of its heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What it does when a daemon tells it how a call ended.
+/// How it reacts when a daemon reports the end of a call.
 #[derive(Clone, Copy, Debug)]
-pub enum OnEnd {
-    /// It takes the news in after a while, and says so.
-    HearsAfter(Duration),
-    /// Nothing.
+pub enum EndReaction {
+    /// Records and acknowledges the end after a delay.
+    AcknowledgesAfter(Duration),
+    /// Ignores the end.
     Silent,
 }
 
 #[derive(Clone)]
 pub struct FakeHome {
     address: SocketAddr,
-    on_end: OnEnd,
-    /// Ends that it has taken in.
-    heard: Arc<AtomicUsize>,
+    end_reaction: EndReaction,
+    /// The number of ends that it has recorded.
+    recorded_ends: Arc<AtomicUsize>,
 }
 
 impl FakeHome {
     /// Joins the data centre of `daemon`.
-    pub async fn join(daemon: SocketAddr, on_end: OnEnd) -> Self {
+    pub async fn join(daemon: SocketAddr, end_reaction: EndReaction) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let home = Self {
             address: listener.local_addr().expect("an address"),
-            on_end,
-            heard: Arc::default(),
+            end_reaction,
+            recorded_ends: Arc::default(),
         };
         tokio::spawn(home.clone().accept(listener));
-        tokio::spawn(home.clone().live(daemon));
+        tokio::spawn(home.clone().send_heartbeats(daemon));
         home
     }
 
-    pub fn heard(&self) -> usize {
-        self.heard.load(Ordering::SeqCst)
+    /// Returns the number of ends that it has recorded.
+    pub fn recorded_ends(&self) -> usize {
+        self.recorded_ends.load(Ordering::SeqCst)
     }
 
-    /// The n-th key of a customer and a service whose home it is, beside `others`.
+    /// Returns the `n`-th key of a customer and a service whose home it is, among itself and
+    /// `others`.
     pub fn key(&self, service: &str, customer: &str, others: &[&str], n: usize) -> String {
         let vms: Vec<VmId> = others.iter().chain([&VM]).map(|vm| (*vm).into()).collect();
         let is_home = |key: &String| {
@@ -66,7 +68,7 @@
             home_of(&name, vms.iter()) == Some(&VM.into())
         };
         let keys = (0..).map(|at| format!("key-{at}"));
-        keys.filter(is_home).nth(n).expect("there are many")
+        keys.filter(is_home).nth(n).expect("an endless sequence")
     }
 
     fn hello(&self) -> Hello {
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Says again and again that it lives.
-    async fn live(self, daemon: SocketAddr) {
+    /// Connects to a daemon and sends heartbeats until the connection ends.
+    async fn send_heartbeats(self, daemon: SocketAddr) {
         let stream = TcpStream::connect(daemon)
             .await
             .expect("the daemon listens");
@@ -97,7 +99,7 @@
             if frames.send(Frame { body }).await.is_err() {
                 return;
             }
-            tokio::time::sleep(HEARTBEAT).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
@@ -124,7 +126,7 @@
                     verdict: Verdict::Run as i32,
                     ..KeyVerdict::default()
                 })),
-                Some(Body::KeyEnded(ended)) => self.on_ended(&ended).await,
+                Some(Body::KeyEnded(ended)) => self.on_call_ended(&ended).await,
                 _ => None,
             };
             if let Some(body) = answer
@@ -135,12 +137,12 @@
         }
     }
 
-    async fn on_ended(&self, ended: &KeyEnded) -> Option<Body> {
-        let OnEnd::HearsAfter(time) = self.on_end else {
+    async fn on_call_ended(&self, ended: &KeyEnded) -> Option<Body> {
+        let EndReaction::AcknowledgesAfter(time) = self.end_reaction else {
             return None;
         };
         tokio::time::sleep(time).await;
-        self.heard.fetch_add(1, Ordering::SeqCst);
+        self.recorded_ends.fetch_add(1, Ordering::SeqCst);
         let heard = KeyEndedHeard { claim: ended.claim };
         Some(Body::KeyEndedHeard(heard))
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What end-to-end tests share: processes on loopback, ended by their own ids, and calls.
+//! Helpers of the end-to-end tests: processes on loopback, ended by their process ids, and calls.
 #![allow(dead_code, missing_docs)]
 
 pub mod fake_home;
@@ -14,11 +14,11 @@
 
 pub const BINARY: &str = env!("CARGO_BIN_EXE_bridgevane");
 pub const CUSTOMER_KEY: &str = "key-of-grand-bay";
-/// The key that daemons share.
+/// The key that all daemons share.
 pub const PEER_KEY: &str = "a-key-for-tests-only";
 pub const OPERATOR: &str = "nadia:operator-token-1";
 
-/// A process that is killed when the test ends.
+/// A daemon or stand-in; its process is killed when this is dropped.
 pub struct Process {
     child: Child,
     pub address: SocketAddr,
@@ -43,7 +43,7 @@
         self.child.wait().expect("the process ends");
     }
 
-    /// Sends a signal by the process's own id.
+    /// Sends a signal to the process by its id.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args([format!("-{name}"), self.id().to_string()])
@@ -52,8 +52,8 @@
         assert!(status.success());
     }
 
-    /// How it ended; none while it runs.
-    pub fn has_ended(&mut self) -> Option<std::process::ExitStatus> {
+    /// Returns the exit status, or `None` while the process runs.
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().expect("its state can be asked for")
     }
 
@@ -62,8 +62,8 @@
     }
 }
 
-/// Starts a stand-in; its first line is its address.
-pub fn standin(arguments: &[&str]) -> Process {
+/// Starts a stand-in and reads its address from its first line of output.
+pub fn start_standin(arguments: &[&str]) -> Process {
     let mut child = Command::new(BINARY)
         .arg("standin")
         .args(arguments)
@@ -86,7 +86,12 @@
 }
 
 /// Starts a daemon with free ports and waits until it serves.
-pub fn daemon(vm: &str, data_centre: &str, platform: SocketAddr, seeds: &[SocketAddr]) -> Process {
+pub fn start_daemon(
+    vm: &str,
+    data_centre: &str,
+    platform: SocketAddr,
+    seeds: &[SocketAddr],
+) -> Process {
     let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
     let mut child = Command::new(BINARY)
         .args(["serve", "--vm-id", vm, "--data-centre", data_centre])
@@ -114,7 +119,7 @@
             break event;
         }
     };
-    forward(vm.to_owned(), lines);
+    forward_log(vm.to_owned(), lines);
     let address = |field: &str| {
         let text = started[field].as_str().expect("an address field");
         text.parse().expect("an address")
@@ -127,8 +132,8 @@
     }
 }
 
-/// Passes a daemon's further log lines to the test's output.
-fn forward(vm: String, mut lines: BufReader<impl Read + Send + 'static>) {
+/// Forwards a daemon's further log lines to the test's output.
+fn forward_log(vm: String, mut lines: BufReader<impl Read + Send + 'static>) {
     std::thread::spawn(move || {
         let mut line = String::new();
         while lines.read_line(&mut line).is_ok_and(|count| count > 0) {
@@ -138,7 +143,7 @@
     });
 }
 
-/// An answer as a test reads it.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -156,15 +161,15 @@
         value.transpose().expect("a text header").unwrap_or("")
     }
 
-    /// The text of a streamed answer's pieces.
+    /// Returns the text of a streamed answer's events.
     pub fn streamed_text(&self) -> String {
-        let pieces = self
+        let events = self
             .text
             .lines()
             .filter_map(|line| line.strip_prefix("data: "));
-        let json = pieces.filter_map(|piece| serde_json::from_str::<Value>(piece).ok());
-        json.filter_map(|piece| {
-            let choice = &piece["choices"][0];
+        let json = events.filter_map(|event| serde_json::from_str::<Value>(event).ok());
+        json.filter_map(|event| {
+            let choice = &event["choices"][0];
             let text = choice["delta"]["content"]
                 .as_str()
                 .or(choice["text"].as_str());
@@ -174,7 +179,7 @@
     }
 }
 
-/// Sends a request with a bearer token and reads the whole answer.
+/// Sends a request and reads the whole answer; a cut body reads as `<cut>`.
 pub async fn send(
     address: SocketAddr,
     method: http::Method,
@@ -215,7 +220,7 @@
     .await
 }
 
-/// A streamed chat call.
+/// Sends a streamed chat call and reads the whole answer.
 pub async fn chat(address: SocketAddr, prompt: &str, max_tokens: u64) -> Answer {
     let body = serde_json::json!({
         "model": "tutor",
@@ -226,20 +231,20 @@
     post(address, "/v1/chat/completions", body).await
 }
 
-/// Waits until `is_so` holds, polling for a bounded time.
-pub async fn eventually<F: Future<Output = bool>>(what: &str, mut is_so: impl FnMut() -> F) {
-    const TRIES: u32 = 400;
-    for _ in 0..TRIES {
-        if is_so().await {
+/// Polls until `condition` holds; panics after 10 s of pauses.
+pub async fn eventually<F: Future<Output = bool>>(what: &str, mut condition: impl FnMut() -> F) {
+    const ATTEMPTS: u32 = 400;
+    for _ in 0..ATTEMPTS {
+        if condition().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("never came true: {what}");
+    panic!("not reached in time: {what}");
 }
 
-/// Waits until a daemon takes requests.
-pub async fn ready(process: &Process) {
+/// Waits until a daemon is ready for requests.
+pub async fn wait_until_ready(process: &Process) {
     let address = process.address;
     eventually("the daemon is ready", || async move {
         let answer = send(address, http::Method::GET, "/readyz", &[], "").await;
@@ -248,31 +253,31 @@
     .await;
 }
 
-/// The configuration of one data centre with these engines and plain workers.
+/// Returns the configuration of one data centre with these engines and plain workers.
 pub fn configuration(data_centre: &str, engines: &[SocketAddr], plain: &[SocketAddr]) -> String {
-    let here = |addresses: &[SocketAddr]| -> Vec<(String, SocketAddr)> {
-        let placed = addresses
+    let with_data_centre = |addresses: &[SocketAddr]| -> Vec<(String, SocketAddr)> {
+        let with_data_centre = addresses
             .iter()
             .map(|address| (data_centre.to_owned(), *address));
-        placed.collect()
+        with_data_centre.collect()
     };
-    configuration_of(&here(engines), &here(plain))
+    configuration_of_data_centres(&with_data_centre(engines), &with_data_centre(plain))
 }
 
-/// The configuration of several data centres: workers with their places.
-pub fn configuration_of(
+/// Returns the configuration of several data centres: each worker is given with its data centre.
+pub fn configuration_of_data_centres(
     engines: &[(String, SocketAddr)],
     plain: &[(String, SocketAddr)],
 ) -> String {
     let digest = bridgevane::modules::serve::configuration::in_force::key_digest(CUSTOMER_KEY);
-    let workers = |service: &str, placed: &[(String, SocketAddr)]| -> String {
+    let workers = |service: &str, with_data_centre: &[(String, SocketAddr)]| -> String {
         let worker = |(at, (data_centre, address)): (usize, &(String, SocketAddr))| {
             format!(
                 "[service.{service}.engine.{service}-{at}]\naddress = \"{address}\"\n\
                  data_centre = \"{data_centre}\"\nslots = 16\n"
             )
         };
-        placed.iter().enumerate().map(worker).collect()
+        with_data_centre.iter().enumerate().map(worker).collect()
     };
     format!(
         r#"
@@ -316,7 +321,7 @@
     )
 }
 
-/// Writes a configuration where a stand-in platform can read it, and no other run of the tests.
+/// Writes a configuration file whose name is unique to this run of the tests.
 pub fn configuration_file(name: &str, text: &str) -> std::path::PathBuf {
     let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     let path = directory.join(format!("{name}-{}.toml", std::process::id()));
@@ -324,7 +329,7 @@
     path
 }
 
-/// A platform, engines, one plain worker and daemons of one data centre.
+/// The processes of one data centre: a platform, engines, one plain worker and daemons.
 pub struct Fleet {
     pub platform: Process,
     pub engines: Vec<Process>,
@@ -333,20 +338,20 @@
 }
 
 pub const DATA_CENTRE: &str = "rose-hill";
-/// A prompt with this text ends every engine that begins to run it.
-pub const DEADLY: &str = "a prompt that no engine survives";
+/// A prompt with this text crashes every engine that begins to run it.
+pub const CRASHING_PROMPT: &str = "a prompt that no engine survives";
 
 impl Fleet {
     pub async fn start(name: &str, engines: usize, daemons: usize) -> Self {
         let engines: Vec<Process> = (0..engines)
-            .map(|_| standin(&["engine", "--ends-on", DEADLY]))
+            .map(|_| start_standin(&["engine", "--ends-on", CRASHING_PROMPT]))
             .collect();
-        let plain = standin(&["plain"]);
+        let plain = start_standin(&["plain"]);
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
         let text = configuration(DATA_CENTRE, &addresses, &[plain.address]);
         let file = configuration_file(name, &text);
         let path = file.to_str().expect("a text path");
-        let platform = standin(&["platform", "--config", path]);
+        let platform = start_standin(&["platform", "--config", path]);
         let mut fleet = Self {
             platform,
             engines,
@@ -357,49 +362,51 @@
             fleet.add_daemon(&format!("vm-{at}"));
         }
         for daemon in &fleet.daemons {
-            ready(daemon).await;
+            wait_until_ready(daemon).await;
         }
-        fleet.all_see(daemons).await;
+        fleet.wait_for_members_everywhere(daemons).await;
         fleet
     }
 
     pub fn add_daemon(&mut self, vm: &str) {
         let seeds: Vec<SocketAddr> = self.daemons.iter().map(|daemon| daemon.peers).collect();
-        let started = daemon(vm, DATA_CENTRE, self.platform.address, &seeds);
+        let started = start_daemon(vm, DATA_CENTRE, self.platform.address, &seeds);
         self.daemons.push(started);
     }
 
-    /// Waits until every running daemon counts so many live members.
-    pub async fn all_see(&self, count: usize) {
+    /// Waits until every daemon sees `count` daemons, all of them with `count` live members.
+    pub async fn wait_for_members_everywhere(&self, count: usize) {
         for daemon in &self.daemons {
-            self.sees(daemon, count).await;
+            self.wait_for_members(daemon, count).await;
         }
     }
 
-    /// Waits until a daemon counts so many live members, some of which may be no daemons.
-    pub async fn sees_live(&self, daemon: &Process, count: usize) {
+    /// Waits until a daemon counts `count` live members, which may include members played by a
+    /// test.
+    pub async fn wait_for_live_members(&self, daemon: &Process, count: usize) {
         let address = daemon.operators;
         eventually("the members are known", || async move {
-            let answer = ask(address, "show vms").await.json();
+            let answer = run_statement(address, "show vms").await.json();
             let rows = answer["rows"].as_array().cloned().unwrap_or_default();
             rows.iter().any(|row| field(row, "live_members") == count)
         })
         .await;
     }
 
-    pub async fn sees(&self, daemon: &Process, count: usize) {
+    /// Waits until a daemon sees `count` daemons, all of them with `count` live members.
+    pub async fn wait_for_members(&self, daemon: &Process, count: usize) {
         let address = daemon.operators;
         eventually("the members are known", || async move {
-            let answer = ask(address, "show vms").await.json();
+            let answer = run_statement(address, "show vms").await.json();
             let rows = answer["rows"].as_array().cloned().unwrap_or_default();
             rows.len() == count && rows.iter().all(|row| field(row, "live_members") == count)
         })
         .await;
     }
 
-    /// The position of the daemon that decides for the model pool.
-    pub async fn home(&self) -> usize {
-        let answer = ask(
+    /// Returns the index of the daemon that decides for the model pool.
+    pub async fn home_index(&self) -> usize {
+        let answer = run_statement(
             self.daemons[0].operators,
             "show engines where service = tutor",
         )
@@ -410,7 +417,8 @@
         at.expect("the home is one of the daemons")
     }
 
-    pub async fn fault(&self, standin: &Process, fault: Value) {
+    /// Sets the faults of a stand-in.
+    pub async fn set_fault(&self, standin: &Process, fault: Value) {
         let answer = send(
             standin.address,
             http::Method::POST,
@@ -423,19 +431,20 @@
     }
 }
 
-/// A field of a row of an operators' answer.
+/// Returns a field of a row of an answer to an operator; null if it is missing.
 pub fn field(row: &Value, name: &str) -> Value {
     let fields = row.as_array().cloned().unwrap_or_default();
     let found = fields.into_iter().find(|field| field["name"] == name);
     found.map_or(Value::Null, |field| field["value"].clone())
 }
 
-/// A statement of an operator.
-pub async fn ask(operators: SocketAddr, statement: &str) -> Answer {
-    ask_json(operators, serde_json::json!({ "statement": statement })).await
+/// Sends a statement as an operator.
+pub async fn run_statement(operators: SocketAddr, statement: &str) -> Answer {
+    post_statement(operators, serde_json::json!({ "statement": statement })).await
 }
 
-pub async fn ask_json(operators: SocketAddr, body: Value) -> Answer {
+/// Sends a body to the operators' `/v1/ask` as the operator [`OPERATOR`].
+pub async fn post_statement(operators: SocketAddr, body: Value) -> Answer {
     let token = OPERATOR.split_once(':').expect("a token").1;
     let bearer = format!("Bearer {token}");
     let headers = [
@@ -452,14 +461,14 @@
     .await
 }
 
-/// A call of the plain service with an idempotency key.
-pub async fn keyed(address: SocketAddr, path: &str, key: &str, body: &str) -> Answer {
+/// Sends a call to the plain service with an idempotency key.
+pub async fn keyed_call(address: SocketAddr, path: &str, key: &str, body: &str) -> Answer {
     let bearer = format!("Bearer {CUSTOMER_KEY}");
     let headers = [("authorization", bearer.as_str()), ("idempotency-key", key)];
     send(address, http::Method::POST, path, &headers, body.to_owned()).await
 }
 
-/// The whole answer that the stand-in engines give to a user's prompt.
+/// Returns the complete answer of the stand-in engines to a user's prompt.
 pub fn expected_text(prompt: &str) -> String {
     let prompt = format!("user: {prompt}\n");
     let length = bridgevane_standins::answer_length(&prompt);
@@ -468,20 +477,20 @@
         .collect()
 }
 
-/// Passes connections on to another address until it is cut; a cut also breaks those that are
-/// open.
+/// Forwards connections to another address. While it is blocked, new connections are closed;
+/// every change also closes the open ones.
 pub struct Proxy {
     pub address: SocketAddr,
-    is_cut: tokio::sync::watch::Sender<bool>,
+    is_blocked: tokio::sync::watch::Sender<bool>,
 }
 
 impl Proxy {
-    pub async fn to(target: SocketAddr) -> Self {
+    pub async fn start(target: SocketAddr) -> Self {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (is_cut, watched) = tokio::sync::watch::channel(false);
+        let (is_blocked, watched) = tokio::sync::watch::channel(false);
         tokio::spawn(async move {
             while let Ok((mut near, _)) = listener.accept().await {
                 let mut watched = watched.clone();
@@ -498,10 +507,13 @@
                 });
             }
         });
-        Self { address, is_cut }
+        Self {
+            address,
+            is_blocked,
+        }
     }
 
-    pub fn cut(&self, is_cut: bool) {
-        self.is_cut.send_replace(is_cut);
+    pub fn set_blocked(&self, is_blocked: bool) {
+        self.is_blocked.send_replace(is_blocked);
     }
 }
--- a/tests/thin_path.rs
+++ b/tests/thin_path.rs
@@ -1,4 +1,5 @@
-//! The whole path in separate processes: platform, two engines, a plain service, two daemons.
+//! The whole path of a request through separate processes: platform, two engines, a plain service
+//! and two daemons.
 
 mod support;
 
@@ -6,7 +7,7 @@
 use std::fmt::Write as _;
 use support::*;
 
-/// The session with identifiers that differ from run to run taken out.
+/// Replaces the request ids and times, which differ from run to run.
 fn masked(text: &str) -> String {
     let mut masked = String::new();
     for line in text.lines() {
@@ -23,24 +24,26 @@
     masked
 }
 
+/// Guards against any change of the answers that clients get for streamed, whole, plain and refused
+/// calls.
 #[tokio::test]
-async fn a_request_is_served_end_to_end() {
-    let engines = [standin(&["engine"]), standin(&["engine"])];
-    let plain = standin(&["plain"]);
+async fn answers_of_every_kind_of_call_are_as_recorded() {
+    let engines = [start_standin(&["engine"]), start_standin(&["engine"])];
+    let plain = start_standin(&["plain"]);
     let text = configuration(
         "rose-hill",
         &[engines[0].address, engines[1].address],
         &[plain.address],
     );
     let file = configuration_file("thin_path", &text);
-    let platform = standin(&["platform", "--config", file.to_str().expect("a text path")]);
+    let platform = start_standin(&["platform", "--config", file.to_str().expect("a text path")]);
     let daemons = [
-        daemon("vm-1", "rose-hill", platform.address, &[]),
-        daemon("vm-2", "rose-hill", platform.address, &[]),
+        start_daemon("vm-1", "rose-hill", platform.address, &[]),
+        start_daemon("vm-2", "rose-hill", platform.address, &[]),
     ];
     let mut session = String::new();
     for daemon in &daemons {
-        ready(daemon).await;
+        wait_until_ready(daemon).await;
     }
 
     let answer = chat(
