--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -95,7 +95,7 @@
     Rejected,
     /// The connection ended before the answer was complete, or the engine failed.
     #[display("the engine's answer ended early")]
-    Cut,
+    EndedEarly,
     /// The engine's answer can't be decoded.
     #[display("the engine's answer can't be read")]
     Malformed,
--- a/crates/adapters/src/http_engine.rs
+++ b/crates/adapters/src/http_engine.rs
@@ -51,14 +51,14 @@
 fn engine_error(error: HttpError) -> EngineCallError {
     match error {
         HttpError::NotConnected => EngineCallError::NotReached,
-        HttpError::Broken | HttpError::TimedOut => EngineCallError::Cut,
+        HttpError::Broken | HttpError::TimedOut => EngineCallError::EndedEarly,
         HttpError::Malformed => EngineCallError::Malformed,
         HttpError::Status { status: 501, .. } => EngineCallError::Unsupported,
         HttpError::Status {
             status: 429 | 503, ..
         } => EngineCallError::Unavailable,
         HttpError::Status { status, .. } if status < 500 => EngineCallError::Rejected,
-        HttpError::Status { .. } => EngineCallError::Cut,
+        HttpError::Status { .. } => EngineCallError::EndedEarly,
     }
 }
 
@@ -107,7 +107,7 @@
                 }
                 Some(Err(_)) | None => {
                     self.is_ended = true;
-                    return Poll::Ready(Some(Err(EngineCallError::Cut)));
+                    return Poll::Ready(Some(Err(EngineCallError::EndedEarly)));
                 }
             }
         }
--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// [`DeltaError::Malformed`] if the result is not a valid document.
-    pub fn changed_by(&self, changes: &[SectionChange]) -> Result<Document, DeltaError> {
+    pub fn with_changes(&self, changes: &[SectionChange]) -> Result<Document, DeltaError> {
         let mut next = self.clone();
         for change in changes {
             let (family, name) = change.path.split_once('.').ok_or(DeltaError::Malformed)?;
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// [`DeltaError::Malformed`] if the document can't be written as TOML.
-    pub fn of(document: &Document) -> Result<Self, DeltaError> {
+    pub fn from_document(document: &Document) -> Result<Self, DeltaError> {
         let table = toml::Table::try_from(document).map_err(|_| DeltaError::Malformed)?;
         let mut sections = BTreeMap::new();
         for (family, entries) in table {
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// [`DeltaError::Malformed`] if the sections don't form a valid document.
-    pub fn document(&self) -> Result<Document, DeltaError> {
+    pub fn to_document(&self) -> Result<Document, DeltaError> {
         let mut table = toml::Table::new();
         for (path, text) in &self.0 {
             let (family, name) = path.split_once('.').ok_or(DeltaError::Malformed)?;
--- a/crates/config/src/envelope.rs
+++ b/crates/config/src/envelope.rs
@@ -51,9 +51,9 @@
     /// The operation took effect and created this version.
     TookEffect(ConfigVersion),
     /// The operation did not take effect.
-    DidNot,
+    NoEffect,
     /// The operation may be older than the operations that the envelope remembers.
-    TooOldToTell,
+    NotRemembered,
 }
 
 impl Envelope {
@@ -82,7 +82,7 @@
     }
 
     /// Returns the next envelope, in which the operation replaced the document.
-    pub fn succeed(
+    pub fn with_operation(
         &self,
         document: Document,
         operation_id: OperationId,
@@ -121,14 +121,14 @@
             .map_or(ConfigVersion(0), |o| o.version);
         let is_remembered = self.operation.len() < MAX_OPERATIONS || base.next() >= oldest;
         if is_remembered {
-            return OperationStatus::DidNot;
+            return OperationStatus::NoEffect;
         }
-        OperationStatus::TooOldToTell
+        OperationStatus::NotRemembered
     }
 
     /// Returns the operations accepted after `base`. The answer to an operator whose change conflicts
     /// with them lists them.
-    pub fn since(&self, base: ConfigVersion) -> &[AcceptedOperation] {
+    pub fn operations_since(&self, base: ConfigVersion) -> &[AcceptedOperation] {
         let start = self.operation.partition_point(|o| o.version <= base);
         &self.operation[start..]
     }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -4,12 +4,12 @@
 
 /// One problem of a document.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-#[display("{place}: {what}; {remedy}")]
+#[display("{place}: {description}; {remedy}")]
 pub struct ConfigProblem {
     /// The place: a line and column, or the path of the field.
     pub place: String,
     /// A description of the problem.
-    pub what: String,
+    pub description: String,
     /// How to correct the problem.
     pub remedy: String,
 }
@@ -23,10 +23,10 @@
 }
 
 impl ConfigProblem {
-    pub(crate) fn new(place: String, what: String, remedy: impl Into<String>) -> Self {
+    pub(crate) fn new(place: String, description: String, remedy: impl Into<String>) -> Self {
         Self {
             place,
-            what,
+            description,
             remedy: remedy.into(),
         }
     }
--- a/crates/config/tests/document.rs
+++ b/crates/config/tests/document.rs
@@ -93,9 +93,9 @@
 #[test]
 fn sections_join_to_the_same_document() {
     for document in [solcata(), Document::parse(RAVATON).expect("valid")] {
-        let sections = Sections::of(&document).expect("the document can be split");
+        let sections = Sections::from_document(&document).expect("the document can be split");
         assert_eq!(
-            sections.document().expect("the sections can be joined"),
+            sections.to_document().expect("the sections can be joined"),
             document
         );
     }
@@ -105,11 +105,11 @@
 /// configurations of the same version.
 #[test]
 fn a_delta_holds_only_the_changes_and_does_not_apply_to_other_sections() {
-    let before = Sections::of(&solcata()).expect("sections");
+    let before = Sections::from_document(&solcata()).expect("sections");
     let mut document = solcata();
     document.class.get_mut("field-note").expect("a class").tier = Tier(7);
     document.customer.remove("head-office");
-    let after = Sections::of(&document).expect("sections");
+    let after = Sections::from_document(&document).expect("sections");
     let delta = before.delta_to(&after, ConfigVersion(1), ConfigVersion(2));
     let paths: Vec<&str> = delta
         .changes
@@ -119,10 +119,10 @@
     assert_eq!(paths, ["customer.head-office", "class.field-note"]);
     assert_eq!(before.apply(&delta).expect("the delta applies"), after);
     let changed = solcata()
-        .changed_by(&delta.changes)
+        .with_changes(&delta.changes)
         .expect("the changes apply");
     assert_eq!(changed, document);
-    assert_eq!(Sections::of(&changed).expect("sections"), after);
+    assert_eq!(Sections::from_document(&changed).expect("sections"), after);
     let bytes: usize = delta
         .changes
         .iter()
@@ -135,7 +135,7 @@
         .get_mut("dealer-query")
         .expect("a class")
         .first_token_target_ms = DurationMs(1);
-    let other = Sections::of(&other).expect("sections");
+    let other = Sections::from_document(&other).expect("sections");
     assert_eq!(other.apply(&delta), Err(DeltaError::DigestMismatch));
     let empty = Delta {
         changes: Vec::new(),
@@ -156,11 +156,11 @@
     let id = |at: u64| OperationId::from(format!("op-{at}").as_str());
     assert_eq!(
         envelope.status_of(&id(2), ConfigVersion(1)),
-        OperationStatus::DidNot
+        OperationStatus::NoEffect
     );
     for at in 2..=400 {
         let changed = vec![format!("class.c{at}")];
-        envelope = envelope.succeed(solcata(), id(at), "nadia".into(), changed);
+        envelope = envelope.with_operation(solcata(), id(at), "nadia".into(), changed);
     }
     assert_eq!(envelope.version, ConfigVersion(400));
     assert_eq!(
@@ -169,15 +169,15 @@
     );
     assert_eq!(
         envelope.status_of(&id(9_999), ConfigVersion(399)),
-        OperationStatus::DidNot
+        OperationStatus::NoEffect
     );
     // Operation 2 is no longer remembered, so its status is reported as unknown.
     assert_eq!(
         envelope.status_of(&id(2), ConfigVersion(1)),
-        OperationStatus::TooOldToTell
+        OperationStatus::NotRemembered
     );
     let since: Vec<u64> = envelope
-        .since(ConfigVersion(398))
+        .operations_since(ConfigVersion(398))
         .iter()
         .map(|o| o.version.0)
         .collect();
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -36,4 +36,4 @@
 pub use modules::member::{Member, MemberState, MemberUpdate};
 pub use modules::membership::{Membership, MembershipEffect};
 pub use modules::rendezvous::home_of;
-pub use modules::rollout::{Rollout, RolloutEffect, RolloutObservation, RolloutPlan, RolloutStage};
+pub use modules::rollout::{Rollout, RolloutObservation, RolloutOrder, RolloutPlan, RolloutStage};
--- a/crates/coordination/src/modules/call_budget.rs
+++ b/crates/coordination/src/modules/call_budget.rs
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// How long to wait before trying again.
-    pub fn take(&mut self, now: TimeMs, kind: CallKind) -> Result<(), DurationMs> {
+    pub fn try_acquire(&mut self, now: TimeMs, kind: CallKind) -> Result<(), DurationMs> {
         if now < self.paused_until {
             return Err(self.paused_until.since(now));
         }
@@ -87,13 +87,13 @@
     }
 
     /// Records that a call was answered.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
     /// Records that a call failed, or was refused with `retry_after_ms`. The pause that follows is
     /// drawn uniformly from 0 to a doubling limit, so that the retries of many nodes spread evenly.
-    pub fn failed(&mut self, now: TimeMs, retry_after_ms: DurationMs) {
+    pub fn record_failure(&mut self, now: TimeMs, retry_after_ms: DurationMs) {
         let doublings = self.failures.min(16);
         self.failures += 1;
         let span_ms = self.config.first_pause_ms.0.saturating_mul(1 << doublings);
--- a/crates/coordination/src/modules/config_replica.rs
+++ b/crates/coordination/src/modules/config_replica.rs
@@ -23,7 +23,7 @@
     },
     /// The delta can't be applied to the replica, which needs a snapshot.
     #[display("{_0}")]
-    Unfit(#[error(not(source))] DeltaError),
+    InvalidDelta(#[error(not(source))] DeltaError),
 }
 
 /// The answer to a node that asks for a newer version.
@@ -43,7 +43,7 @@
     version: ConfigVersion,
     sections: Sections,
     deltas: VecDeque<Delta>,
-    highest_heard: ConfigVersion,
+    highest_known_version: ConfigVersion,
 }
 
 impl ConfigReplica {
@@ -58,20 +58,20 @@
     }
 
     /// Returns the highest version that any node is known to have.
-    pub fn highest_heard(&self) -> ConfigVersion {
-        self.highest_heard.max(self.version)
+    pub fn highest_known_version(&self) -> ConfigVersion {
+        self.highest_known_version.max(self.version)
     }
 
     /// Records that some node has `version`; returns whether this replica is behind a known
     /// version.
-    pub fn hear(&mut self, version: ConfigVersion) -> bool {
-        self.highest_heard = self.highest_heard.max(version);
+    pub fn observe_version(&mut self, version: ConfigVersion) -> bool {
+        self.highest_known_version = self.highest_known_version.max(version);
         self.is_behind()
     }
 
     /// Returns whether a newer version is known to exist.
     pub fn is_behind(&self) -> bool {
-        self.highest_heard > self.version
+        self.highest_known_version > self.version
     }
 
     /// Replaces the configuration by a newer snapshot.
@@ -98,12 +98,15 @@
     pub fn accept_delta(&mut self, delta: Delta) -> Result<(), NotAccepted> {
         self.check_newer(delta.to)?;
         if delta.from != self.version {
-            return Err(NotAccepted::Unfit(DeltaError::WrongBase {
+            return Err(NotAccepted::InvalidDelta(DeltaError::WrongBase {
                 from: delta.from,
                 have: self.version,
             }));
         }
-        let sections = self.sections.apply(&delta).map_err(NotAccepted::Unfit)?;
+        let sections = self
+            .sections
+            .apply(&delta)
+            .map_err(NotAccepted::InvalidDelta)?;
         let version = delta.to;
         self.retain_delta(delta);
         self.advance(version, sections);
@@ -111,7 +114,7 @@
     }
 
     /// Returns what a node at version `have` needs to catch up.
-    pub fn answer(&self, have: ConfigVersion) -> ConfigAnswer {
+    pub fn answer_for(&self, have: ConfigVersion) -> ConfigAnswer {
         if have >= self.version {
             return ConfigAnswer::Current;
         }
@@ -138,7 +141,7 @@
     fn advance(&mut self, version: ConfigVersion, sections: Sections) {
         self.version = version;
         self.sections = sections;
-        self.highest_heard = self.highest_heard.max(version);
+        self.highest_known_version = self.highest_known_version.max(version);
     }
 
     /// Combines all deltas since `have` into one with the last change of each section.
--- a/crates/coordination/src/modules/gossip.rs
+++ b/crates/coordination/src/modules/gossip.rs
@@ -7,7 +7,7 @@
 
 impl Membership {
     /// Records direct contact with a node: a heartbeat, the answer to one, or any other frame.
-    pub fn hear(
+    pub fn record_contact(
         &mut self,
         now: TimeMs,
         vm: &VmId,
@@ -52,7 +52,7 @@
     }
 
     /// Applies the updates that came with a heartbeat.
-    pub fn receive(
+    pub fn apply_updates(
         &mut self,
         now: TimeMs,
         updates: Vec<MemberUpdate>,
@@ -171,7 +171,7 @@
     }
 
     /// Returns the updates to send with the next heartbeat, those sent least often first.
-    pub fn updates(&mut self) -> Vec<MemberUpdate> {
+    pub fn next_updates(&mut self) -> Vec<MemberUpdate> {
         let mut order: Vec<(u32, VmId)> = self
             .pending
             .iter()
--- a/crates/coordination/src/modules/held_lease.rs
+++ b/crates/coordination/src/modules/held_lease.rs
@@ -34,12 +34,12 @@
     }
 
     /// Creates a lease that has ended: its holder may send no order.
-    pub fn ended() -> Self {
+    pub fn expired() -> Self {
         Self::granted(FenceToken(0), TimeMs(0), DurationMs(0))
     }
 
     /// Records a renewal whose call was sent at `requested_at`.
-    pub fn renewed(&mut self, requested_at: TimeMs) {
+    pub fn record_renewal(&mut self, requested_at: TimeMs) {
         self.requested_at = self.requested_at.max(requested_at);
     }
 
--- a/crates/coordination/src/modules/key_registry.rs
+++ b/crates/coordination/src/modules/key_registry.rs
@@ -64,9 +64,9 @@
     /// The key was used for a different call.
     Mismatch,
     /// This daemon was the home before and has to be asked.
-    AskBefore(VmId),
+    AskEarlierHome(VmId),
     /// There is no older daemon that could know the key.
-    NoMemory,
+    NoOlderDaemon,
     /// The registry is full: the call did not run.
     Full,
 }
@@ -144,8 +144,8 @@
             return self.start_run(claim);
         }
         match self.older_home(&claim.key, members) {
-            Some(before) => Verdict::AskBefore(before),
-            None => Verdict::NoMemory,
+            Some(before) => Verdict::AskEarlierHome(before),
+            None => Verdict::NoOlderDaemon,
         }
     }
 
@@ -154,7 +154,7 @@
     pub fn apply_earlier_verdict(&mut self, claim: Claim, verdict: Verdict) -> Verdict {
         match verdict {
             Verdict::Run => self.start_run(claim),
-            Verdict::AskBefore(_) | Verdict::NoMemory => Verdict::Unknown,
+            Verdict::AskEarlierHome(_) | Verdict::NoOlderDaemon => Verdict::Unknown,
             other => other,
         }
     }
@@ -176,7 +176,7 @@
     }
 
     /// Records how the call of a key ended. Only the request that ran the call can end it.
-    pub fn ended(&mut self, now: TimeMs, key: &str, request: RequestId, end: KeyEnd) {
+    pub fn record_end(&mut self, now: TimeMs, key: &str, request: RequestId, end: KeyEnd) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
@@ -205,7 +205,7 @@
 
     /// Records the death of a daemon: the calls that it ran may have run, and keys of which it was
     /// the home may be unknown here.
-    pub fn member_lost(&mut self, now: TimeMs, vm: &VmId) {
+    pub fn record_lost_member(&mut self, now: TimeMs, vm: &VmId) {
         self.lost
             .insert(vm.clone(), LostMember { delisted_at: None });
         for (key, entry) in &mut self.entries {
@@ -218,7 +218,7 @@
 
     /// Applies the platform's list of VMs: a dead daemon that the list no longer shows is certainly
     /// gone, and is forgotten after the retention time of its keys.
-    pub fn listed(&mut self, now: TimeMs, listed: &[VmId]) {
+    pub fn apply_vm_list(&mut self, now: TimeMs, listed: &[VmId]) {
         for (vm, lost) in &mut self.lost {
             if listed.contains(vm) {
                 lost.delisted_at = None;
--- a/crates/coordination/src/modules/membership.rs
+++ b/crates/coordination/src/modules/membership.rs
@@ -87,7 +87,7 @@
 
     /// Returns the nodes that take work, sorted: members that are neither dead nor leaving, and this
     /// node unless it is leaving.
-    pub fn live(&self) -> Vec<VmId> {
+    pub fn live_vms(&self) -> Vec<VmId> {
         let takes_work = |member: &Member| !member.is_leaving && member.state != MemberState::Dead;
         let mut live: Vec<VmId> = self
             .members
@@ -102,13 +102,13 @@
         live
     }
 
-    /// Returns the incarnations of the live nodes, in the order of [`Membership::live`].
+    /// Returns the incarnations of the live nodes, in the order of [`Membership::live_vms`].
     pub fn live_incarnations(&self) -> Vec<Incarnation> {
         let of = |vm: &VmId| match self.members.get(vm) {
             Some(member) => member.incarnation,
             None => self.own.incarnation,
         };
-        self.live().iter().map(of).collect()
+        self.live_vms().iter().map(of).collect()
     }
 
     /// Returns all known nodes except this one.
@@ -140,13 +140,13 @@
     }
 
     /// Marks this node as leaving: it takes no new work.
-    pub fn leave(&mut self) {
+    pub fn start_leaving(&mut self) {
         self.own.state = MemberState::Leaving;
         self.queue_own_update();
     }
 
     /// Cancels this node's leaving. The raised refutation number overrides the earlier state.
-    pub fn stay(&mut self) {
+    pub fn cancel_leaving(&mut self) {
         self.own.state = MemberState::Alive;
         self.own.refutation += 1;
         self.queue_own_update();
@@ -191,7 +191,7 @@
     /// Adds a node that the platform's list shows. If the node counts as dead here, it gets
     /// heartbeats again, since it may have been behind a network partition that has healed; its
     /// answer marks it as alive.
-    pub fn relearn(&mut self, now: TimeMs, vm: &VmId, address: SocketAddr) {
+    pub fn add_or_retry_listed(&mut self, now: TimeMs, vm: &VmId, address: SocketAddr) {
         self.add_listed(now, vm, address);
         let Some(member) = self.members.get_mut(vm) else {
             return;
--- a/crates/coordination/src/modules/rollout.rs
+++ b/crates/coordination/src/modules/rollout.rs
@@ -68,7 +68,7 @@
 
 /// An order for an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RolloutEffect {
+pub struct RolloutOrder {
     /// The engine.
     pub engine: EndpointId,
     /// The version that the engine has to run.
@@ -201,7 +201,11 @@
     /// Returns the rollout after an observation; it has to be stored before its orders are sent.
     /// `watched_since` is when this node began to watch the current batch: a node that takes over
     /// restarts the watch time.
-    pub fn step(&self, observation: &RolloutObservation, watched_since: TimeMs) -> Rollout {
+    pub fn after_observation(
+        &self,
+        observation: &RolloutObservation,
+        watched_since: TimeMs,
+    ) -> Rollout {
         let mut uninitialized = Progress {
             plan: self.plan.clone(),
             started: self.started,
@@ -222,12 +226,12 @@
 
     /// Returns the orders that bring the engines to the desired state. Any holder may send them,
     /// any number of times.
-    pub fn orders(&self) -> Vec<RolloutEffect> {
+    pub fn orders(&self) -> Vec<RolloutOrder> {
         let version = match self.stage {
             RolloutStage::RollingBack | RolloutStage::RolledBack => self.plan.from_version,
             _ => self.plan.to_version,
         };
-        let order = |engine: &EndpointId| RolloutEffect {
+        let order = |engine: &EndpointId| RolloutOrder {
             engine: engine.clone(),
             version,
             generation: self.generation,
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -85,7 +85,7 @@
                 MembershipEffect::Superseded => {
                     self.superseded.insert(at);
                 }
-                MembershipEffect::LeavingRequested => self.nodes[at].leave(),
+                MembershipEffect::LeavingRequested => self.nodes[at].start_leaving(),
             }
         }
     }
@@ -112,12 +112,12 @@
     }
 
     fn deliver(&mut self, from: usize, to: usize) {
-        let updates = self.nodes[from].updates();
+        let updates = self.nodes[from].next_updates();
         let incarnation = self.incarnation(from);
         let mut effects = Vec::new();
         let sender = vm(from);
-        self.nodes[to].hear(self.now, &sender, address(from), incarnation, &mut effects);
-        self.nodes[to].receive(self.now, updates, &mut effects);
+        self.nodes[to].record_contact(self.now, &sender, address(from), incarnation, &mut effects);
+        self.nodes[to].apply_updates(self.now, updates, &mut effects);
         self.apply_effects(to, effects);
     }
 
@@ -133,7 +133,7 @@
             (0..self.nodes.len()).filter(|at| !self.down.contains(at) && !self.frozen.contains(at));
         running
             .into_iter()
-            .all(|at| self.nodes[at].live() == expected)
+            .all(|at| self.nodes[at].live_vms() == expected)
     }
 
     fn restart(&mut self, at: usize, incarnation: u64) {
@@ -173,7 +173,7 @@
 fn a_leaving_node_is_removed_from_every_view_by_heartbeats_alone() {
     let mut network = SimulatedNetwork::new(56, MembershipConfig::default());
     network.run(5_000);
-    network.nodes[9].leave();
+    network.nodes[9].start_leaving();
     let left: Vec<usize> = (0..56).filter(|at| *at != 9).collect();
     // The daemon also notifies its peers directly; this test covers the slower heartbeats alone.
     network.run(8_000);
@@ -277,7 +277,7 @@
         let all: BTreeMap<usize, ()> = (0..8).map(|other| (other, ())).collect();
         for other in all.keys() {
             let now = network.now;
-            network.nodes[at].relearn(now, &vm(*other), address(*other));
+            network.nodes[at].add_or_retry_listed(now, &vm(*other), address(*other));
         }
     }
     network.run(15_000);
--- a/crates/coordination/tests/parts.rs
+++ b/crates/coordination/tests/parts.rs
@@ -43,14 +43,14 @@
     behind
         .accept_snapshot(ConfigVersion(2), sections(2))
         .expect("newer");
-    let ConfigAnswer::Delta(missing) = replica.answer(ConfigVersion(2)) else {
+    let ConfigAnswer::Delta(missing) = replica.answer_for(ConfigVersion(2)) else {
         panic!("a delta is expected");
     };
     behind.accept_delta(missing).expect("the delta applies");
     assert_eq!(behind.sections(), replica.sections());
-    assert_eq!(replica.answer(ConfigVersion(5)), ConfigAnswer::Current);
+    assert_eq!(replica.answer_for(ConfigVersion(5)), ConfigAnswer::Current);
     assert!(matches!(
-        replica.answer(ConfigVersion(0)),
+        replica.answer_for(ConfigVersion(0)),
         ConfigAnswer::Snapshot(..)
     ));
 }
@@ -70,7 +70,7 @@
     assert_eq!(repeated, Err(NotAccepted::NotNewer { have }));
     assert!(matches!(
         replica.accept_delta(delta(6, 7)),
-        Err(NotAccepted::Unfit(_))
+        Err(NotAccepted::InvalidDelta(_))
     ));
     let mut wrong = delta(5, 6);
     wrong.changes.push(SectionChange {
@@ -79,7 +79,7 @@
     });
     assert!(matches!(
         replica.accept_delta(wrong),
-        Err(NotAccepted::Unfit(_))
+        Err(NotAccepted::InvalidDelta(_))
     ));
     assert_eq!(replica.version(), have);
     assert_eq!(replica.sections(), &sections(5));
@@ -100,7 +100,7 @@
     );
     assert!(!lease.may_act(TimeMs(60_000), DurationMs(0)));
     // A renewal that was sent before the pause and answered after it counts from when it was sent.
-    lease.renewed(TimeMs(5_000));
+    lease.record_renewal(TimeMs(5_000));
     assert!(!lease.may_act(TimeMs(60_000), DurationMs(0)));
     let successor = HeldLease::granted(FenceToken(8), TimeMs(11_000), ttl);
     assert!(successor.fence() > lease.fence());
@@ -171,8 +171,8 @@
         body: b"booked".to_vec(),
     };
     // Only the request that runs the call can end it.
-    registry.ended(LATER, "k", RequestId(2), KeyEnd::NotRun);
-    registry.ended(LATER, "k", RequestId(1), KeyEnd::Done(answer.clone()));
+    registry.record_end(LATER, "k", RequestId(2), KeyEnd::NotRun);
+    registry.record_end(LATER, "k", RequestId(1), KeyEnd::Done(answer.clone()));
     assert_eq!(
         registry.claim(LATER, second.clone(), &members),
         Verdict::Done(answer)
@@ -196,7 +196,7 @@
         registry.claim(LATER, claim("k", 1, &members[1]), &members),
         Verdict::Run
     );
-    registry.ended(LATER, "k", RequestId(1), KeyEnd::NotRun);
+    registry.record_end(LATER, "k", RequestId(1), KeyEnd::NotRun);
     assert_eq!(
         registry.claim(LATER, claim("k", 2, &members[2]), &members),
         Verdict::Run
@@ -212,7 +212,7 @@
         registry.claim(LATER, claim("k", 1, &members[1]), &members),
         Verdict::Run
     );
-    registry.member_lost(LATER, &members[1].vm);
+    registry.record_lost_member(LATER, &members[1].vm);
     let again = claim("k", 2, &members[2]);
     assert_eq!(registry.claim(LATER, again, &members), Verdict::Unknown);
 }
@@ -226,15 +226,15 @@
     let left = &members[..2];
     let next_home = home(&key, left).clone();
     let mut registry = old_registry(&next_home);
-    registry.member_lost(LATER, &members[2].vm);
+    registry.record_lost_member(LATER, &members[2].vm);
     assert_eq!(
         registry.claim(LATER, claim(&key, 2, &next_home), left),
         Verdict::Unknown
     );
     // The platform still lists the VM: it may be running behind a network partition of any length.
-    registry.listed(LATER, &names(&members));
+    registry.apply_vm_list(LATER, &names(&members));
     let much_later = LATER + DurationMs(86_400_000);
-    registry.listed(much_later, &names(&members));
+    registry.apply_vm_list(much_later, &names(&members));
     assert_eq!(
         registry.claim(much_later, claim(&key, 3, &next_home), left),
         Verdict::Unknown
@@ -249,10 +249,10 @@
         Verdict::Run
     );
     // The VM is no longer listed, and the retention time of its keys has passed.
-    registry.listed(much_later, &names(left));
+    registry.apply_vm_list(much_later, &names(left));
     let remember_ms = KeyRegistryConfig::default().remember_ms;
     let free = much_later + remember_ms;
-    registry.listed(free, &names(left));
+    registry.apply_vm_list(free, &names(left));
     assert_eq!(
         registry.claim(free, claim(&key, 5, &next_home), left),
         Verdict::Run
@@ -271,7 +271,7 @@
         old.claim(LATER, claim(&key, 1, &before), &members[..3]),
         Verdict::Run
     );
-    old.ended(
+    old.record_end(
         LATER,
         &key,
         RequestId(1),
@@ -280,7 +280,7 @@
     let mut started = KeyRegistry::new(KeyRegistryConfig::default(), members[3].clone(), LATER);
     let again = claim(&key, 2, &members[0]);
     let verdict = started.claim(LATER, again.clone(), &members);
-    assert_eq!(verdict, Verdict::AskBefore(before.vm));
+    assert_eq!(verdict, Verdict::AskEarlierHome(before.vm));
     let earlier_verdict = old.claim(LATER, again.clone(), &members);
     assert_eq!(
         started.apply_earlier_verdict(again, earlier_verdict),
@@ -300,16 +300,16 @@
         let config = KeyRegistryConfig::default();
         let mut registry = KeyRegistry::new(config, asked.clone(), LATER);
         match registry.claim(LATER, claim(&key, 1, &members[0]), &members) {
-            Verdict::AskBefore(before) => {
+            Verdict::AskEarlierHome(before) => {
                 let next = members.iter().find(|member| member.vm == before);
                 let next = next.expect("a member").clone();
                 assert!(next.incarnation < asked.incarnation);
                 asked = next;
             }
-            Verdict::NoMemory => {
+            Verdict::NoOlderDaemon => {
                 assert_eq!(asked, members[0]);
-                let final_verdict =
-                    registry.apply_earlier_verdict(claim(&key, 1, &members[0]), Verdict::NoMemory);
+                let final_verdict = registry
+                    .apply_earlier_verdict(claim(&key, 1, &members[0]), Verdict::NoOlderDaemon);
                 assert_eq!(final_verdict, Verdict::Unknown);
                 return;
             }
@@ -336,7 +336,7 @@
             registry.claim(LATER, claim(&key, at, &members[0]), &members),
             Verdict::Run
         );
-        registry.ended(LATER, &key, RequestId(at), KeyEnd::Unknown);
+        registry.record_end(LATER, &key, RequestId(at), KeyEnd::Unknown);
     }
     assert_eq!(
         registry.claim(LATER, claim("k3", 9, &members[0]), &members),
@@ -362,14 +362,14 @@
         let mut budget = CallBudget::new(config.clone(), seed);
         let mut now = TimeMs(0);
         while now.0 < OUTAGE_END_MS + 60_000 {
-            match budget.take(now, CallKind::Read) {
+            match budget.try_acquire(now, CallKind::Read) {
                 Err(wait_ms) => now = now + wait_ms,
                 Ok(()) => {
                     *calls_in_second.entry(now.0 / 1_000).or_default() += 1;
                     if now.0 >= OUTAGE_END_MS {
                         break;
                     }
-                    budget.failed(now, DurationMs(0));
+                    budget.record_failure(now, DurationMs(0));
                 }
             }
         }
@@ -411,23 +411,24 @@
 /// is too high.
 #[test]
 fn a_rollout_proceeds_in_batches_and_a_successor_continues_it() {
-    let first = Rollout::new(plan(), 4).step(&observation(0, &[], &[], 0.0), TimeMs(0));
+    let first =
+        Rollout::new(plan(), 4).after_observation(&observation(0, &[], &[], 0.0), TimeMs(0));
     assert_eq!(first.orders().len(), 2);
-    let loaded = first.step(&observation(10, &["a", "b"], &[], 0.0), TimeMs(0));
+    let loaded = first.after_observation(&observation(10, &["a", "b"], &[], 0.0), TimeMs(0));
     assert_eq!(loaded.stage, RolloutStage::Watching);
     // The holder dies; another node reads the stored rollout and restarts the watch time.
-    let early = loaded.step(&observation(500, &["a", "b"], &[], 0.0), TimeMs(400));
+    let early = loaded.after_observation(&observation(500, &["a", "b"], &[], 0.0), TimeMs(400));
     assert_eq!(early.stage, RolloutStage::Watching);
     // A burn rate above the first limit pauses the rollout for any length of time.
-    let held = early.step(&observation(9_000, &["a", "b"], &[], 2.0), TimeMs(400));
+    let held = early.after_observation(&observation(9_000, &["a", "b"], &[], 2.0), TimeMs(400));
     assert_eq!((held.stage, held.started), (RolloutStage::Watching, 2));
-    let next = held.step(&observation(20_000, &["a", "b"], &[], 0.0), TimeMs(400));
+    let next = held.after_observation(&observation(20_000, &["a", "b"], &[], 0.0), TimeMs(400));
     assert_eq!((next.stage, next.started), (RolloutStage::Loading, 3));
-    let last = next.step(
+    let last = next.after_observation(
         &observation(20_100, &["a", "b", "c"], &[], 0.0),
         TimeMs(400),
     );
-    let done = last.step(
+    let done = last.after_observation(
         &observation(30_000, &["a", "b", "c"], &[], 0.0),
         TimeMs(20_100),
     );
@@ -439,8 +440,9 @@
 /// generation as the rollback.
 #[test]
 fn a_high_burn_rate_rolls_back_under_a_new_generation() {
-    let first = Rollout::new(plan(), 4).step(&observation(0, &[], &[], 0.0), TimeMs(0));
-    let back = first.step(&observation(10, &["a"], &[], 6.0), TimeMs(0));
+    let first =
+        Rollout::new(plan(), 4).after_observation(&observation(0, &[], &[], 0.0), TimeMs(0));
+    let back = first.after_observation(&observation(10, &["a"], &[], 6.0), TimeMs(0));
     assert_eq!(back.stage, RolloutStage::RollingBack);
     let orders = back.orders();
     assert!(
@@ -449,7 +451,7 @@
             .all(|order| order.version == 1 && order.generation == 5)
     );
     assert_eq!(orders.len(), 2);
-    let over = back.step(&observation(20, &[], &["a", "b"], 6.0), TimeMs(0));
+    let over = back.after_observation(&observation(20, &[], &["a", "b"], 6.0), TimeMs(0));
     assert_eq!(over.stage, RolloutStage::RolledBack);
     // Orders from before the rollback have a lower generation, and an endpoint keeps the highest.
     assert!(first.orders()[0].generation < over.orders()[0].generation);
--- a/crates/gateway/src/decisions/duties/tenure.rs
+++ b/crates/gateway/src/decisions/duties/tenure.rs
@@ -132,7 +132,7 @@
 
     /// Records a renewal of the lease by a call sent at `asked_at`.
     pub fn on_renewed(&mut self, asked_at: TimeMs) {
-        self.lease.renewed(asked_at);
+        self.lease.record_renewal(asked_at);
     }
 
     /// Ends the tenure because the lease is over or about to be ended: no more calls are made under
--- a/crates/protocol/src/greeting.rs
+++ b/crates/protocol/src/greeting.rs
@@ -37,7 +37,7 @@
 
 /// Why a greeting failed.
 #[derive(Debug, Display, Error, From)]
-pub enum GreetingError {
+pub enum HandshakeError {
     /// A frame could not be read or written.
     #[display("{_0}")]
     #[from]
@@ -70,29 +70,29 @@
 }
 
 /// Computes the proof of `role` over both greetings.
-pub fn prove(key: &[u8], role: Role, caller: &Hello, listener: &Hello) -> Bytes {
+pub fn compute_proof(key: &[u8], role: Role, caller: &Hello, listener: &Hello) -> Bytes {
     let tag = mac(key, role, caller, listener).finalize().into_bytes();
     Bytes::copy_from_slice(&tag)
 }
 
-async fn receive<S>(frames: &mut Framed<S, FrameCodec>) -> Result<Frame, GreetingError>
+async fn receive<S>(frames: &mut Framed<S, FrameCodec>) -> Result<Frame, HandshakeError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let frame = frames.next().await.ok_or(GreetingError::Ended)?;
+    let frame = frames.next().await.ok_or(HandshakeError::Ended)?;
     Ok(frame?)
 }
 
 /// Performs the handshake as `role` and verifies the other side; returns the other side's greeting.
 ///
 /// # Errors
-/// [`GreetingError`]; the caller must then close the connection.
-pub async fn greet<S>(
+/// [`HandshakeError`]; the caller must then close the connection.
+pub async fn perform_handshake<S>(
     frames: &mut Framed<S, FrameCodec>,
     role: Role,
     own: Hello,
     key: &[u8],
-) -> Result<Hello, GreetingError>
+) -> Result<Hello, HandshakeError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
@@ -101,17 +101,17 @@
     };
     frames.send(hello).await?;
     let Some(Body::Hello(other)) = receive(frames).await?.body else {
-        return Err(GreetingError::Unexpected);
+        return Err(HandshakeError::Unexpected);
     };
     if other.protocol_version < MIN_PROTOCOL_VERSION {
-        return Err(GreetingError::Version(other.protocol_version));
+        return Err(HandshakeError::Version(other.protocol_version));
     }
     let (caller, listener) = match role {
         Role::Caller => (&own, &other),
         Role::Listener => (&other, &own),
     };
     let proof = Proof {
-        mac: prove(key, role, caller, listener),
+        mac: compute_proof(key, role, caller, listener),
     };
     let expected = mac(key, role.other(), caller, listener);
     frames
@@ -120,10 +120,10 @@
         })
         .await?;
     let Some(Body::Proof(proof)) = receive(frames).await?.body else {
-        return Err(GreetingError::Unexpected);
+        return Err(HandshakeError::Unexpected);
     };
     expected
         .verify_slice(&proof.mac)
-        .map_err(|_| GreetingError::WrongKey)?;
+        .map_err(|_| HandshakeError::WrongKey)?;
     Ok(other)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -16,4 +16,6 @@
 
 pub use codec::{FrameCodec, FrameError, MAX_FRAME_BYTES};
 pub use generated::*;
-pub use greeting::{GreetingError, MIN_PROTOCOL_VERSION, PROTOCOL_VERSION, Role, greet, prove};
+pub use greeting::{
+    HandshakeError, MIN_PROTOCOL_VERSION, PROTOCOL_VERSION, Role, compute_proof, perform_handshake,
+};
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -5,11 +5,11 @@
 use bridgevane_protocol::record_change::Change;
 use bridgevane_protocol::{
     ConfigDelta, ConfigSnapshot, ConfigWanted, CrashNews, EndpointNotice, EndpointWork, Frame,
-    FrameCodec, FrameError, GreetingError, Heartbeat, Hello, KeyClaim, KeyEnded, KeyEndedHeard,
+    FrameCodec, FrameError, HandshakeError, Heartbeat, Hello, KeyClaim, KeyEnded, KeyEndedHeard,
     KeyVerdict, MAX_FRAME_BYTES, MemberState, MemberUpdate, PROTOCOL_VERSION, PoolDispatch,
     PoolOffer, PoolOrder, PoolRefuse, PoolReport, Proof, Query, QueryAnswer, RecordChange,
     RecordPatch, RecordsAnswer, RecordsWanted, RequestFingerprint, Role, SectionChange, SourcePath,
-    greet, pool_order, pool_report, prove,
+    compute_proof, perform_handshake, pool_order, pool_report,
 };
 use bytes::{BufMut, Bytes, BytesMut};
 use expect_test::expect;
@@ -470,7 +470,7 @@
     caller_key: &'static [u8],
     listener_key: &'static [u8],
     version: u32,
-) -> (Result<Hello, GreetingError>, Result<Hello, GreetingError>) {
+) -> (Result<Hello, HandshakeError>, Result<Hello, HandshakeError>) {
     let (one, two) = tokio::io::duplex(1 << 16);
     let mut caller = Framed::new(one, FrameCodec::default());
     let mut listener = Framed::new(two, FrameCodec::default());
@@ -479,12 +479,13 @@
         ..hello("vm-1")
     };
     let called = async {
-        let result = greet(&mut caller, Role::Caller, own, caller_key).await;
+        let result = perform_handshake(&mut caller, Role::Caller, own, caller_key).await;
         drop(caller);
         result
     };
     let answered = async {
-        let result = greet(&mut listener, Role::Listener, hello("vm-2"), listener_key).await;
+        let result =
+            perform_handshake(&mut listener, Role::Listener, hello("vm-2"), listener_key).await;
         drop(listener);
         result
     };
@@ -498,24 +499,27 @@
     assert_eq!(caller.expect("greeted").vm, "vm-2");
     assert_eq!(listener.expect("greeted").vm, "vm-1");
     let (caller, listener) = handshake(b"another", b"the key", PROTOCOL_VERSION).await;
-    assert!(matches!(caller, Err(GreetingError::WrongKey)));
-    assert!(matches!(listener, Err(GreetingError::WrongKey)));
+    assert!(matches!(caller, Err(HandshakeError::WrongKey)));
+    assert!(matches!(listener, Err(HandshakeError::WrongKey)));
     let (_, listener) = handshake(b"the key", b"the key", 0).await;
-    assert!(matches!(listener, Err(GreetingError::Version(0))));
+    assert!(matches!(listener, Err(HandshakeError::Version(0))));
 }
 
 /// Guards against a proof that a peer without the key reflects or replays.
 #[test]
 fn a_proof_is_valid_for_one_side_and_one_pair_of_greetings() {
     let (one, two) = (hello("vm-1"), hello("vm-2"));
-    let proof = prove(b"key", Role::Caller, &one, &two);
-    assert_ne!(proof, prove(b"key", Role::Listener, &one, &two));
-    assert_ne!(proof, prove(b"key", Role::Caller, &two, &one));
+    let proof = compute_proof(b"key", Role::Caller, &one, &two);
+    assert_ne!(proof, compute_proof(b"key", Role::Listener, &one, &two));
+    assert_ne!(proof, compute_proof(b"key", Role::Caller, &two, &one));
     let other_nonce = Hello {
         nonce: Bytes::from_static(&[9]),
         ..hello("vm-2")
     };
-    assert_ne!(proof, prove(b"key", Role::Caller, &one, &other_nonce));
+    assert_ne!(
+        proof,
+        compute_proof(b"key", Role::Caller, &one, &other_nonce)
+    );
 }
 
 proptest! {
--- a/crates/standins/tests/contract.rs
+++ b/crates/standins/tests/contract.rs
@@ -228,7 +228,7 @@
     });
     assert_eq!(
         follow(&engine, 0).await,
-        (whole[..4].to_vec(), 0, Some(EngineCallError::Cut))
+        (whole[..4].to_vec(), 0, Some(EngineCallError::EndedEarly))
     );
     standin.set_fault(Fault {
         duplicate_pieces: 1,
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -17,7 +17,7 @@
     RequestId, ServiceName, VmId,
 };
 pub use outcome::{Outcome, RefusalCode};
-pub use request_fingerprint::{NoFingerprint, RequestFingerprint};
+pub use request_fingerprint::{InvalidFingerprint, RequestFingerprint};
 pub use sizes::{
     Bytes, BytesPerSecond, CallsPerSecond, RequestsPerSecond, Share, Slots, Tier, Tokens,
     TokensPerSecond,
--- a/crates/types/src/request_fingerprint.rs
+++ b/crates/types/src/request_fingerprint.rs
@@ -45,20 +45,20 @@
 /// The error for a text that isn't a fingerprint.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("a fingerprint has 24 hexadecimal digits")]
-pub struct NoFingerprint;
+pub struct InvalidFingerprint;
 
 impl FromStr for RequestFingerprint {
-    type Err = NoFingerprint;
+    type Err = InvalidFingerprint;
 
-    fn from_str(text: &str) -> Result<Self, NoFingerprint> {
+    fn from_str(text: &str) -> Result<Self, InvalidFingerprint> {
         let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if text.len() != CUSTOMER_DIGITS + CONTENT_DIGITS || !is_hex {
-            return Err(NoFingerprint);
+            return Err(InvalidFingerprint);
         }
         let (customer, content) = text.split_at(CUSTOMER_DIGITS);
         Ok(Self {
-            customer: u32::from_str_radix(customer, 16).map_err(|_| NoFingerprint)?,
-            content: u64::from_str_radix(content, 16).map_err(|_| NoFingerprint)?,
+            customer: u32::from_str_radix(customer, 16).map_err(|_| InvalidFingerprint)?,
+            content: u64::from_str_radix(content, 16).map_err(|_| InvalidFingerprint)?,
         })
     }
 }
--- a/src/commands/ask.rs
+++ b/src/commands/ask.rs
@@ -4,8 +4,8 @@
     ClientError, DaemonAnswer, OperatorClient, run_to_exit_code,
 };
 use crate::commands::{exit, print_line};
-use crate::modules::serve::operators::interface::Ask;
-use crate::modules::serve::operators::queries::Answer;
+use crate::modules::serve::operators::interface::OperatorRequest;
+use crate::modules::serve::operators::queries::OperatorAnswer;
 use crate::modules::serve::operators::row::Row;
 use argh::FromArgs;
 use bridgevane_types::{ConfigVersion, OperationId};
@@ -63,7 +63,7 @@
         return Ok(exit_code(answer.status));
     }
     let operation = arguments.operation.clone().unwrap_or_else(new_operation_id);
-    let mut ask = Ask {
+    let mut ask = OperatorRequest {
         statement: arguments.statement.clone(),
         document: None,
         base_version: None,
@@ -122,13 +122,13 @@
         eprintln!("{error}");
         return;
     }
-    match serde_json::from_value::<Answer>(answer.body.clone()) {
+    match serde_json::from_value::<OperatorAnswer>(answer.body.clone()) {
         Ok(rows) => print_rows(&rows),
         Err(_) => print_line!("{}  (operation {operation})", answer.body),
     }
 }
 
-fn print_rows(answer: &Answer) {
+fn print_rows(answer: &OperatorAnswer) {
     print_line!("{}", table(&answer.rows));
     if !answer.missing.is_empty() {
         let names: Vec<&str> = answer.missing.iter().map(|vm| vm.as_str()).collect();
--- a/src/commands/demo/results.rs
+++ b/src/commands/demo/results.rs
@@ -3,7 +3,7 @@
 use super::DemoArguments;
 use super::load::{CallerResult, FinishedCall};
 use super::stage::DemoSystem;
-use crate::modules::serve::requests::targets::Targets;
+use crate::modules::serve::requests::targets::LatencyTargets;
 use bridgevane_standins::check_promises;
 use bridgevane_types::{ClassName, DurationMs};
 use comfy_table::{Table, presets};
@@ -56,7 +56,10 @@
                 broken.push(format!("a caller of {} got a wrong answer", call.class));
             }
         }
-        let counts = system.context.burn.window(system.context.now(), WINDOW);
+        let counts = system
+            .context
+            .service_levels
+            .counts_in(system.context.now(), WINDOW);
         let mut wasted_tokens = 0;
         for (name, counts) in &counts {
             wasted_tokens += counts.wasted_tokens;
@@ -152,7 +155,7 @@
             tokens,
         } => {
             let config = &system.document.class[&call.class];
-            let targets = Targets {
+            let targets = LatencyTargets {
                 first_token_ms: config.first_token_target_ms,
                 between_tokens_ms: config.between_tokens_target_ms,
             };
--- a/src/commands/operator_client.rs
+++ b/src/commands/operator_client.rs
@@ -1,7 +1,7 @@
 //! Client for a daemon's operators' interface, shared by `ask` and `report`.
 
 use crate::commands::{block_on, exit};
-use crate::modules::serve::operators::interface::Ask;
+use crate::modules::serve::operators::interface::OperatorRequest;
 use bridgevane_adapters::{HttpClient, HttpError};
 use derive_more::{Display, Error, From};
 use http_body_util::{BodyExt, Full};
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// [`ClientError`] if there is no answer; a refusal counts as an answer.
-    pub async fn ask(&self, ask: &Ask) -> Result<DaemonAnswer, ClientError> {
+    pub async fn ask(&self, ask: &OperatorRequest) -> Result<DaemonAnswer, ClientError> {
         let body = serde_json::to_vec(ask).map_err(|_| ClientError::Malformed)?;
         self.send(http::Method::POST, "/v1/ask", body).await
     }
--- a/src/commands/report/burn.rs
+++ b/src/commands/report/burn.rs
@@ -3,8 +3,8 @@
 use crate::commands::operator_client::{ClientError, OperatorClient, run_to_exit_code};
 use crate::commands::report::{ReportArguments, burn_page};
 use crate::commands::{ask, exit, print_line};
-use crate::modules::serve::operators::interface::Ask;
-use crate::modules::serve::operators::queries::Answer;
+use crate::modules::serve::operators::interface::OperatorRequest;
+use crate::modules::serve::operators::queries::OperatorAnswer;
 use crate::modules::serve::operators::row::without_histograms;
 use std::io::IsTerminal;
 
@@ -15,14 +15,14 @@
 
 async fn report(arguments: &ReportArguments) -> Result<u8, ClientError> {
     let client = OperatorClient::new(arguments.at, arguments.token.clone())?;
-    let ask = Ask {
+    let ask = OperatorRequest {
         statement: Some("show burn".into()),
         document: None,
         base_version: None,
         operation_id: None,
     };
     let answer = client.ask(&ask).await?;
-    let parsed: Result<Answer, _> = serde_json::from_value(answer.body.clone());
+    let parsed: Result<OperatorAnswer, _> = serde_json::from_value(answer.body.clone());
     let Ok(report) = parsed else {
         eprintln!("{}", answer.body);
         return Ok(exit::USAGE);
--- a/src/commands/report/burn_page.rs
+++ b/src/commands/report/burn_page.rs
@@ -1,6 +1,6 @@
 //! The burn report as one HTML page with embedded plots.
 
-use crate::modules::serve::operators::queries::Answer;
+use crate::modules::serve::operators::queries::OperatorAnswer;
 use crate::modules::serve::operators::row::{Row, without_histograms};
 use plotters::prelude::*;
 use serde_json::Value;
@@ -13,7 +13,7 @@
 text-align:right}td:first-child,th:first-child{text-align:left}.part{color:#a00}h2{margin-top:1.6em}";
 
 /// Returns the HTML page.
-pub(super) fn page(answer: &Answer) -> String {
+pub(super) fn page(answer: &OperatorAnswer) -> String {
     let rows = without_histograms(&answer.rows);
     let mut body = String::from("<h1>Service levels</h1>");
     if !answer.missing.is_empty() {
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -110,12 +110,12 @@
 async fn serve(config: ServeConfig, incarnation: Incarnation) -> Result<(), std::io::Error> {
     let Started { context, servers } = start(config, incarnation).await?;
     signals::wait_for_stop().await?;
-    context.leaving.begin(LeavingSource::StopSignal);
+    context.leaving.add_reason(LeavingSource::StopSignal);
     membership::set_leaving(&context, true);
     event!(Event::Stopping, in_progress = context.leaving.in_progress());
     let drain = context.config.serving.drain_ms.as_std();
     let drained = async {
-        context.leaving.idle().await;
+        context.leaving.wait_until_idle().await;
         servers.close().await;
     };
     // After the maximum drain time the process ends; the platform would have ended it earlier.
@@ -148,7 +148,7 @@
     let peers = http_serve::listen(config.peers.address).await?;
     config.peers.address = peers.local_addr()?;
     let (context, dials) = Context::new(config, incarnation);
-    tokio::spawn(connections::dial_all(context.clone(), dials));
+    tokio::spawn(connections::open_requested(context.clone(), dials));
     tokio::spawn(connections::accept(context.clone(), peers));
     tokio::spawn(membership::run(context.clone()));
     tokio::spawn(homes::run(context.clone()));
--- a/src/modules/serve/configuration/accept.rs
+++ b/src/modules/serve/configuration/accept.rs
@@ -14,7 +14,7 @@
 
 /// Accepts a complete document, from the platform or an operator's change.
 pub(crate) fn accept_document(context: &Arc<Context>, version: ConfigVersion, document: Document) {
-    let sections = match Sections::of(&document) {
+    let sections = match Sections::from_document(&document) {
         Ok(sections) => sections,
         Err(error) => {
             event!(Event::ConfigRejected, version = version, cause = error);
@@ -42,7 +42,7 @@
 ) {
     let in_force = context.in_force.load();
     let base = in_force.filter(|in_force| in_force.version == from);
-    match base.and_then(|base| base.document.changed_by(changes).ok()) {
+    match base.and_then(|base| base.document.with_changes(changes).ok()) {
         Some(document) => activate_and_announce(context, version, document),
         None => activate_sections(context, version),
     }
@@ -50,7 +50,7 @@
 
 /// Activates the version that the replica holds.
 pub(super) fn activate_sections(context: &Arc<Context>, version: ConfigVersion) {
-    let document = context.replica.lock().sections().document();
+    let document = context.replica.lock().sections().to_document();
     match document {
         Ok(document) => activate_and_announce(context, version, document),
         Err(error) => event!(Event::ConfigRejected, version = version, cause = error),
--- a/src/modules/serve/configuration/change.rs
+++ b/src/modules/serve/configuration/change.rs
@@ -125,12 +125,12 @@
         if paths.is_empty() {
             return Ok(ProposalOutcome::NoChange);
         }
-        let meanwhile = stored.envelope.since(based_on);
+        let meanwhile = stored.envelope.operations_since(based_on);
         if overlaps(&proposal.change, meanwhile, &paths) {
             let meanwhile = meanwhile.to_vec();
             return Ok(ProposalOutcome::Conflict { meanwhile });
         }
-        let next = stored.envelope.succeed(
+        let next = stored.envelope.with_operation(
             changed,
             proposal.operation_id.clone(),
             proposal.operator.clone(),
@@ -207,7 +207,9 @@
             Ok(ProposalOutcome::TookEffect { version })
         }
         // The write may still arrive at the platform, so its absence proves nothing.
-        OperationStatus::DidNot | OperationStatus::TooOldToTell => Err(ChangeError::Unknown(error)),
+        OperationStatus::NoEffect | OperationStatus::NotRemembered => {
+            Err(ChangeError::Unknown(error))
+        }
     }
 }
 
@@ -224,7 +226,10 @@
 }
 
 fn changed_paths(before: &Document, after: &Document) -> Vec<String> {
-    let (Ok(before), Ok(after)) = (Sections::of(before), Sections::of(after)) else {
+    let (Ok(before), Ok(after)) = (
+        Sections::from_document(before),
+        Sections::from_document(after),
+    ) else {
         return Vec::new();
     };
     let delta = before.delta_to(&after, ConfigVersion(0), ConfigVersion(0));
--- a/src/modules/serve/configuration/relay.rs
+++ b/src/modules/serve/configuration/relay.rs
@@ -17,7 +17,7 @@
     let answer = context
         .replica
         .lock()
-        .answer(ConfigVersion(wanted.have_version));
+        .answer_for(ConfigVersion(wanted.have_version));
     let body = match answer {
         ConfigAnswer::Current => return,
         ConfigAnswer::Delta(delta) => Body::ConfigDelta(ConfigDelta {
@@ -67,7 +67,7 @@
     match accepted {
         Ok(()) => activate_changes(context, from, version, &changes),
         Err(NotAccepted::NotNewer { .. }) => {}
-        Err(NotAccepted::Unfit(error)) => {
+        Err(NotAccepted::InvalidDelta(error)) => {
             event!(Event::ConfigRejected, version = version, cause = error);
             // The local version has changed meanwhile, or differs: request a full snapshot.
             link.send(Body::ConfigWanted(ConfigWanted { have_version: 0 }));
--- a/src/modules/serve/configuration/replica.rs
+++ b/src/modules/serve/configuration/replica.rs
@@ -43,7 +43,7 @@
     /// Returns the version of the replica and the highest known version.
     pub fn versions(&self) -> (ConfigVersion, ConfigVersion) {
         let replica = self.lock();
-        (replica.version(), replica.highest_heard())
+        (replica.version(), replica.highest_known_version())
     }
 
     /// Records that a daemon or the platform has answered.
@@ -70,7 +70,7 @@
 
     /// Takes one read call from the budget; false when the budget allows none now.
     pub(crate) fn try_acquire_call(&self, now: TimeMs) -> bool {
-        self.budget().take(now, CallKind::Read).is_ok()
+        self.budget().try_acquire(now, CallKind::Read).is_ok()
     }
 
     /// Records that the platform answered a call.
@@ -78,7 +78,7 @@
         let was_failing = {
             let mut budget = self.budget();
             let was_failing = budget.is_failing();
-            budget.succeeded();
+            budget.record_success();
             was_failing
         };
         if was_failing {
@@ -100,7 +100,7 @@
         let was_failing = {
             let mut budget = self.budget();
             let was_failing = budget.is_failing();
-            budget.failed(now, retry_after_ms);
+            budget.record_failure(now, retry_after_ms);
             was_failing
         };
         if !was_failing {
@@ -112,8 +112,8 @@
     /// one.
     pub fn observe_versions(&self, heartbeat: &Heartbeat) -> Option<ConfigWanted> {
         let mut replica = self.lock();
-        replica.hear(ConfigVersion(heartbeat.highest_config_version));
-        replica.hear(ConfigVersion(heartbeat.config_version));
+        replica.observe_version(ConfigVersion(heartbeat.highest_config_version));
+        replica.observe_version(ConfigVersion(heartbeat.config_version));
         let have_version = replica.version().0;
         (heartbeat.config_version > have_version).then_some(ConfigWanted { have_version })
     }
--- a/src/modules/serve/context.rs
+++ b/src/modules/serve/context.rs
@@ -50,7 +50,7 @@
     /// The metrics.
     pub metrics: Metrics,
     /// The service levels by class.
-    pub burn: ServiceLevels,
+    pub service_levels: ServiceLevels,
     /// Whether this VM is leaving, and the requests in progress.
     pub leaving: Leaving,
     /// The incarnation of this daemon.
@@ -84,7 +84,7 @@
             rollouts: Rollouts::default(),
             queries: Queries::default(),
             metrics: Metrics::new(),
-            burn: ServiceLevels::default(),
+            service_levels: ServiceLevels::default(),
             leaving: Leaving::default(),
             incarnation,
             started: boot_time(),
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -102,8 +102,8 @@
         .registry()
         .claim(context.now(), claim.clone(), &live.key_members);
     let earlier = match verdict {
-        Verdict::AskBefore(before) => ask_earlier_home(context, &before, &claim).await,
-        Verdict::NoMemory => verdict_without_memory(context).await,
+        Verdict::AskEarlierHome(before) => ask_earlier_home(context, &before, &claim).await,
+        Verdict::NoOlderDaemon => verdict_without_memory(context).await,
         decided => return decided,
     };
     context
@@ -132,7 +132,7 @@
         .await;
     match had_daemons_before {
         Ok(false) => Verdict::Run,
-        Ok(true) | Err(_) => Verdict::NoMemory,
+        Ok(true) | Err(_) => Verdict::NoOlderDaemon,
     }
 }
 
@@ -212,7 +212,9 @@
             wire.body = Bytes::from(answer.body);
             WireCode::Done
         }
-        Some(Verdict::Unknown | Verdict::AskBefore(_) | Verdict::NoMemory) => WireCode::Unknown,
+        Some(Verdict::Unknown | Verdict::AskEarlierHome(_) | Verdict::NoOlderDaemon) => {
+            WireCode::Unknown
+        }
         Some(Verdict::Mismatch) => WireCode::Mismatch,
         Some(Verdict::Full) => WireCode::Full,
     };
--- a/src/modules/serve/keys/ends.rs
+++ b/src/modules/serve/keys/ends.rs
@@ -40,7 +40,7 @@
     let call = &granted.call;
     let Some(home) = granted.home else {
         let mut registry = context.keys.registry();
-        registry.ended(context.now(), &call.home_key(), call.request, end);
+        registry.record_end(context.now(), &call.home_key(), call.request, end);
         return;
     };
     let ended = end_message(granted, end);
@@ -113,7 +113,7 @@
     context
         .keys
         .registry()
-        .ended(context.now(), &key, request, end);
+        .record_end(context.now(), &key, request, end);
     // If this acknowledgement is lost, the end is reported again.
     link.send(Body::KeyEndedHeard(KeyEndedHeard { claim: ended.claim }));
 }
--- a/src/modules/serve/keys/key_homes.rs
+++ b/src/modules/serve/keys/key_homes.rs
@@ -105,12 +105,12 @@
 
     /// Records that a daemon was lost.
     pub fn record_lost_member(&self, now: TimeMs, vm: &VmId) {
-        self.registry().member_lost(now, vm);
+        self.registry().record_lost_member(now, vm);
     }
 
     /// Applies the platform's list of VMs, reduced to this data centre.
     pub fn apply_vm_list(&self, now: TimeMs, listed: &[VmId]) {
-        self.registry().listed(now, listed);
+        self.registry().apply_vm_list(now, listed);
     }
 
     /// Handles a home's answer to a claim.
--- a/src/modules/serve/leaving.rs
+++ b/src/modules/serve/leaving.rs
@@ -52,7 +52,7 @@
 
 impl Leaving {
     /// Records a reason to leave.
-    pub fn begin(&self, source: LeavingSource) {
+    pub fn add_reason(&self, source: LeavingSource) {
         self.sources.fetch_or(source.bit(), Ordering::AcqRel);
         self.changed.notify_waiters();
     }
@@ -80,7 +80,7 @@
     }
 
     /// Waits until no request is in progress.
-    pub async fn idle(&self) {
+    pub async fn wait_until_idle(&self) {
         loop {
             let changed = self.changed.notified();
             if self.in_progress() == 0 {
--- a/src/modules/serve/observation/burn.rs
+++ b/src/modules/serve/observation/burn.rs
@@ -252,7 +252,7 @@
     }
 
     /// Returns the counts of the last `window_ms`, by class.
-    pub fn window(&self, now: TimeMs, window_ms: DurationMs) -> BTreeMap<ClassName, Counts> {
+    pub fn counts_in(&self, now: TimeMs, window_ms: DurationMs) -> BTreeMap<ClassName, Counts> {
         let oldest = now.0.saturating_sub(window_ms.0) / MINUTE_MS;
         let classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
         let sum = |levels: &ClassLevels| {
--- a/src/modules/serve/operators/fan_out.rs
+++ b/src/modules/serve/operators/fan_out.rs
@@ -2,7 +2,7 @@
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::leaving::LeavingSource;
-use crate::modules::serve::operators::queries::Answer;
+use crate::modules::serve::operators::queries::OperatorAnswer;
 use crate::modules::serve::operators::query_language::{self, Statement};
 use crate::modules::serve::operators::row::Row;
 use crate::modules::serve::operators::rows;
@@ -28,7 +28,7 @@
 const MAX_ANSWERS: usize = 1_024;
 
 /// Runs a statement on all daemons of the data centre, including this one.
-pub(crate) async fn ask_all(context: &Arc<Context>, text: &str) -> Answer {
+pub(crate) async fn ask_all(context: &Arc<Context>, text: &str) -> OperatorAnswer {
     let query = context.queries.next.fetch_add(1, Ordering::Relaxed);
     let (sender, mut receiver) = mpsc::channel(MAX_ANSWERS);
     context.queries.pending().insert(query, sender);
@@ -44,7 +44,7 @@
         context.links.link_to(address).send(frame);
         expected.insert(vm);
     }
-    let mut answer = Answer::default();
+    let mut answer = OperatorAnswer::default();
     match answer_locally(context, text).await {
         Ok(rows) => answer.rows = rows,
         Err(error) => answer.error = Some(error),
@@ -125,7 +125,7 @@
         return Vec::new();
     }
     if is_drained {
-        context.leaving.begin(LeavingSource::Drain);
+        context.leaving.add_reason(LeavingSource::Drain);
     } else {
         context.leaving.undrain();
     }
--- a/src/modules/serve/operators/interface.rs
+++ b/src/modules/serve/operators/interface.rs
@@ -6,7 +6,7 @@
 };
 use crate::modules::serve::context::Context;
 use crate::modules::serve::operators::fan_out;
-use crate::modules::serve::operators::queries::Answer;
+use crate::modules::serve::operators::queries::OperatorAnswer;
 use crate::modules::serve::operators::query_language::{self, Statement, Table};
 use crate::modules::serve::operators::row::Row;
 use crate::modules::serve::operators::rows;
@@ -29,7 +29,7 @@
 /// The request of an operator: a statement or a document.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct Ask {
+pub(crate) struct OperatorRequest {
     /// A statement of the query language.
     #[serde(default)]
     pub statement: Option<String>,
@@ -105,7 +105,7 @@
 async fn ask(
     State(context): State<Arc<Context>>,
     headers: HeaderMap,
-    Json(ask): Json<Ask>,
+    Json(ask): Json<OperatorRequest>,
 ) -> Response {
     let Some(operator) = operator_of(&context, &headers) else {
         return refuse();
@@ -153,7 +153,7 @@
 }
 
 /// Returns the answer to a drain, which took effect only if the drained VM confirmed it.
-fn drain_response(vm: &bridgevane_types::VmId, answer: Answer) -> Response {
+fn drain_response(vm: &bridgevane_types::VmId, answer: OperatorAnswer) -> Response {
     if !answer.rows.is_empty() {
         return Json(answer).into_response();
     }
@@ -177,9 +177,9 @@
                     .with("operation", operation.operation_id.as_str())
                     .with("changed", operation.changed.join(" "))
             };
-            let answer = Answer {
+            let answer = OperatorAnswer {
                 rows: operations.into_iter().map(row).collect(),
-                ..Answer::default()
+                ..OperatorAnswer::default()
             };
             Json(answer).into_response()
         }
@@ -190,7 +190,7 @@
 async fn propose_document(
     context: &Arc<Context>,
     operator: OperatorName,
-    ask: &Ask,
+    ask: &OperatorRequest,
     text: &str,
 ) -> Response {
     let document = match Document::parse(text) {
@@ -208,7 +208,7 @@
 async fn propose(
     context: &Arc<Context>,
     operator: OperatorName,
-    ask: &Ask,
+    ask: &OperatorRequest,
     change: ProposedChange,
     text: &str,
 ) -> Response {
--- a/src/modules/serve/operators/queries.rs
+++ b/src/modules/serve/operators/queries.rs
@@ -26,7 +26,7 @@
 
 /// The answer of the data centre's daemons to a statement.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct OperatorAnswer {
     /// The rows of all daemons that answered.
     pub rows: Vec<Row>,
     /// The VMs that answered.
--- a/src/modules/serve/operators/rows.rs
+++ b/src/modules/serve/operators/rows.rs
@@ -145,7 +145,9 @@
     let Some(in_force) = context.in_force.load() else {
         return Vec::new();
     };
-    let counts = context.burn.window(context.now(), CLASS_WINDOW);
+    let counts = context
+        .service_levels
+        .counts_in(context.now(), CLASS_WINDOW);
     let mut queued = BTreeMap::new();
     for (_, pool) in context.pools.all() {
         let Some(view) = pool.view().await else {
@@ -186,8 +188,10 @@
     };
     let mut rows = Vec::new();
     for window_ms in BURN_WINDOWS {
-        let counts = context.burn.window(context.now(), window_ms);
-        let first_tokens = context.burn.first_tokens(context.now(), window_ms);
+        let counts = context.service_levels.counts_in(context.now(), window_ms);
+        let first_tokens = context
+            .service_levels
+            .first_tokens(context.now(), window_ms);
         for (name, class) in &in_force.document.class {
             // A class without requests has no counts.
             let counts = counts.get(name).copied().unwrap_or_default();
--- a/src/modules/serve/peers/connections.rs
+++ b/src/modules/serve/peers/connections.rs
@@ -9,7 +9,7 @@
 use crate::modules::serve::peers::links::{Dial, LinkHandle, OpenOffers, Peer};
 use crate::modules::serve::pools::homes;
 use bridgevane_events::{Event, event};
-use bridgevane_protocol::{Frame, FrameCodec, Hello, PROTOCOL_VERSION, Role, greet};
+use bridgevane_protocol::{Frame, FrameCodec, Hello, PROTOCOL_VERSION, Role, perform_handshake};
 use bridgevane_types::{DataCentreId, Incarnation, VmId};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -36,7 +36,10 @@
 }
 
 /// Opens the requested connections until the daemon ends.
-pub(crate) async fn dial_all(context: Arc<Context>, mut requested: mpsc::UnboundedReceiver<Dial>) {
+pub(crate) async fn open_requested(
+    context: Arc<Context>,
+    mut requested: mpsc::UnboundedReceiver<Dial>,
+) {
     while let Some(dial) = requested.recv().await {
         tokio::spawn(connect(context.clone(), dial));
     }
@@ -97,7 +100,7 @@
     let mut framed = Framed::new(stream, FrameCodec::default());
     let key = context.config.peer_key.0.as_bytes();
     let limit = context.config.peers.greeting_ms.as_std();
-    let greeting = greet(&mut framed, role, own_hello(context), key);
+    let greeting = perform_handshake(&mut framed, role, own_hello(context), key);
     let peer = match timeout(limit, greeting).await {
         Ok(Ok(hello)) => peer_of(&hello),
         Ok(Err(error)) => {
--- a/src/modules/serve/peers/members.rs
+++ b/src/modules/serve/peers/members.rs
@@ -27,7 +27,7 @@
 
 impl LiveView {
     fn of_membership(membership: &Membership) -> Self {
-        let live = membership.live();
+        let live = membership.live_vms();
         let incarnations = membership.live_incarnations();
         let member = |(vm, incarnation): (&VmId, Incarnation)| KeyMember {
             vm: vm.clone(),
--- a/src/modules/serve/peers/membership.rs
+++ b/src/modules/serve/peers/membership.rs
@@ -37,9 +37,9 @@
     {
         let mut membership = context.members.lock();
         if is_leaving {
-            membership.leave();
+            membership.start_leaving();
         } else {
-            membership.stay();
+            membership.cancel_leaving();
         }
     }
     refresh(context);
@@ -102,10 +102,10 @@
             }
             MembershipEffect::Superseded => {
                 event!(Event::Superseded, vm = context.config.vm);
-                context.leaving.begin(LeavingSource::Superseded);
+                context.leaving.add_reason(LeavingSource::Superseded);
             }
             MembershipEffect::LeavingRequested => {
-                context.leaving.begin(LeavingSource::VmList);
+                context.leaving.add_reason(LeavingSource::VmList);
                 set_leaving(context, true);
             }
         }
@@ -116,7 +116,7 @@
 }
 
 fn send_heartbeat(context: &Arc<Context>, address: SocketAddr) {
-    let updates = context.members.lock().updates();
+    let updates = context.members.lock().next_updates();
     let heartbeat = new_heartbeat(context, updates);
     context
         .links
@@ -133,7 +133,7 @@
     {
         let membership = context.members.lock();
         let neighbours = membership.neighbours();
-        let live: Vec<VmId> = membership.live();
+        let live: Vec<VmId> = membership.live_vms();
         let mut others: Vec<&VmId> = live.iter().filter(|vm| !neighbours.contains(vm)).collect();
         for _ in 0..OTHER_DAEMONS.min(others.len()) {
             let at = rand::random_range(0..others.len());
@@ -168,7 +168,7 @@
     let updates = match (is_same_data_centre, sends_full_state) {
         (false, _) => Vec::new(),
         (true, true) => context.members.lock().all_updates(),
-        (true, false) => context.members.lock().updates(),
+        (true, false) => context.members.lock().next_updates(),
     };
     let ack = new_heartbeat(context, updates);
     link.send(Body::HeartbeatAck(ack));
@@ -199,9 +199,9 @@
         let mut membership = context.members.lock();
         let known = membership.members().find(|(vm, _)| **vm == peer.vm);
         let is_new = known.is_none_or(|(_, member)| member.incarnation != peer.incarnation);
-        membership.hear(now, &peer.vm, peer.address, peer.incarnation, &mut effects);
+        membership.record_contact(now, &peer.vm, peer.address, peer.incarnation, &mut effects);
         let updates = heartbeat.updates.iter().filter_map(from_wire).collect();
-        membership.receive(now, updates, &mut effects);
+        membership.apply_updates(now, updates, &mut effects);
         is_new
     };
     execute(context, effects);
@@ -258,7 +258,7 @@
             continue;
         }
         let mut membership = context.members.lock();
-        membership.relearn(now, &entry.vm, entry.peer_address);
+        membership.add_or_retry_listed(now, &entry.vm, entry.peer_address);
         if entry.leaving && membership.mark_leaving(now, &entry.vm, &mut effects) {
             newly_leaving.push(entry.peer_address);
         }
--- a/src/modules/serve/requests/model_attempt.rs
+++ b/src/modules/serve/requests/model_attempt.rs
@@ -76,7 +76,7 @@
             EngineCallError::NotReached => AttemptEnd::NotReached,
             EngineCallError::Unavailable => AttemptEnd::Unavailable,
             EngineCallError::Rejected | EngineCallError::Unsupported => AttemptEnd::Rejected,
-            EngineCallError::Cut | EngineCallError::Malformed => AttemptEnd::Lost {
+            EngineCallError::EndedEarly | EngineCallError::Malformed => AttemptEnd::Lost {
                 delivered: Tokens(self.delivered),
             },
         }
--- a/src/modules/serve/requests/model_call.rs
+++ b/src/modules/serve/requests/model_call.rs
@@ -6,7 +6,7 @@
 use crate::modules::serve::requests::chat_format::{AnswerFormat, ModelApi, ModelCall};
 use crate::modules::serve::requests::model_request::{self, CallerEvent, ModelRequest};
 use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal};
-use crate::modules::serve::requests::targets::Targets;
+use crate::modules::serve::requests::targets::LatencyTargets;
 use axum::extract::Request;
 use bridgevane_types::{RequestFingerprint, Tokens};
 use std::sync::Arc;
@@ -91,7 +91,7 @@
         offer,
         model: call.model.clone(),
         prompt,
-        targets: Targets::of_class(class_config),
+        targets: LatencyTargets::of_class(class_config),
     };
     let answers = model_request::spawn(context.clone(), model_request);
     Ok((format, call, answers))
--- a/src/modules/serve/requests/model_outcome.rs
+++ b/src/modules/serve/requests/model_outcome.rs
@@ -39,7 +39,9 @@
             tokens,
             first_token_ms: DurationMs(first_token_ms),
         };
-        self.context.burn.count_request(now, self.class(), ended);
+        self.context
+            .service_levels
+            .count_request(now, self.class(), ended);
         self.send_to_caller(CallerEvent::End(reason, tokens)).await;
     }
 
@@ -51,7 +53,9 @@
         } else {
             RequestEnd::Refused
         };
-        self.context.burn.count_request(now, self.class(), ended);
+        self.context
+            .service_levels
+            .count_request(now, self.class(), ended);
         let result = if is_cut { "cut" } else { "refused" };
         self.context.metrics.count_request(self.class(), result);
         let kind = if is_cut {
@@ -80,7 +84,7 @@
         let tokens = Tokens(tokens);
         self.context.metrics.count_wasted_tokens(cause, tokens);
         self.context
-            .burn
+            .service_levels
             .count_wasted_tokens(self.context.now(), self.class(), tokens);
     }
 }
--- a/src/modules/serve/requests/model_request.rs
+++ b/src/modules/serve/requests/model_request.rs
@@ -10,7 +10,7 @@
 use crate::modules::serve::pools::orders::OrderReceiver;
 use crate::modules::serve::requests::engine_state::with_model_engine_state;
 use crate::modules::serve::requests::refusal::CallerRefusal;
-use crate::modules::serve::requests::targets::Targets;
+use crate::modules::serve::requests::targets::LatencyTargets;
 use bridgevane_adapters::EndReason;
 use bridgevane_decisions::{AttemptEnd, CancelCause};
 use bridgevane_types::{
@@ -39,7 +39,7 @@
     /// The prompt.
     pub prompt: String,
     /// The latency targets of the class.
-    pub targets: Targets,
+    pub targets: LatencyTargets,
 }
 
 /// The result of reading an attempt's stream.
--- a/src/modules/serve/requests/plain_call.rs
+++ b/src/modules/serve/requests/plain_call.rs
@@ -6,7 +6,7 @@
 use crate::modules::serve::requests::caller::{Caller, identify, read_body};
 use crate::modules::serve::requests::plain_request::{self, PlainRequest};
 use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal, header_value};
-use crate::modules::serve::requests::targets::Targets;
+use crate::modules::serve::requests::targets::LatencyTargets;
 use axum::body::Bytes;
 use axum::extract::Request;
 use axum::http::request::Parts;
@@ -80,14 +80,14 @@
     caller: &Caller,
     service: &ServiceName,
     path: &str,
-) -> Result<(RouteConfig, Targets), CallerRefusal> {
+) -> Result<(RouteConfig, LatencyTargets), CallerRefusal> {
     let config = caller.in_force.document.service.get(service);
     let config = config
         .filter(|config| config.kind == ServiceKind::Plain)
         .ok_or_else(|| caller.bad_request(BadRequest::UnknownService))?;
     let route = config.route_of(path);
     let route = route.ok_or_else(|| caller.bad_request(BadRequest::UnknownRoute))?;
-    let targets = Targets::of_class(caller.class_config(&route.class)?);
+    let targets = LatencyTargets::of_class(caller.class_config(&route.class)?);
     Ok((route.clone(), targets))
 }
 
--- a/src/modules/serve/requests/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -9,7 +9,7 @@
 use crate::modules::serve::pools::orders::OrderReceiver;
 use crate::modules::serve::requests::engine_state::with_plain_worker_state;
 use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal};
-use crate::modules::serve::requests::targets::Targets;
+use crate::modules::serve::requests::targets::LatencyTargets;
 use axum::http::StatusCode;
 use bridgevane_adapters::{PlainAnswer, PlainCall, PlainCallError, PlainService};
 use bridgevane_coordination::{KeyEnd, StoredAnswer, Verdict};
@@ -28,7 +28,7 @@
     /// The idempotency key of a call that must not be repeated, if it has one.
     pub key: Option<KeyedCall>,
     /// The latency targets of the class.
-    pub targets: Targets,
+    pub targets: LatencyTargets,
 }
 
 /// Runs a call, at most once per idempotency key. The call runs to its end even if the caller
@@ -210,6 +210,6 @@
             (RequestEnd::Cut, "cut")
         }
     };
-    context.burn.count_request(now, class, ended);
+    context.service_levels.count_request(now, class, ended);
     context.metrics.count_request(class, label);
 }
--- a/src/modules/serve/requests/targets.rs
+++ b/src/modules/serve/requests/targets.rs
@@ -5,14 +5,14 @@
 
 /// The latency targets of a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Targets {
+pub(crate) struct LatencyTargets {
     /// The maximum time to the first token.
     pub first_token_ms: DurationMs,
     /// The maximum mean gap between tokens; absent: no target.
     pub between_tokens_ms: Option<DurationMs>,
 }
 
-impl Targets {
+impl LatencyTargets {
     /// Returns the targets of a class.
     pub fn of_class(class: &ClassConfig) -> Self {
         Self {
--- a/src/modules/serve/rollouts/carry_out.rs
+++ b/src/modules/serve/rollouts/carry_out.rs
@@ -15,7 +15,7 @@
 };
 use bridgevane_config::{RolloutConfig, ServiceConfig};
 use bridgevane_coordination::{
-    HeldLease, Rollout, RolloutEffect, RolloutObservation, RolloutPlan, RolloutStage,
+    HeldLease, Rollout, RolloutObservation, RolloutOrder, RolloutPlan, RolloutStage,
 };
 use bridgevane_events::{Event, event};
 use bridgevane_types::{DurationMs, FenceToken, ModelName, ServiceName, boot_time};
@@ -124,7 +124,9 @@
             on_old: held.on_old.clone(),
             burn: held.burn,
         };
-        let next = held.rollout.step(&observation, held.watched_since);
+        let next = held
+            .rollout
+            .after_observation(&observation, held.watched_since);
         if next != held.rollout {
             self.store(&mut held, next).await?;
         }
@@ -181,7 +183,7 @@
         };
         let mut held = HeldRollout {
             lease_id: LeaseId(0),
-            lease: HeldLease::ended(),
+            lease: HeldLease::expired(),
             rollout,
             stored_at,
             watched_since: boot_time(),
@@ -228,7 +230,7 @@
         }
         self.context.metrics.count_platform_call("lease");
         match self.context.platform.renew_lease(held.lease_id).await {
-            Ok(_) => held.lease.renewed(now),
+            Ok(_) => held.lease.record_renewal(now),
             Err(KvError::LeaseGone) => return Err(RolloutError::LeaseExpired),
             // The lease is still valid for a time; the deadline is checked before each order.
             Err(_) => {}
@@ -310,7 +312,7 @@
     async fn send_order(
         &self,
         held: &mut HeldRollout,
-        order: &RolloutEffect,
+        order: &RolloutOrder,
     ) -> Result<bool, RolloutError> {
         let Some(ticket) = self.ticket(held, order.version).await else {
             return Ok(false);
--- a/tests/support/fake_home.rs
+++ b/tests/support/fake_home.rs
@@ -7,7 +7,7 @@
 use bridgevane_protocol::key_verdict::Verdict;
 use bridgevane_protocol::{
     Frame, FrameCodec, Heartbeat, Hello, KeyEnded, KeyEndedHeard, KeyVerdict, PROTOCOL_VERSION,
-    Role, greet,
+    Role, perform_handshake,
 };
 use bridgevane_types::VmId;
 use bytes::Bytes;
@@ -86,7 +86,8 @@
             .await
             .expect("the daemon listens");
         let mut frames = Framed::new(stream, FrameCodec::default());
-        let greeted = greet(&mut frames, Role::Caller, self.hello(), PEER_KEY.as_bytes()).await;
+        let greeted =
+            perform_handshake(&mut frames, Role::Caller, self.hello(), PEER_KEY.as_bytes()).await;
         greeted.expect("it knows the key");
         for sequence in 1.. {
             let heartbeat = Heartbeat {
@@ -110,7 +111,7 @@
     async fn serve(self, stream: TcpStream) {
         let mut frames = Framed::new(stream, FrameCodec::default());
         let hello = self.hello();
-        if greet(&mut frames, Role::Listener, hello, PEER_KEY.as_bytes())
+        if perform_handshake(&mut frames, Role::Listener, hello, PEER_KEY.as_bytes())
             .await
             .is_err()
         {
