--- a/crates/coordination/src/modules/membership.rs
+++ b/crates/coordination/src/modules/membership.rs
@@ -6,7 +6,7 @@
 //! and it hasn't refuted the suspicion in time. The split into a local suspicion and a confirmed
 //! one is that of the Sentinel paper (subjective and objective down); its election is not used.
 //!
-//! This module holds the view and its queries. [`super::suspicion`] holds the timers,
+//! This module holds the view and its queries. [`super::timers`] holds the timers,
 //! [`super::gossip`] the updates from other nodes.
 
 use crate::configs::MembershipConfig;
--- a/crates/coordination/src/modules/mod.rs
+++ b/crates/coordination/src/modules/mod.rs
@@ -9,4 +9,4 @@
 pub(crate) mod membership;
 pub(crate) mod rendezvous;
 pub(crate) mod rollout;
-pub(crate) mod suspicion;
+pub(crate) mod timers;
--- a/crates/protocol/src/greeting.rs
+++ b/crates/protocol/src/handshake.rs
@@ -35,14 +35,14 @@
     }
 }
 
-/// Why a greeting failed.
+/// Why a handshake failed.
 #[derive(Debug, Display, Error, From)]
 pub enum HandshakeError {
     /// A frame could not be read or written.
     #[display("{_0}")]
     #[from]
     Frame(FrameError),
-    /// The connection ended during the greeting.
+    /// The connection ended during the handshake.
     #[display("the connection ended during the greeting")]
     Ended,
     /// Another frame arrived in place of the greeting or the proof.
--- a/src/commands/demo/stage.rs
+++ b/src/commands/demo/stage.rs
@@ -7,7 +7,7 @@
 use crate::configs::serve::{Secret, ServeConfig};
 use crate::configs::serving::ServingConfig;
 use crate::modules::process::http_serve::Servers;
-use crate::modules::serve::configuration::follow::CONFIG_KEY;
+use crate::modules::serve::configuration::watch::CONFIG_KEY;
 use crate::modules::serve::context::Context;
 use bridgevane_config::{ConfigProblems, Document, Envelope, EnvelopeError, ServiceKind};
 use bridgevane_standins::{
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -6,15 +6,15 @@
 use crate::modules::process::http_serve::{self, Servers};
 use crate::modules::process::logging;
 use crate::modules::process::signals;
-use crate::modules::serve::configuration::follow;
+use crate::modules::serve::configuration::watch;
 use crate::modules::serve::context::Context;
 use crate::modules::serve::leaving::LeavingSource;
 use crate::modules::serve::operators::interface;
 use crate::modules::serve::peers::connections;
 use crate::modules::serve::peers::membership;
 use crate::modules::serve::pools::homes;
-use crate::modules::serve::requests::callers;
-use crate::modules::serve::rollouts::carry_out;
+use crate::modules::serve::requests::routes;
+use crate::modules::serve::rollouts::runner;
 use argh::FromArgs;
 use bridgevane_events::{Event, event};
 use bridgevane_types::Incarnation;
@@ -152,11 +152,11 @@
     tokio::spawn(connections::accept(context.clone(), peers));
     tokio::spawn(membership::run(context.clone()));
     tokio::spawn(homes::run(context.clone()));
-    tokio::spawn(carry_out::run(context.clone()));
-    tokio::spawn(follow::run(context.clone()));
+    tokio::spawn(runner::run(context.clone()));
+    tokio::spawn(watch::run(context.clone()));
     let mut servers = Servers::default();
     servers.serve(operators, interface::router(context.clone()));
-    servers.serve(callers, callers::router(context.clone()));
+    servers.serve(callers, routes::router(context.clone()));
     event!(
         Event::Started,
         vm = context.config.vm,
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -4,7 +4,7 @@
 //! a VM must not be able to pose as the platform.
 
 use crate::commands::{block_on, exit, print_line};
-use crate::modules::serve::configuration::follow::CONFIG_KEY;
+use crate::modules::serve::configuration::watch::CONFIG_KEY;
 use argh::FromArgs;
 use bridgevane_config::{Document, Envelope};
 use bridgevane_standins::{
--- a/src/modules/serve/configuration/accept.rs
+++ b/src/modules/serve/configuration/accept.rs
@@ -6,7 +6,7 @@
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::context::Context;
 use crate::modules::serve::peers::membership;
-use crate::modules::serve::pools::start;
+use crate::modules::serve::pools::configure;
 use bridgevane_config::{Document, SectionChange, Sections};
 use bridgevane_events::{Event, event};
 use bridgevane_types::ConfigVersion;
@@ -65,6 +65,6 @@
     }
     event!(Event::ConfigInForce, version = version);
     if let Some(in_force) = context.in_force.load() {
-        start::apply_to_pools(context, &in_force);
+        configure::apply_to_pools(context, &in_force);
     }
 }
--- a/src/modules/serve/configuration/change.rs
+++ b/src/modules/serve/configuration/change.rs
@@ -6,7 +6,7 @@
 //! changed meanwhile.
 
 use crate::modules::serve::configuration::accept;
-use crate::modules::serve::configuration::follow::CONFIG_KEY;
+use crate::modules::serve::configuration::watch::CONFIG_KEY;
 use crate::modules::serve::context::Context;
 use crate::modules::serve::operators::query_language::{Operand, Statement, Target};
 use bridgevane_adapters::{KeyValue, KvCas, KvError, KvRevision};
--- a/src/modules/serve/configuration/mod.rs
+++ b/src/modules/serve/configuration/mod.rs
@@ -3,7 +3,7 @@
 
 pub(crate) mod accept;
 pub(crate) mod change;
-pub(crate) mod follow;
 pub mod in_force;
 pub(crate) mod relay;
 pub(crate) mod replica;
+pub(crate) mod watch;
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -4,7 +4,7 @@
 use crate::modules::serve::context::Context;
 use crate::modules::serve::keys::key_homes::{ClaimAnswer, GrantedClaim, KeyedCall};
 use crate::modules::serve::peers::links::{LinkHandle, Peer};
-use crate::modules::serve::peers::request_on_wire::{request_bytes, request_of};
+use crate::modules::serve::peers::request_id_wire::{request_bytes, request_of};
 use bridgevane_adapters::{KeyValue, KvCas, KvError};
 use bridgevane_coordination::{Claim, StoredAnswer, Verdict, home_of};
 use bridgevane_protocol::frame::Body;
--- a/src/modules/serve/keys/ends.rs
+++ b/src/modules/serve/keys/end_reports.rs
@@ -9,7 +9,7 @@
 use crate::modules::serve::context::Context;
 use crate::modules::serve::keys::key_homes::GrantedClaim;
 use crate::modules::serve::peers::links::LinkHandle;
-use crate::modules::serve::peers::request_on_wire::{request_bytes, request_of};
+use crate::modules::serve::peers::request_id_wire::{request_bytes, request_of};
 use bridgevane_coordination::{KeyEnd, StoredAnswer};
 use bridgevane_events::{Event, event};
 use bridgevane_protocol::frame::Body;
--- a/src/modules/serve/operators/row.rs
+++ b/src/modules/serve/operators/row.rs
@@ -1,6 +1,6 @@
 //! The rows of the operators' tables.
 
-use crate::modules::serve::observation::burn::Counts;
+use crate::modules::serve::observation::service_levels::Counts;
 use crate::modules::serve::operators::query_language::{Comparison, Condition, Operand};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/src/modules/serve/operators/rows.rs
+++ b/src/modules/serve/operators/rows.rs
@@ -1,7 +1,7 @@
 //! The rows of the operators' tables that this daemon contributes.
 
 use crate::modules::serve::context::Context;
-use crate::modules::serve::observation::burn::{Counts, FirstTokens};
+use crate::modules::serve::observation::service_levels::{Counts, FirstTokens};
 use crate::modules::serve::operators::query_language::{Condition, Table};
 use crate::modules::serve::operators::row::{HISTOGRAM_FIELD, Row};
 use crate::modules::serve::pools::homes;
--- a/src/modules/serve/peers/connections.rs
+++ b/src/modules/serve/peers/connections.rs
@@ -100,8 +100,8 @@
     let mut framed = Framed::new(stream, FrameCodec::default());
     let key = context.config.peer_key.0.as_bytes();
     let limit = context.config.peers.greeting_ms.as_std();
-    let greeting = perform_handshake(&mut framed, role, own_hello(context), key);
-    let peer = match timeout(limit, greeting).await {
+    let handshake = perform_handshake(&mut framed, role, own_hello(context), key);
+    let peer = match timeout(limit, handshake).await {
         Ok(Ok(hello)) => peer_of(&hello),
         Ok(Err(error)) => {
             event!(Event::PeerRefused, cause = error);
--- a/src/modules/serve/peers/frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -2,11 +2,11 @@
 
 use crate::modules::serve::configuration::relay;
 use crate::modules::serve::context::Context;
-use crate::modules::serve::keys::{claims, ends};
+use crate::modules::serve::keys::{claims, end_reports};
 use crate::modules::serve::operators::fan_out;
 use crate::modules::serve::peers::links::{LinkHandle, OpenOffers, Peer};
 use crate::modules::serve::peers::membership;
-use crate::modules::serve::peers::request_on_wire::request_of;
+use crate::modules::serve::peers::request_id_wire::request_of;
 use crate::modules::serve::pools::homes;
 use bridgevane_protocol::frame::Body;
 use bridgevane_protocol::{Frame, pool_order, pool_report};
@@ -79,7 +79,7 @@
         }
         Body::KeyClaim(claim) => claims::on_claim(context, peer, link, claim),
         Body::KeyVerdict(verdict) => context.keys.on_verdict(&verdict),
-        Body::KeyEnded(ended) => ends::on_ended(context, link, &ended),
+        Body::KeyEnded(ended) => end_reports::on_ended(context, link, &ended),
         Body::KeyEndedHeard(heard) => context.keys.on_end_acknowledged(heard.claim),
         Body::Query(query) => fan_out::on_query(context, link, query),
         Body::QueryAnswer(answer) => context.queries.on_answer(peer, answer),
--- a/src/modules/serve/peers/mod.rs
+++ b/src/modules/serve/peers/mod.rs
@@ -6,4 +6,4 @@
 pub(crate) mod member_wire;
 pub(crate) mod members;
 pub(crate) mod membership;
-pub(crate) mod request_on_wire;
+pub(crate) mod request_id_wire;
--- a/src/modules/serve/pools/homes.rs
+++ b/src/modules/serve/pools/homes.rs
@@ -6,7 +6,7 @@
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::peers::links::{LinkHandle, OpenOffers, Peer};
-use crate::modules::serve::peers::request_on_wire::request_of;
+use crate::modules::serve::peers::request_id_wire::request_of;
 use crate::modules::serve::pools::handle::PoolMessage;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderSender;
--- a/src/modules/serve/pools/wire.rs
+++ b/src/modules/serve/pools/wire.rs
@@ -1,6 +1,6 @@
 //! Conversion of offers, orders and reports to and from messages between daemons.
 
-use crate::modules::serve::peers::request_on_wire::{request_bytes, request_of};
+use crate::modules::serve::peers::request_id_wire::{request_bytes, request_of};
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport};
 use bridgevane_decisions::AttemptEnd;
 use bridgevane_protocol::frame::Body;
--- a/src/modules/serve/requests/mod.rs
+++ b/src/modules/serve/requests/mod.rs
@@ -1,10 +1,8 @@
 //! The callers' HTTP interface: the path of a request from its HTTP call to its answer.
 
-pub(crate) mod attempt_reports;
 pub(crate) mod caller;
-pub(crate) mod callers;
 pub(crate) mod chat_format;
-pub(crate) mod engine_state;
+pub(crate) mod crash_check;
 pub(crate) mod model_answer;
 pub(crate) mod model_attempt;
 pub mod model_call;
@@ -12,5 +10,7 @@
 pub(crate) mod model_request;
 pub(crate) mod plain_call;
 pub(crate) mod plain_request;
+pub(crate) mod progress_reporter;
 pub(crate) mod refusal;
+pub(crate) mod routes;
 pub(crate) mod targets;
--- a/src/modules/serve/requests/model_attempt.rs
+++ b/src/modules/serve/requests/model_attempt.rs
@@ -4,10 +4,10 @@
 //! exactly where the delivered text ends. Late and repeated pieces and those of another request or
 //! attempt are dropped; a gap ends the attempt.
 
-use crate::modules::serve::requests::attempt_reports::ProgressReporter;
 use crate::modules::serve::requests::model_request::{
     AttemptResult, CallerEvent, EngineAttempt, RequestRunner,
 };
+use crate::modules::serve::requests::progress_reporter::ProgressReporter;
 use bridgevane_adapters::{EngineCallError, GenerateCall, ModelEngine, Piece, PieceEvent};
 use bridgevane_decisions::AttemptEnd;
 use bridgevane_events::{Event, event};
--- a/src/modules/serve/requests/model_outcome.rs
+++ b/src/modules/serve/requests/model_outcome.rs
@@ -1,7 +1,7 @@
 //! The outcome of a model request: reported to its pool and its caller, logged, and counted in the
 //! metrics and the service levels.
 
-use crate::modules::serve::observation::burn::RequestEnd;
+use crate::modules::serve::observation::service_levels::RequestEnd;
 use crate::modules::serve::requests::model_request::{CallerEvent, EngineAttempt, RequestRunner};
 use crate::modules::serve::requests::refusal::CallerRefusal;
 use bridgevane_adapters::EndReason;
--- a/src/modules/serve/requests/model_request.rs
+++ b/src/modules/serve/requests/model_request.rs
@@ -8,7 +8,7 @@
 use crate::modules::serve::pools::homes;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderReceiver;
-use crate::modules::serve::requests::engine_state::with_model_engine_state;
+use crate::modules::serve::requests::crash_check::with_model_engine_state;
 use crate::modules::serve::requests::refusal::CallerRefusal;
 use crate::modules::serve::requests::targets::LatencyTargets;
 use bridgevane_adapters::EndReason;
--- a/src/modules/serve/requests/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -2,12 +2,12 @@
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::keys::key_homes::{ClaimAnswer, KeyedCall};
-use crate::modules::serve::keys::{claims, ends};
-use crate::modules::serve::observation::burn::RequestEnd;
+use crate::modules::serve::keys::{claims, end_reports};
+use crate::modules::serve::observation::service_levels::RequestEnd;
 use crate::modules::serve::pools::homes;
 use crate::modules::serve::pools::messages::{NamedOffer, PoolOrder, PoolReport, RETRY_SOON};
 use crate::modules::serve::pools::orders::OrderReceiver;
-use crate::modules::serve::requests::engine_state::with_plain_worker_state;
+use crate::modules::serve::requests::crash_check::with_plain_worker_state;
 use crate::modules::serve::requests::refusal::{BadRequest, CallerRefusal};
 use crate::modules::serve::requests::targets::LatencyTargets;
 use axum::http::StatusCode;
@@ -48,7 +48,7 @@
     match claims::claim(&context, key).await {
         ClaimAnswer::Granted(granted) => {
             let result = offer_and_run(&context, request).await;
-            ends::report_end(&context, &granted, key_end(&result)).await;
+            end_reports::report_end(&context, &granted, key_end(&result)).await;
             result
         }
         ClaimAnswer::Denied(Verdict::Done(answer)) => Ok(replayed_answer(answer)),
--- a/src/modules/serve/rollouts/mod.rs
+++ b/src/modules/serve/rollouts/mod.rs
@@ -1,4 +1,4 @@
 //! Rollouts of model versions, under a lease.
 
-pub(crate) mod carry_out;
-pub(crate) mod held;
+pub(crate) mod held_rollouts;
+pub(crate) mod runner;
--- a/src/modules/serve/rollouts/carry_out.rs
+++ b/src/modules/serve/rollouts/runner.rs
@@ -9,7 +9,7 @@
 use crate::modules::serve::operators::query_language::Table;
 use crate::modules::serve::operators::row::Row;
 use crate::modules::serve::operators::rows;
-use crate::modules::serve::rollouts::held::HeldRollout;
+use crate::modules::serve::rollouts::held_rollouts::HeldRollout;
 use bridgevane_adapters::{
     FencedOrder, KeyValue, KvCas, KvError, LeaseId, ModelEngine, Order, OrderReply, WeightStore,
 };
