--- a/crates/coordination/src/modules/key_registry.rs
+++ b/crates/coordination/src/modules/key_registry.rs
@@ -7,8 +7,8 @@
 //!
 //! A daemon that started recently asks the home among the older daemons about keys that it doesn't
 //! know. That daemon may have started recently, too, and then asks the next older home. If there
-//! is no older daemon, the answer is that no memory is left, and the state in the external store
-//! decides whether there ever was any.
+//! is no older daemon, the verdict says so, and the state in the external store decides whether
+//! there ever was one.
 
 use crate::configs::KeyRegistryConfig;
 use crate::modules::rendezvous::home_of;
--- a/src/commands/ask.rs
+++ b/src/commands/ask.rs
@@ -63,7 +63,7 @@
         return Ok(exit_code(answer.status));
     }
     let operation = arguments.operation.clone().unwrap_or_else(new_operation_id);
-    let mut ask = OperatorRequest {
+    let mut request = OperatorRequest {
         statement: arguments.statement.clone(),
         document: None,
         base_version: None,
@@ -71,19 +71,19 @@
     };
     if let Some(file) = &arguments.propose {
         match std::fs::read_to_string(file) {
-            Ok(text) => ask.document = Some(text),
+            Ok(text) => request.document = Some(text),
             Err(error) => {
                 eprintln!("{}: {error}", file.display());
                 return Ok(exit::USAGE);
             }
         }
-        ask.base_version = Some(base_version(arguments, &client).await?);
+        request.base_version = Some(base_version(arguments, &client).await?);
     }
-    if ask.statement.is_none() && ask.document.is_none() {
+    if request.statement.is_none() && request.document.is_none() {
         eprintln!("no statement given; give one, or --propose or --print-config");
         return Ok(exit::USAGE);
     }
-    let answer = client.ask(&ask).await?;
+    let answer = client.ask(&request).await?;
     print_answer(&answer, arguments.json, &operation);
     Ok(exit_code(answer.status))
 }
--- a/src/commands/operator_client.rs
+++ b/src/commands/operator_client.rs
@@ -79,8 +79,8 @@
     ///
     /// # Errors
     /// [`ClientError`] if there is no answer; a refusal counts as an answer.
-    pub async fn ask(&self, ask: &OperatorRequest) -> Result<DaemonAnswer, ClientError> {
-        let body = serde_json::to_vec(ask).map_err(|_| ClientError::Malformed)?;
+    pub async fn ask(&self, request: &OperatorRequest) -> Result<DaemonAnswer, ClientError> {
+        let body = serde_json::to_vec(request).map_err(|_| ClientError::Malformed)?;
         self.send(http::Method::POST, "/v1/ask", body).await
     }
 
--- a/src/commands/report/burn.rs
+++ b/src/commands/report/burn.rs
@@ -15,13 +15,13 @@
 
 async fn report(arguments: &ReportArguments) -> Result<u8, ClientError> {
     let client = OperatorClient::new(arguments.at, arguments.token.clone())?;
-    let ask = OperatorRequest {
+    let request = OperatorRequest {
         statement: Some("show burn".into()),
         document: None,
         base_version: None,
         operation_id: None,
     };
-    let answer = client.ask(&ask).await?;
+    let answer = client.ask(&request).await?;
     let parsed: Result<OperatorAnswer, _> = serde_json::from_value(answer.body.clone());
     let Ok(report) = parsed else {
         eprintln!("{}", answer.body);
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -103,7 +103,7 @@
         .claim(context.now(), claim.clone(), &live.key_members);
     let earlier = match verdict {
         Verdict::AskEarlierHome(before) => ask_earlier_home(context, &before, &claim).await,
-        Verdict::NoOlderDaemon => verdict_without_memory(context).await,
+        Verdict::NoOlderDaemon => verdict_without_older_daemon(context).await,
         decided => return decided,
     };
     context
@@ -124,7 +124,7 @@
 /// Returns the verdict when no daemon remembers earlier keys: `Run` only if this data centre never
 /// had daemons before. The platform's service holds a mark for each data centre that has had
 /// daemons; the first daemon of a data centre writes it.
-async fn verdict_without_memory(context: &Arc<Context>) -> Verdict {
+async fn verdict_without_older_daemon(context: &Arc<Context>) -> Verdict {
     let had_daemons_before = context
         .keys
         .had_daemons
--- a/src/modules/serve/operators/interface.rs
+++ b/src/modules/serve/operators/interface.rs
@@ -105,15 +105,15 @@
 async fn ask(
     State(context): State<Arc<Context>>,
     headers: HeaderMap,
-    Json(ask): Json<OperatorRequest>,
+    Json(request): Json<OperatorRequest>,
 ) -> Response {
     let Some(operator) = operator_of(&context, &headers) else {
         return refuse();
     };
-    if let Some(text) = &ask.document {
-        return propose_document(&context, operator, &ask, text).await;
+    if let Some(text) = &request.document {
+        return propose_document(&context, operator, &request, text).await;
     }
-    let Some(text) = &ask.statement else {
+    let Some(text) = &request.statement else {
         return error(
             StatusCode::BAD_REQUEST,
             "give a statement or a document".into(),
@@ -131,7 +131,7 @@
             | Statement::RollOut { .. }),
         ) => {
             let change = ProposedChange::Statement(statement);
-            propose(&context, operator, &ask, change, text).await
+            propose(&context, operator, &request, change, text).await
         }
         Ok(Statement::DrainVm { vm, .. }) => {
             let answer = fan_out::ask_all(&context, text).await;
@@ -190,29 +190,29 @@
 async fn propose_document(
     context: &Arc<Context>,
     operator: OperatorName,
-    ask: &OperatorRequest,
+    request: &OperatorRequest,
     text: &str,
 ) -> Response {
     let document = match Document::parse(text) {
         Ok(document) => document,
         Err(problems) => return error(StatusCode::BAD_REQUEST, problems.to_string()),
     };
-    let Some(base) = ask.base_version else {
+    let Some(base) = request.base_version else {
         let what = "give the version that the document was made on".into();
         return error(StatusCode::BAD_REQUEST, what);
     };
     let change = ProposedChange::Document(Box::new(document), base);
-    propose(context, operator, ask, change, "document").await
+    propose(context, operator, request, change, "document").await
 }
 
 async fn propose(
     context: &Arc<Context>,
     operator: OperatorName,
-    ask: &OperatorRequest,
+    request: &OperatorRequest,
     change: ProposedChange,
     text: &str,
 ) -> Response {
-    let Some(operation_id) = ask.operation_id.clone() else {
+    let Some(operation_id) = request.operation_id.clone() else {
         return error(
             StatusCode::BAD_REQUEST,
             "a change needs an operation_id".into(),
--- a/src/modules/serve/requests/crash_check.rs
+++ b/src/modules/serve/requests/crash_check.rs
@@ -13,9 +13,9 @@
 /// The time limit of the check: a crashed engine refuses connections after one round trip, and
 /// silence proves nothing.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// The pause before an engine whose answer was cut is checked again. A crashing engine closes its
-/// connections one after the other: with a single check it was considered alive in one of four runs
-/// of the test.
+/// The pause before an engine whose answer ended early is checked again. A crashing engine closes
+/// its connections one after the other: with a single check it was considered alive in one of four
+/// runs of the test.
 const RECHECK_PAUSE: Duration = Duration::from_millis(20);
 
 /// Returns `end`, changed to a crash of the model engine if the check shows one.
@@ -47,7 +47,7 @@
 enum EngineState {
     Alive,
     Crashed,
-    /// The engine's answer was cut.
+    /// The engine's answer ended early.
     Unclear,
 }
 
