--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -496,8 +496,8 @@
 #[tokio::test]
 async fn a_handshake_needs_the_shared_key_and_a_supported_version() {
     let (caller, listener) = handshake(b"the key", b"the key", PROTOCOL_VERSION).await;
-    assert_eq!(caller.expect("greeted").vm, "vm-2");
-    assert_eq!(listener.expect("greeted").vm, "vm-1");
+    assert_eq!(caller.expect("the handshake succeeds").vm, "vm-2");
+    assert_eq!(listener.expect("the handshake succeeds").vm, "vm-1");
     let (caller, listener) = handshake(b"another", b"the key", PROTOCOL_VERSION).await;
     assert!(matches!(caller, Err(HandshakeError::WrongKey)));
     assert!(matches!(listener, Err(HandshakeError::WrongKey)));
