--- a/crates/standins/tests/contract.rs
+++ b/crates/standins/tests/contract.rs
@@ -237,7 +237,7 @@
     });
     assert_eq!(
         read_answer(&engine, 0).await,
-        (whole[..4].to_vec(), 0, Some(EngineCallError::Cut))
+        (whole[..4].to_vec(), 0, Some(EngineCallError::EndedEarly))
     );
     standin.set_fault(Fault {
         duplicate_pieces: 1,
--- a/src/commands/ask.rs
+++ b/src/commands/ask.rs
@@ -4,8 +4,8 @@
     ClientError, DaemonAnswer, OperatorClient, run_to_exit_code,
 };
 use crate::commands::{exit, print_line};
-use crate::modules::serve::operators::interface::Ask;
-use crate::modules::serve::operators::queries::Answer;
+use crate::modules::serve::operators::interface::OperatorRequest;
+use crate::modules::serve::operators::queries::OperatorAnswer;
 use crate::modules::serve::operators::row::Row;
 use argh::FromArgs;
 use bridgevane_types::{ConfigVersion, OperationId};
@@ -63,7 +63,7 @@
         return Ok(exit_code(answer.status));
     }
     let operation = arguments.operation.clone().unwrap_or_else(new_operation_id);
-    let mut ask = Ask {
+    let mut request = OperatorRequest {
         statement: arguments.statement.clone(),
         document: None,
         base_version: None,
@@ -71,19 +71,19 @@
     };
     if let Some(file) = &arguments.propose {
         match std::fs::read_to_string(file) {
-            Ok(text) => ask.document = Some(text),
+            Ok(text) => request.document = Some(text),
             Err(error) => {
                 eprintln!("{}: {error}", file.display());
                 return Ok(exit::USAGE);
             }
         }
-        ask.base_version = Some(base_version(arguments, &client).await?);
+        request.base_version = Some(base_version(arguments, &client).await?);
     }
-    if ask.statement.is_none() && ask.document.is_none() {
+    if request.statement.is_none() && request.document.is_none() {
         eprintln!("no statement given; give one, or --propose or --print-config");
         return Ok(exit::USAGE);
     }
-    let answer = client.ask(&ask).await?;
+    let answer = client.ask(&request).await?;
     print_answer(&answer, arguments.json, &operation);
     Ok(exit_code(answer.status))
 }
@@ -122,13 +122,13 @@
         eprintln!("{error}");
         return;
     }
-    match serde_json::from_value::<Answer>(answer.body.clone()) {
+    match serde_json::from_value::<OperatorAnswer>(answer.body.clone()) {
         Ok(rows) => print_rows(&rows),
         Err(_) => print_line!("{}  (operation {operation})", answer.body),
     }
 }
 
-fn print_rows(answer: &Answer) {
+fn print_rows(answer: &OperatorAnswer) {
     print_line!("{}", table(&answer.rows));
     if !answer.missing.is_empty() {
         let names: Vec<&str> = answer.missing.iter().map(|vm| vm.as_str()).collect();
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -6,15 +6,15 @@
 use crate::modules::process::http_serve::{self, Servers};
 use crate::modules::process::logging;
 use crate::modules::process::signals;
-use crate::modules::serve::configuration::follow;
+use crate::modules::serve::configuration::watch;
 use crate::modules::serve::context::Context;
 use crate::modules::serve::leaving::LeavingSource;
 use crate::modules::serve::operators::interface;
 use crate::modules::serve::peers::connections;
 use crate::modules::serve::peers::membership;
 use crate::modules::serve::pools::homes;
-use crate::modules::serve::requests::callers;
-use crate::modules::serve::rollouts::carry_out;
+use crate::modules::serve::requests::routes;
+use crate::modules::serve::rollouts::runner;
 use argh::FromArgs;
 use bridgevane_events::{Event, event};
 use bridgevane_types::Incarnation;
@@ -110,12 +110,12 @@
 async fn serve(config: ServeConfig, incarnation: Incarnation) -> Result<(), std::io::Error> {
     let Started { context, servers } = start(config, incarnation).await?;
     signals::wait_for_stop().await?;
-    context.leaving.begin(LeavingSource::StopSignal);
+    context.leaving.add_reason(LeavingSource::StopSignal);
     membership::set_leaving(&context, true);
     event!(Event::Stopping, in_progress = context.leaving.in_progress());
     let drain = context.config.serving.drain_ms.as_std();
     let drained = async {
-        context.leaving.idle().await;
+        context.leaving.wait_until_idle().await;
         servers.close().await;
     };
     // After the maximum drain time the process ends; the platform would have ended it earlier.
@@ -148,15 +148,15 @@
     let peers = http_serve::listen(config.peers.address).await?;
     config.peers.address = peers.local_addr()?;
     let (context, dials) = Context::new(config, incarnation);
-    tokio::spawn(connections::dial_all(context.clone(), dials));
+    tokio::spawn(connections::open_requested(context.clone(), dials));
     tokio::spawn(connections::accept(context.clone(), peers));
     tokio::spawn(membership::run(context.clone()));
     tokio::spawn(homes::run(context.clone()));
-    tokio::spawn(carry_out::run(context.clone()));
-    tokio::spawn(follow::run(context.clone()));
+    tokio::spawn(runner::run(context.clone()));
+    tokio::spawn(watch::run(context.clone()));
     let mut servers = Servers::default();
     servers.serve(operators, interface::router(context.clone()));
-    servers.serve(callers, callers::router(context.clone()));
+    servers.serve(callers, routes::router(context.clone()));
     event!(
         Event::Started,
         vm = context.config.vm,
--- a/src/modules/serve/configuration/accept.rs
+++ b/src/modules/serve/configuration/accept.rs
@@ -6,7 +6,7 @@
 use crate::modules::serve::configuration::in_force::InForce;
 use crate::modules::serve::context::Context;
 use crate::modules::serve::peers::membership;
-use crate::modules::serve::pools::start;
+use crate::modules::serve::pools::configure;
 use bridgevane_config::{Document, SectionChange, Sections};
 use bridgevane_events::{Event, event};
 use bridgevane_types::ConfigVersion;
@@ -14,7 +14,7 @@
 
 /// Accepts a complete document, from the platform or an operator's change.
 pub(crate) fn accept_document(context: &Arc<Context>, version: ConfigVersion, document: Document) {
-    let sections = match Sections::of(&document) {
+    let sections = match Sections::from_document(&document) {
         Ok(sections) => sections,
         Err(error) => {
             event!(Event::ConfigRejected, version = version, cause = error);
@@ -42,7 +42,7 @@
 ) {
     let in_force = context.in_force.load();
     let base = in_force.filter(|in_force| in_force.version == from);
-    match base.and_then(|base| base.document.changed_by(changes).ok()) {
+    match base.and_then(|base| base.document.with_changes(changes).ok()) {
         Some(document) => activate_and_announce(context, version, document),
         None => activate_sections(context, version),
     }
@@ -50,7 +50,7 @@
 
 /// Activates the version that the replica holds.
 pub(super) fn activate_sections(context: &Arc<Context>, version: ConfigVersion) {
-    let document = context.replica.lock().sections().document();
+    let document = context.replica.lock().sections().to_document();
     match document {
         Ok(document) => activate_and_announce(context, version, document),
         Err(error) => event!(Event::ConfigRejected, version = version, cause = error),
@@ -65,6 +65,6 @@
     }
     event!(Event::ConfigInForce, version = version);
     if let Some(in_force) = context.in_force.load() {
-        start::apply_to_pools(context, &in_force);
+        configure::apply_to_pools(context, &in_force);
     }
 }
--- a/src/modules/serve/context.rs
+++ b/src/modules/serve/context.rs
@@ -8,14 +8,14 @@
 use crate::modules::serve::configuration::replica::LocalReplica;
 use crate::modules::serve::keys::key_homes::KeyHomes;
 use crate::modules::serve::leaving::Leaving;
-use crate::modules::serve::observation::burn::ServiceLevels;
 use crate::modules::serve::observation::metrics::Metrics;
+use crate::modules::serve::observation::service_levels::ServiceLevels;
 use crate::modules::serve::operators::queries::Queries;
 use crate::modules::serve::peers::links::{Dial, PeerLinks};
 use crate::modules::serve::peers::members::Members;
 use crate::modules::serve::pools::directory::PoolDirectory;
 use crate::modules::serve::pools::remote_requests::RemoteRequests;
-use crate::modules::serve::rollouts::held::Rollouts;
+use crate::modules::serve::rollouts::held_rollouts::Rollouts;
 use bridgevane_adapters::HttpPlatform;
 use bridgevane_coordination::KeyMember;
 use bridgevane_types::{Incarnation, RequestId, TimeMs, boot_time};
@@ -50,7 +50,7 @@
     /// The metrics.
     pub metrics: Metrics,
     /// The service levels by class.
-    pub burn: ServiceLevels,
+    pub service_levels: ServiceLevels,
     /// Whether this VM is leaving, and the requests in progress.
     pub leaving: Leaving,
     /// The incarnation of this daemon.
@@ -84,7 +84,7 @@
             rollouts: Rollouts::default(),
             queries: Queries::default(),
             metrics: Metrics::new(),
-            burn: ServiceLevels::default(),
+            service_levels: ServiceLevels::default(),
             leaving: Leaving::default(),
             incarnation,
             started: boot_time(),
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -4,7 +4,7 @@
 use crate::modules::serve::context::Context;
 use crate::modules::serve::keys::key_homes::{ClaimAnswer, GrantedClaim, KeyedCall};
 use crate::modules::serve::peers::links::{LinkHandle, Peer};
-use crate::modules::serve::peers::request_on_wire::{request_bytes, request_of};
+use crate::modules::serve::peers::request_id_wire::{request_bytes, request_of};
 use bridgevane_adapters::{KeyValue, KvCas, KvError};
 use bridgevane_coordination::{Claim, StoredAnswer, Verdict, home_of};
 use bridgevane_protocol::frame::Body;
@@ -102,8 +102,8 @@
         .registry()
         .claim(context.now(), claim.clone(), &live.key_members);
     let earlier = match verdict {
-        Verdict::AskBefore(before) => ask_earlier_home(context, &before, &claim).await,
-        Verdict::NoMemory => verdict_without_memory(context).await,
+        Verdict::AskEarlierHome(before) => ask_earlier_home(context, &before, &claim).await,
+        Verdict::NoOlderDaemon => verdict_without_older_daemon(context).await,
         decided => return decided,
     };
     context
@@ -124,7 +124,7 @@
 /// Returns the verdict when no daemon remembers earlier keys: `Run` only if this data centre never
 /// had daemons before. The platform's service holds a mark for each data centre that has had
 /// daemons; the first daemon of a data centre writes it.
-async fn verdict_without_memory(context: &Arc<Context>) -> Verdict {
+async fn verdict_without_older_daemon(context: &Arc<Context>) -> Verdict {
     let had_daemons_before = context
         .keys
         .had_daemons
@@ -132,7 +132,7 @@
         .await;
     match had_daemons_before {
         Ok(false) => Verdict::Run,
-        Ok(true) | Err(_) => Verdict::NoMemory,
+        Ok(true) | Err(_) => Verdict::NoOlderDaemon,
     }
 }
 
@@ -212,7 +212,9 @@
             wire.body = Bytes::from(answer.body);
             WireCode::Done
         }
-        Some(Verdict::Unknown | Verdict::AskBefore(_) | Verdict::NoMemory) => WireCode::Unknown,
+        Some(Verdict::Unknown | Verdict::AskEarlierHome(_) | Verdict::NoOlderDaemon) => {
+            WireCode::Unknown
+        }
         Some(Verdict::Mismatch) => WireCode::Mismatch,
         Some(Verdict::Full) => WireCode::Full,
     };
--- a/src/modules/serve/requests/model_outcome.rs
+++ b/src/modules/serve/requests/model_outcome.rs
@@ -1,7 +1,7 @@
 //! The outcome of a model request: reported to its pool and its caller, logged, and counted in the
 //! metrics and the service levels.
 
-use crate::modules::serve::observation::burn::RequestEnd;
+use crate::modules::serve::observation::service_levels::RequestEnd;
 use crate::modules::serve::requests::model_request::{CallerEvent, EngineAttempt, RequestRunner};
 use crate::modules::serve::requests::refusal::CallerRefusal;
 use bridgevane_adapters::EndReason;
@@ -39,7 +39,9 @@
             tokens,
             first_token_ms: DurationMs(first_token_ms),
         };
-        self.context.burn.count_request(now, self.class(), ended);
+        self.context
+            .service_levels
+            .count_request(now, self.class(), ended);
         self.send_to_caller(CallerEvent::End(reason, tokens)).await;
     }
 
@@ -51,7 +53,9 @@
         } else {
             RequestEnd::Refused
         };
-        self.context.burn.count_request(now, self.class(), ended);
+        self.context
+            .service_levels
+            .count_request(now, self.class(), ended);
         let result = if is_cut { "cut" } else { "refused" };
         self.context.metrics.count_request(self.class(), result);
         let kind = if is_cut {
@@ -80,7 +84,7 @@
         let tokens = Tokens(tokens);
         self.context.metrics.count_wasted_tokens(cause, tokens);
         self.context
-            .burn
+            .service_levels
             .count_wasted_tokens(self.context.now(), self.class(), tokens);
     }
 }
