--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,7 +1,7 @@
 //! Checks the gateway's guarantees over the record of a run.
 
 use crate::history::{Call, CallEnd, History, RequestArrival, RouteKind};
-use bridgevane_platform_emulator::Wish;
+use bridgevane_platform_emulator::Announcement;
 use derive_more::Display;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -286,13 +286,16 @@
 /// Finds a worker that got more requests than its limit allows from daemons that had forwarded an
 /// answer announcing the limit.
 fn limit_exceeded(history: &History) -> Vec<Violation> {
-    let informed =
-        InformedDaemons::from_history(history, |announced| matches!(announced, Wish::Limit(_)));
+    let informed = InformedDaemons::from_history(history, |announced| {
+        matches!(announced, Announcement::Limit(_))
+    });
     let from_informed: Vec<(&RequestArrival, f64)> = history
         .arrivals
         .iter()
         .filter_map(|arrival| match arrival.announcement {
-            Some(Wish::Limit(limit)) if informed.has_known(history, arrival, REACTION_BOUND) => {
+            Some(Announcement::Limit(limit))
+                if informed.has_known(history, arrival, REACTION_BOUND) =>
+            {
                 Some((arrival, limit))
             }
             _ => None,
@@ -317,9 +320,10 @@
 
 /// Finds requests at leaving workers from daemons that had forwarded an answer announcing it.
 fn sent_to_leaving(history: &History) -> Vec<Violation> {
-    let informed = InformedDaemons::from_history(history, |announced| *announced == Wish::Leaving);
+    let informed =
+        InformedDaemons::from_history(history, |announced| *announced == Announcement::Leaving);
     let late = history.arrivals.iter().filter(|arrival| {
-        arrival.announcement == Some(Wish::Leaving)
+        arrival.announcement == Some(Announcement::Leaving)
             && informed.has_known(history, arrival, DRAIN_BOUND)
     });
     late.map(|arrival| Violation::SentToLeaving {
@@ -337,7 +341,7 @@
         calls.map(|call| (call.id.as_str(), call.daemon)).collect();
     let daemon_of = |arrival: &RequestArrival| daemon_of.get(arrival.id.as_str()).copied();
     let backoffs = history.arrivals.iter().filter_map(|arrival| {
-        let Some(Wish::Rest(backoff)) = arrival.announcement else {
+        let Some(Announcement::Backoff(backoff)) = arrival.announcement else {
             return None;
         };
         Some((arrival, daemon_of(arrival)?, backoff))
@@ -370,7 +374,7 @@
 }
 
 impl<'a> InformedDaemons<'a> {
-    fn from_history(history: &'a History, is_expected: impl Fn(&Wish) -> bool) -> Self {
+    fn from_history(history: &'a History, is_expected: impl Fn(&Announcement) -> bool) -> Self {
         let calls = history.calls.iter();
         let by_id: HashMap<&str, &Call> = calls.map(|call| (call.id.as_str(), call)).collect();
         let mut informed_at = HashMap::new();
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,6 +1,6 @@
 //! The record of a run: calls of callers, runs at workers, and injected faults.
 
-use bridgevane_platform_emulator::Wish;
+use bridgevane_platform_emulator::Announcement;
 use std::time::Duration;
 
 /// How often a route's requests may run, and how they are answered.
@@ -92,7 +92,7 @@
     /// When it arrived.
     pub at: Duration,
     /// What the answer announced.
-    pub announcement: Option<Wish>,
+    pub announcement: Option<Announcement>,
 }
 
 /// The removal of an API key, acknowledged by the store.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -7,7 +7,7 @@
 use crate::plan::{AnnouncementEvent, Event, Fault, LinkMode, Plan, WorkerAnnouncement};
 use crate::plot::{self, PlotError};
 use crate::stage::{Environment, STREAM_EVENTS};
-use bridgevane_platform_emulator::{Behaviour, Fault as StoreFault, Wish};
+use bridgevane_platform_emulator::{Announcement, Behaviour, Fault as StoreFault};
 use derive_more::{Display, Error, From};
 use rustix::process::Signal;
 use std::sync::Arc;
@@ -182,12 +182,12 @@
     let worker = shared.environment.lock().await.worker(event.worker);
     match event.announcement {
         WorkerAnnouncement::Limit(per_s) => {
-            worker.ask_for(Some(Wish::Limit(per_s)));
+            worker.announce(Some(Announcement::Limit(per_s)));
             sleep(event.lasts).await;
-            worker.ask_for(None);
+            worker.announce(None);
         }
         WorkerAnnouncement::Leaving => {
-            worker.ask_for(Some(Wish::Leaving));
+            worker.announce(Some(Announcement::Leaving));
             sleep(event.lasts).await;
             let mut environment = shared.environment.lock().await;
             // Another fault may have replaced the worker.
@@ -196,10 +196,10 @@
             }
         }
         WorkerAnnouncement::Backoff(backoff) => {
-            worker.behave(Behaviour::Full);
-            worker.ask_for(Some(Wish::Rest(backoff)));
+            worker.set_behaviour(Behaviour::Full);
+            worker.announce(Some(Announcement::Backoff(backoff)));
             sleep(event.lasts).await;
-            worker.ask_for(None);
+            worker.announce(None);
             let environment = shared.environment.lock().await;
             if environment.worker(event.worker).id == worker.id {
                 environment.restore_behaviour(event.worker);
@@ -235,7 +235,7 @@
         Fault::StoreSilent => disturb_store(shared, StoreFault::Silent, lasts).await,
         Fault::StoreBusy => disturb_store(shared, StoreFault::Busy, lasts).await,
         Fault::StoreSlow => disturb_store(shared, StoreFault::Slow(SLOW_STORE), lasts).await,
-        Fault::StoreForgets => shared.environment.lock().await.store.forget(),
+        Fault::StoreForgets => shared.environment.lock().await.store.discard_history(),
         Fault::Link(link, mode) => {
             shared.environment.lock().await.set_link(link, mode);
             sleep(lasts).await;
@@ -303,9 +303,9 @@
 }
 
 async fn disturb_store(shared: &Shared, fault: StoreFault, lasts: Duration) {
-    shared.environment.lock().await.store.fault(Some(fault));
+    shared.environment.lock().await.store.set_fault(Some(fault));
     sleep(lasts).await;
-    shared.environment.lock().await.store.fault(None);
+    shared.environment.lock().await.store.set_fault(None);
 }
 
 async fn disturb_worker(shared: &Shared, at: usize, behaviour: Behaviour, lasts: Duration) {
--- a/crates/soak/src/stage.rs
+++ b/crates/soak/src/stage.rs
@@ -203,12 +203,14 @@
     }
 
     pub(crate) fn set_behaviour(&self, at: usize, behaviour: Behaviour) {
-        self.positions[at].worker.behave(behaviour);
+        self.positions[at].worker.set_behaviour(behaviour);
     }
 
     pub(crate) fn restore_behaviour(&self, at: usize) {
         let position = &self.positions[at];
-        position.worker.behave(normal_behaviour(position.service));
+        position
+            .worker
+            .set_behaviour(normal_behaviour(position.service));
     }
 
     /// Returns the worker that holds a position now.
@@ -272,7 +274,7 @@
                 id: arrival.id,
                 worker: worker.id.clone(),
                 at: Instant::from_std(arrival.at).duration_since(self.started),
-                announcement: arrival.wish,
+                announcement: arrival.announcement,
             });
             arrived.collect::<Vec<_>>()
         };
@@ -283,10 +285,10 @@
     pub(crate) fn runs(&self) -> Vec<Run> {
         let all = self.all_workers();
         all.flat_map(|worker| {
-            worker.runs().into_iter().map(|ran| Run {
-                id: ran.id,
+            worker.executed_requests().into_iter().map(|request| Run {
+                id: request.id,
                 worker: worker.id.clone(),
-                at: Instant::from_std(ran.at).duration_since(self.started),
+                at: Instant::from_std(request.at).duration_since(self.started),
             })
         })
         .collect()
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,6 +1,6 @@
 //! Each check finds a planted violation of its kind, and none in a correct record.
 
-use bridgevane_platform_emulator::Wish;
+use bridgevane_platform_emulator::Announcement;
 use bridgevane_soak::checks::{
     DRAIN_BOUND, KEY_REMOVAL_BOUND, RECOVERY_BOUND, UNDISTURBED_PERIOD, Violation, find_violations,
     whole_body,
@@ -243,7 +243,7 @@
 
 /// Returns a record of one daemon's requests at a worker that makes an announcement; a request is
 /// sent every `every` ms and served.
-fn announcing(announcement: Wish, requests: u64, every: u64) -> History {
+fn announcing(announcement: Announcement, requests: u64, every: u64) -> History {
     let mut history = History {
         stream_events: STREAM_EVENTS,
         ..History::default()
@@ -268,7 +268,7 @@
 #[test]
 fn requests_above_a_known_limit_are_found() {
     // The daemon knows the limit at 20.1 s: of the requests from 20.6 s on, 40 arrive within 4 s.
-    let found = find_violations(&announcing(Wish::Limit(1.0), 60, 100));
+    let found = find_violations(&announcing(Announcement::Limit(1.0), 60, 100));
     assert!(matches!(
         found.as_slice(),
         [Violation::LimitExceeded {
@@ -277,8 +277,11 @@
             ..
         }]
     ));
-    assert_eq!(find_violations(&announcing(Wish::Limit(1.0), 12, 400)), []);
-    let mut disturbed = announcing(Wish::Limit(1.0), 60, 100);
+    assert_eq!(
+        find_violations(&announcing(Announcement::Limit(1.0), 12, 400)),
+        []
+    );
+    let mut disturbed = announcing(Announcement::Limit(1.0), 60, 100);
     let (from, to) = (ms(20_500), ms(20_550));
     disturbed.disruptions.push(Disruption { from, to });
     assert_eq!(
@@ -291,18 +294,21 @@
 /// Guards against missed requests at a worker that the daemon knew to be leaving.
 #[test]
 fn requests_at_a_worker_known_to_be_leaving_are_found() {
-    let history = announcing(Wish::Leaving, 30, 100);
+    let history = announcing(Announcement::Leaving, 30, 100);
     // The daemon knows it at 20.1 s: the requests from 22.1 s on are violations.
     let found = find_violations(&history);
     assert_eq!(found.len(), 9, "{found:?}");
     assert!(matches!(found[0], Violation::SentToLeaving { .. }));
-    assert_eq!(find_violations(&announcing(Wish::Leaving, 21, 100)), []);
+    assert_eq!(
+        find_violations(&announcing(Announcement::Leaving, 21, 100)),
+        []
+    );
 }
 
 /// Guards against missed requests during a back-off; two are allowed.
 #[test]
 fn requests_during_a_requested_backoff_are_found() {
-    let rest = |ms: u64| Wish::Rest(Duration::from_millis(ms));
+    let rest = |ms: u64| Announcement::Backoff(Duration::from_millis(ms));
     let found = find_violations(&announcing(rest(1_000), 20, 100));
     assert!(
         matches!(
--- a/tests/crashing_soak.rs
+++ b/tests/crashing_soak.rs
@@ -5,8 +5,8 @@
 //! Runs are seeded: `CRASH_SEEDS` is the number of seeds, `CRASH_FIRST_SEED` the first one.
 
 use bridgevane_platform_emulator::{
-    CONFIG_KEY, DEADLY, FOREIGN_RECORDS, MortalWorkers, PLAIN, Store, document, foreign_record,
-    request_with_body, worker_key,
+    CONFIG_KEY, CRASHING_BODY, CrashingWorkers, FOREIGN_RECORDS, PLAIN, Store, document,
+    foreign_record, request_with_body, worker_key,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -139,7 +139,7 @@
     let mut random = Pcg64::seed_from_u64(seed);
     let store = Store::start().await;
     store.put(CONFIG_KEY, &document(1));
-    let workers = MortalWorkers::start(&store, PLAIN, WORKERS);
+    let workers = CrashingWorkers::start(&store, PLAIN, WORKERS);
     let mut addresses = Vec::new();
     for _ in 0..GATEWAYS {
         addresses.push(GatewayAddresses {
@@ -166,9 +166,9 @@
         if now >= next_crashing {
             next_crashing = now + Duration::from_millis(random.random_range(30..200));
             let address = addresses[random.random_range(0..GATEWAYS)].clients;
-            tokio::spawn(
-                async move { exchange(address, &request(&format!("d{tries}"), DEADLY)).await },
-            );
+            tokio::spawn(async move {
+                exchange(address, &request(&format!("d{tries}"), CRASHING_BODY)).await
+            });
             tries += 1;
         }
         if random.random_ratio(1, 15) {
@@ -192,17 +192,18 @@
         tokio::spawn(async move { sending.send(address, id).await });
         sleep(Duration::from_millis(20)).await;
     }
-    let runs = workers.deadly_runs();
-    let third = runs.get(CRASHES_TO_QUARANTINE - 1).copied();
+    let crash_times = workers.crash_times();
+    let third = crash_times.get(CRASHES_TO_QUARANTINE - 1).copied();
     let late = third.map_or(0, |third| {
-        runs.iter()
-            .filter(|run| **run > third + PROPAGATION_TIME)
+        crash_times
+            .iter()
+            .filter(|time| **time > third + PROPAGATION_TIME)
             .count()
     });
     let summary = format!(
         "seed {seed}: {tries} tries, {} runs, {late} late, {} crashes, {} of {} other requests served",
-        runs.len(),
-        workers.ended(),
+        crash_times.len(),
+        workers.crash_count(),
         others.served.load(Ordering::Relaxed),
         others.sent.load(Ordering::Relaxed),
     );
@@ -212,7 +213,7 @@
     assert_eq!(quarantined, 0, "other requests were quarantined; {summary}");
     for (at, gateway) in gateways.iter().enumerate() {
         wait_until_ready(gateway).await;
-        let answer = exchange(gateway.clients, &request("last", DEADLY)).await;
+        let answer = exchange(gateway.clients, &request("last", CRASHING_BODY)).await;
         assert!(
             answer.contains("ends_endpoints"),
             "vm-{at}: {answer}; {summary}"
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -2,7 +2,8 @@
 //! request is submitted once, and a killed holder gets a successor.
 
 use bridgevane_platform_emulator::{
-    Behaviour, CONFIG_KEY, DutyApi, LEASE_MS, PLAIN, Store, ToldUsage, Worker, document, request,
+    Behaviour, CONFIG_KEY, DutyApi, LEASE_MS, PLAIN, Store, SubmittedUsage, Worker, document,
+    request,
 };
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -126,7 +127,7 @@
     /// Returns the number of requests in the submitted usage, after a check that fencing tokens
     /// never fall and that no window was submitted with different counts.
     fn usage_count(&self) -> u64 {
-        let mut by_window: HashMap<u64, ToldUsage> = HashMap::new();
+        let mut by_window: HashMap<u64, SubmittedUsage> = HashMap::new();
         let mut newest_fence = 0;
         for usage in self.api.usage() {
             assert!(
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,7 +1,7 @@
 //! The gateway as separate processes with the emulated platform.
 
 use bridgevane_platform_emulator::{
-    Behaviour, CONFIG_KEY, Fault, MODEL, PLAIN, Store, Wish, Worker, document, request,
+    Announcement, Behaviour, CONFIG_KEY, Fault, MODEL, PLAIN, Store, Worker, document, request,
 };
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::SocketAddr;
@@ -137,7 +137,7 @@
 /// Guards against failures that an operator can't trace: each refused or cut request must be
 /// explained by the log lines with its id, and counted in the metrics.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_whole_path_and_a_failure_explained_by_its_id() {
+async fn requests_are_served_and_failures_are_explained_by_their_id() {
     let mut fleet = start_fleet(1).await;
     let answer = fleet.send("/once/x", "a1").await;
     assert!(
@@ -150,15 +150,15 @@
         "{answer}"
     );
     // The worker refuses as overloaded.
-    fleet.workers[0].behave(Behaviour::Full);
+    fleet.workers[0].set_behaviour(Behaviour::Full);
     let answer = fleet.send("/once/x", "a3").await;
     assert!(
         answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after"),
         "{answer}"
     );
     // Both workers of the route break off their streams.
-    fleet.workers[1].behave(Behaviour::BreaksOff(2));
-    fleet.workers[2].behave(Behaviour::BreaksOff(2));
+    fleet.workers[1].set_behaviour(Behaviour::BreaksOff(2));
+    fleet.workers[2].set_behaviour(Behaviour::BreaksOff(2));
     let answer = fleet.send("/stream/x", "a4").await;
     assert!(
         answer.contains("piece 2") && !answer.ends_with("0\r\n\r\n"),
@@ -196,18 +196,23 @@
 
 /// Guards against a stream that SIGHUP or a planned stop cuts.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn signals_cut_nothing() {
+async fn sighup_and_a_planned_stop_cut_no_stream() {
     let mut fleet = start_fleet(1).await;
     for worker in &fleet.workers {
-        worker.behave(Behaviour::Events(20, Duration::from_millis(40)));
+        worker.set_behaviour(Behaviour::Events(20, Duration::from_millis(40)));
     }
     let gateway = fleet.gateways.remove(0);
     let clients = gateway.clients;
     signal(&gateway, Signal::HUP);
     let streaming =
         tokio::spawn(async move { exchange(clients, &request("/stream/x", "b1")).await });
-    let ran = async || fleet.workers.iter().any(|worker| !worker.ran().is_empty());
-    wait_for("the stream runs", ran).await;
+    let has_started = async || {
+        fleet
+            .workers
+            .iter()
+            .any(|worker| !worker.executed_ids().is_empty())
+    };
+    wait_for("the stream runs", has_started).await;
     signal(&gateway, Signal::HUP);
     // Two pending signals may be handled in either order.
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -226,7 +231,7 @@
 async fn a_gateway_refuses_requests_during_a_store_outage_and_recovers() {
     let fleet = start_fleet(2).await;
     let first = &fleet.gateways[0];
-    fleet.store.fault(Some(Fault::Silent));
+    fleet.store.set_fault(Some(Fault::Silent));
     let answer = fleet.send("/once/x", "c1").await;
     assert!(
         answer.starts_with("HTTP/1.1 200"),
@@ -238,8 +243,8 @@
         answer.starts_with("HTTP/1.1 503") && answer.contains("not_ready"),
         "{answer}"
     );
-    assert!(!fleet.workers[0].ran().contains(&"c2".to_owned()));
-    fleet.store.fault(None);
+    assert!(!fleet.workers[0].executed_ids().contains(&"c2".to_owned()));
+    fleet.store.set_fault(None);
     wait_for("ready", async || is_ready(first).await).await;
     let answer = fleet.send("/once/x", "c3").await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
@@ -259,7 +264,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_worker_gets_no_more_requests_than_its_announced_limit() {
     let fleet = start_fleet(1).await;
-    fleet.workers[0].ask_for(Some(Wish::Limit(0.5)));
+    fleet.workers[0].announce(Some(Announcement::Limit(0.5)));
     assert_eq!(count_served(&fleet, 1).await, 1);
     // 1.5 times the limit over 4 s, plus five.
     assert!(count_served(&fleet, 20).await <= 8);
@@ -271,14 +276,14 @@
 async fn a_worker_that_announces_leaving_during_an_outage_gets_no_requests_afterwards() {
     let fleet = start_fleet(1).await;
     let daemon = &fleet.gateways[0];
-    fleet.store.fault(Some(Fault::Silent));
-    fleet.workers[0].ask_for(Some(Wish::Leaving));
+    fleet.store.set_fault(Some(Fault::Silent));
+    fleet.workers[0].announce(Some(Announcement::Leaving));
     assert_eq!(count_served(&fleet, 1).await, 1);
     wait_for("not ready", async || !is_ready(daemon).await).await;
-    fleet.store.fault(None);
+    fleet.store.set_fault(None);
     wait_for("ready", async || is_ready(daemon).await).await;
     assert_eq!(count_served(&fleet, 3).await, 0);
-    assert_eq!(fleet.workers[0].ran().len(), 1);
+    assert_eq!(fleet.workers[0].executed_ids().len(), 1);
 }
 
 /// Guards against a requested back-off that is parsed but not enforced.
@@ -286,13 +291,13 @@
 async fn a_worker_gets_no_requests_during_its_requested_backoff() {
     let fleet = start_fleet(1).await;
     let worker = &fleet.workers[0];
-    worker.ask_for(Some(Wish::Rest(Duration::from_secs(60))));
-    worker.behave(Behaviour::Full);
+    worker.announce(Some(Announcement::Backoff(Duration::from_secs(60))));
+    worker.set_behaviour(Behaviour::Full);
     let answer = fleet.send("/once/x", "s1").await;
     assert!(
         answer.contains("retry-after: 5") || answer.contains("retry-after: 60"),
         "{answer}"
     );
-    worker.behave(Behaviour::Whole(Duration::ZERO));
+    worker.set_behaviour(Behaviour::Whole(Duration::ZERO));
     assert_eq!(count_served(&fleet, 20).await, 0);
 }
