--- a/crates/log-report/src/lib.rs
+++ b/crates/log-report/src/lib.rs
@@ -1,15 +1,15 @@
 //! Reports on the logs of gateways: of one or more VMs, complete or cut.
 //!
 //! [`LogReader`] reads lines; [`Summary`] counts the outcomes of requests by reason, endpoint,
-//! customer, data centre and time; [`RequestLife`] collects the lines of all daemons on one
+//! customer, data centre and time; [`RequestHistory`] collects the lines of all daemons on one
 //! request; [`TreeHistory`] reconstructs which daemon followed which. Lines that can't be read are
 //! counted ([`ReadCounts`]), never skipped silently. A report takes one pass, and its memory
 //! doesn't grow with the number of requests.
 
 mod counts;
-mod life;
 mod line;
 mod reader;
+mod request_history;
 mod row;
 mod summary;
 mod svg;
@@ -17,9 +17,9 @@
 mod tree;
 
 pub use counts::Counts;
-pub use life::{RequestLife, RequestLine};
 pub use line::{LogLine, Unread};
 pub use reader::{LogReader, ReadCounts};
+pub use request_history::{RequestHistory, RequestLine};
 pub use row::Row;
 pub use summary::{Dimension, Summary};
 pub use svg::{PlotError, timeline_svg};
--- a/crates/log-report/src/life.rs
+++ b/crates/log-report/src/request_history.rs
@@ -36,13 +36,13 @@
 
 /// The log lines of one request.
 #[derive(Clone, Debug, Serialize)]
-pub struct RequestLife {
+pub struct RequestHistory {
     id: String,
     lines: Vec<RequestLine>,
     left_out: u64,
 }
 
-impl RequestLife {
+impl RequestHistory {
     /// Creates the empty history of the request with this id.
     pub fn new(id: &str) -> Self {
         Self {
--- a/crates/log-report/tests/report.rs
+++ b/crates/log-report/tests/report.rs
@@ -1,6 +1,8 @@
 //! Tests reports on logs, including logs that are cut, mixed or of another version.
 
-use bridgevane_log_report::{Dimension, LogReader, ReadCounts, RequestLife, Summary, timeline_svg};
+use bridgevane_log_report::{
+    Dimension, LogReader, ReadCounts, RequestHistory, Summary, timeline_svg,
+};
 
 /// Returns a line of the gateway with the fields that all lines have.
 fn line(second: u64, vm: &str, event: u32, fields: &str) -> String {
@@ -211,7 +213,7 @@
         failed(3, "r1", "i-1", "yes"),
         refused(7, "r1", "overloaded"),
     ];
-    let mut history = RequestLife::new("r1");
+    let mut history = RequestHistory::new("r1");
     let mut reader = LogReader::default();
     for log in [one, two] {
         let text = log.join("\n");
@@ -224,7 +226,7 @@
     assert!(lines[0].fields.contains(&"endpoint=i-1".to_owned()));
     assert_eq!((lines[0].vm.as_str(), lines[2].vm.as_str()), ("b", "a"));
     assert_eq!(history.verdict(), "refused: overloaded");
-    let unknown = RequestLife::new("r9");
+    let unknown = RequestHistory::new("r9");
     assert!(unknown.verdict().starts_with("no line"));
 }
 
@@ -233,7 +235,7 @@
 #[test]
 fn verdicts_describe_each_outcome() {
     let verdict = |lines: &[String]| {
-        let mut history = RequestLife::new("r1");
+        let mut history = RequestHistory::new("r1");
         let text = lines.join("\n");
         let mut reader = LogReader::default();
         let done = reader.read(text.as_bytes(), |line, text| history.add(&line, text));
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/callers.rs
@@ -1,7 +1,7 @@
 //! Callers: each sends one request after the other and reuses its connection while it is open.
 
-use crate::history::{Call, CallEnd, RouteKind};
-use crate::stage::KEYS;
+use crate::environment::KEYS;
+use crate::history::{CallEnd, RecordedCall, RouteKind};
 use bridgevane_platform_emulator::{is_signed, keyed_request};
 use http_body_util::BodyExt;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -25,20 +25,20 @@
 
 /// The calls recorded by all callers of a run.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Calls(Arc<Mutex<Vec<Call>>>);
+pub(crate) struct Calls(Arc<Mutex<Vec<RecordedCall>>>);
 
 impl Calls {
-    fn push(&self, call: Call) {
+    fn push(&self, call: RecordedCall) {
         self.0.lock().expect("no panic under this lock").push(call);
     }
 
-    pub(crate) fn take(&self) -> Vec<Call> {
+    pub(crate) fn take(&self) -> Vec<RecordedCall> {
         std::mem::take(&mut self.0.lock().expect("no panic under this lock"))
     }
 }
 
 /// One caller, with its own stream of random numbers.
-pub(crate) struct Caller {
+pub(crate) struct CallerTask {
     pub(crate) number: usize,
     pub(crate) seed: u64,
     pub(crate) client_addresses: Vec<SocketAddr>,
@@ -52,7 +52,7 @@
     sender: SendRequest<Body>,
 }
 
-impl Caller {
+impl CallerTask {
     /// Sends calls until `until`, each to a random daemon unless the connection is reused.
     pub(crate) async fn run(self) {
         let mut random = Pcg64::seed_from_u64(self.seed ^ (self.number as u64) << 32);
@@ -81,7 +81,7 @@
                     (daemon, end)
                 }
             };
-            self.calls.push(Call {
+            self.calls.push(RecordedCall {
                 id,
                 kind,
                 daemon,
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,6 +1,6 @@
 //! Checks the gateway's guarantees over the record of a run.
 
-use crate::history::{Call, CallEnd, History, RequestArrival, RouteKind};
+use crate::history::{CallEnd, History, RecordedCall, RequestArrival, RouteKind};
 use bridgevane_platform_emulator::Announcement;
 use derive_more::Display;
 use std::collections::{HashMap, HashSet};
@@ -175,7 +175,7 @@
 }
 
 /// Finds a success whose signature or body isn't the worker's.
-fn wrong_answer(history: &History, call: &Call) -> Option<Violation> {
+fn wrong_answer(history: &History, call: &RecordedCall) -> Option<Violation> {
     let CallEnd::Answered {
         status,
         is_signed,
@@ -198,14 +198,14 @@
 }
 
 /// Finds a request that ran more often than its route permits.
-fn ran_too_often(call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+fn ran_too_often(call: &RecordedCall, runs: &RunsById<'_>) -> Option<Violation> {
     let times = runs.get(call.id.as_str()).copied().unwrap_or(0);
     let id = call.id.clone();
     (times > 1 && !call.kind.may_repeat()).then_some(Violation::RanTooOften { id, times })
 }
 
 /// Finds a request that ran although the status of its answer guarantees that it didn't.
-fn ran_despite_refusal(call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+fn ran_despite_refusal(call: &RecordedCall, runs: &RunsById<'_>) -> Option<Violation> {
     let CallEnd::Answered { status, .. } = call.end else {
         return None;
     };
@@ -216,7 +216,11 @@
 }
 
 /// Finds a request that was sent with a removed key after the bound, and that ran.
-fn ran_with_removed_key(history: &History, call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+fn ran_with_removed_key(
+    history: &History,
+    call: &RecordedCall,
+    runs: &RunsById<'_>,
+) -> Option<Violation> {
     if !runs.contains_key(call.id.as_str()) {
         return None;
     }
@@ -234,7 +238,7 @@
 
 /// Finds a request that a worker ran but whose answer was cut while its daemon performed a planned
 /// stop, without any unplanned fault.
-fn cut_by_stop(history: &History, call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+fn cut_by_stop(history: &History, call: &RecordedCall, runs: &RunsById<'_>) -> Option<Violation> {
     if !matches!(call.end, CallEnd::CutInside | CallEnd::CutBefore)
         || !runs.contains_key(call.id.as_str())
     {
@@ -376,7 +380,8 @@
 impl<'a> InformedDaemons<'a> {
     fn from_history(history: &'a History, is_expected: impl Fn(&Announcement) -> bool) -> Self {
         let calls = history.calls.iter();
-        let by_id: HashMap<&str, &Call> = calls.map(|call| (call.id.as_str(), call)).collect();
+        let by_id: HashMap<&str, &RecordedCall> =
+            calls.map(|call| (call.id.as_str(), call)).collect();
         let mut informed_at = HashMap::new();
         for arrival in &history.arrivals {
             let Some(call) = by_id.get(arrival.id.as_str()) else {
@@ -421,12 +426,13 @@
 fn not_recovered(history: &History) -> Option<Violation> {
     let from = history.undisturbed_from + RECOVERY_BOUND;
     let removed: HashSet<&str> = history.removals.iter().map(|r| r.key.as_str()).collect();
-    let sent: Vec<&Call> = history
+    let sent: Vec<&RecordedCall> = history
         .calls
         .iter()
         .filter(|call| call.sent_at >= from && !removed.contains(call.key.as_str()))
         .collect();
-    let is_served = |call: &&&Call| matches!(call.end, CallEnd::Answered { status: 200, .. });
+    let is_served =
+        |call: &&&RecordedCall| matches!(call.end, CallEnd::Answered { status: 200, .. });
     let served = sent.iter().filter(is_served).count();
     let sent = sent.len();
     let required = sent as f64 * MIN_SERVED_SHARE;
--- a/crates/soak/src/stage.rs
+++ b/crates/soak/src/environment.rs
@@ -2,9 +2,9 @@
 
 use crate::checks::KEY_REMOVAL_BOUND;
 use crate::history::{RequestArrival, Run};
-use crate::options::Options;
+use crate::options::SoakOptions;
 use crate::plan::{Link, LinkMode};
-use crate::processes::{Daemon, DaemonSettings};
+use crate::processes::{DaemonProcess, DaemonSettings};
 use crate::proxy::Proxy;
 use bridgevane_platform_emulator::{
     Behaviour, CONFIG_KEY, MODEL, PLAIN, Store, Worker, document_with_keys,
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(crate) struct Environment {
     pub(crate) store: Store,
-    pub(crate) daemons: Vec<Daemon>,
+    pub(crate) daemons: Vec<DaemonProcess>,
     proxies: Vec<Proxies>,
     positions: Vec<WorkerPosition>,
     replaced: Vec<Worker>,
@@ -105,8 +105,8 @@
 
 impl Environment {
     /// Starts the store, workers, proxies and daemons.
-    pub(crate) async fn start(options: &Options) -> Result<Self, std::io::Error> {
-        let scale = options.scale;
+    pub(crate) async fn start(options: &SoakOptions) -> Result<Self, std::io::Error> {
+        let size = options.size;
         let mut environment = Self {
             store: Store::start().await,
             daemons: Vec::new(),
@@ -119,7 +119,7 @@
             started: Instant::now(),
         };
         environment.change_config();
-        for at in 0..scale.workers {
+        for at in 0..size.workers {
             let service = if at % 2 == 0 { PLAIN } else { MODEL };
             let position = environment.start_worker(service).await?;
             environment.positions.push(position);
@@ -128,8 +128,8 @@
         Ok(environment)
     }
 
-    async fn start_daemons(&mut self, options: &Options) -> Result<(), std::io::Error> {
-        let count = options.scale.daemons;
+    async fn start_daemons(&mut self, options: &SoakOptions) -> Result<(), std::io::Error> {
+        let count = options.size.daemons;
         let ports = Ports::new();
         let mut peers = Vec::new();
         for _ in 0..count {
@@ -158,7 +158,7 @@
                 key_removal_ms: KEY_REMOVAL_BOUND.as_millis(),
                 serves_stale: options.serves_stale,
             };
-            let daemon = Daemon::start(&options.program, &options.folder, settings)?;
+            let daemon = DaemonProcess::start(&options.program, &options.folder, settings)?;
             self.daemons.push(daemon);
             self.proxies.push(proxies);
         }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -54,7 +54,7 @@
 
 /// One call of a caller.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct RecordedCall {
     /// The request's id.
     pub id: String,
     /// The route's kind.
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// The calls of all callers.
-    pub calls: Vec<Call>,
+    pub calls: Vec<RecordedCall>,
     /// The runs at all workers.
     pub runs: Vec<Run>,
     /// The requests that reached workers.
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -2,8 +2,9 @@
 //! faults drawn from a seed that are injected from outside the processes. Afterwards, the calls and
 //! runs recorded by callers and workers are checked against the gateway's guarantees ([`checks`]).
 
+mod callers;
 pub mod checks;
-mod clients;
+mod environment;
 pub mod history;
 mod options;
 pub mod plan;
@@ -11,8 +12,7 @@
 mod processes;
 pub mod proxy;
 mod run;
-mod stage;
 
-pub use options::Options;
+pub use options::SoakOptions;
 pub use plot::PlotError;
-pub use run::{Outcome, SoakError, run};
+pub use run::{SoakError, SoakOutcome, run};
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -112,7 +112,7 @@
 /// A fault with its time.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display("{:>6} ms  {fault} for {} ms", at.as_millis(), lasts.as_millis())]
-pub struct Event {
+pub struct FaultEvent {
     /// The time at which it begins, from the start of the calls.
     pub at: Duration,
     /// Its duration, if the fault has one.
@@ -151,13 +151,13 @@
 
 /// The size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Scale {
+pub struct RunSize {
     /// The number of daemons.
     pub daemons: usize,
     /// The number of workers.
     pub workers: usize,
     /// The time during which callers send calls.
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 /// The plan of a run.
@@ -166,49 +166,49 @@
     /// The seed from which it was drawn.
     pub seed: u64,
     /// The faults in order of time.
-    pub events: Vec<Event>,
+    pub events: Vec<FaultEvent>,
     /// The announcements of workers: one during the faults, and one when most of them are over.
     pub announcements: Vec<AnnouncementEvent>,
 }
 
 impl Plan {
     /// Draws the plan of a seed.
-    pub fn draw(seed: u64, scale: Scale) -> Self {
+    pub fn draw(seed: u64, size: RunSize) -> Self {
         let mut random = Pcg64::seed_from_u64(seed);
-        let span = scale
-            .length
+        let span = size
+            .duration
             .saturating_sub(STARTUP_PERIOD + RECOVERY_PERIOD);
         let span_ms = span.as_millis().max(1) as u64;
         // About one fault per second, so that faults follow each other closely and overlap.
         let count = (span.as_secs_f64().ceil() as usize).max(2);
-        let mut events: Vec<Event> = (0..count)
+        let mut events: Vec<FaultEvent> = (0..count)
             .map(|_| {
                 let at = STARTUP_PERIOD + Duration::from_millis(random.random_range(0..span_ms));
                 let lasts = Duration::from_millis(random.random_range(200..4_000));
-                let fault = draw_fault(&mut random, scale);
-                Event { at, lasts, fault }
+                let fault = draw_fault(&mut random, size);
+                FaultEvent { at, lasts, fault }
             })
             .collect();
         events.sort_by_key(|event| event.at);
         Self {
             seed,
             events,
-            announcements: draw_announcements(seed, scale),
+            announcements: draw_announcements(seed, size),
         }
     }
 }
 
 /// Draws the announcements. They have their own random numbers, so that a seed keeps the faults
 /// that it had before there were announcements.
-fn draw_announcements(seed: u64, scale: Scale) -> Vec<AnnouncementEvent> {
+fn draw_announcements(seed: u64, size: RunSize) -> Vec<AnnouncementEvent> {
     let mut random = Pcg64::seed_from_u64(seed ^ ANNOUNCEMENT_SEED);
-    let recovery_from = scale.length.saturating_sub(RECOVERY_PERIOD);
+    let recovery_from = size.duration.saturating_sub(RECOVERY_PERIOD);
     [STARTUP_PERIOD, recovery_from + LATE_ANNOUNCEMENT_DELAY]
         .into_iter()
         .map(|from| AnnouncementEvent {
             at: from + Duration::from_millis(random.random_range(0..500)),
             lasts: ANNOUNCEMENT_DURATION,
-            worker: random.random_range(0..scale.workers),
+            worker: random.random_range(0..size.workers),
             announcement: draw_announcement(&mut random),
         })
         .collect()
@@ -222,9 +222,9 @@
     }
 }
 
-fn draw_fault(random: &mut Pcg64, scale: Scale) -> Fault {
-    let daemon = random.random_range(0..scale.daemons);
-    let worker = random.random_range(0..scale.workers);
+fn draw_fault(random: &mut Pcg64, size: RunSize) -> Fault {
+    let daemon = random.random_range(0..size.daemons);
+    let worker = random.random_range(0..size.workers);
     match random.random_range(0..20) {
         0 | 1 => Fault::Kill(daemon),
         2 => Fault::KillAll,
--- a/crates/soak/src/plot.rs
+++ b/crates/soak/src/plot.rs
@@ -1,6 +1,6 @@
 //! A plot (SVG) of served, refused and failed calls over time, with the faults' durations.
 
-use crate::history::{Call, CallEnd, History};
+use crate::history::{CallEnd, History, RecordedCall};
 use crate::plan::Plan;
 use derive_more::{Display, Error};
 use plotters::prelude::*;
@@ -25,12 +25,12 @@
 const SIZE: (u32, u32) = (1_000, 420);
 const BUCKET: Duration = Duration::from_millis(500);
 
-fn is_served(call: &Call) -> bool {
+fn is_served(call: &RecordedCall) -> bool {
     matches!(call.end, CallEnd::Answered { status: 200, .. })
 }
 
 /// Returns whether the call was refused with a status that says so (401 or 503).
-fn is_refused(call: &Call) -> bool {
+fn is_refused(call: &RecordedCall) -> bool {
     matches!(
         call.end,
         CallEnd::Answered {
@@ -40,16 +40,16 @@
     )
 }
 
-fn is_failed(call: &Call) -> bool {
+fn is_failed(call: &RecordedCall) -> bool {
     !is_served(call) && !is_refused(call)
 }
 
 /// Selects the calls of one line of the plot.
-type CallFilter = fn(&Call) -> bool;
+type CallFilter = fn(&RecordedCall) -> bool;
 
 /// Counts the selected calls per half second.
-fn series(history: &History, length: Duration, kind: CallFilter) -> Vec<(f64, u32)> {
-    let buckets = (length.as_millis() / BUCKET.as_millis()) as usize + 1;
+fn series(history: &History, duration: Duration, kind: CallFilter) -> Vec<(f64, u32)> {
+    let buckets = (duration.as_millis() / BUCKET.as_millis()) as usize + 1;
     let mut counts = vec![0; buckets];
     for call in history.calls.iter().filter(|call| kind(call)) {
         let at = (call.sent_at.as_millis() / BUCKET.as_millis()) as usize;
@@ -68,14 +68,14 @@
     path: &Path,
     plan: &Plan,
     history: &History,
-    length: Duration,
+    duration: Duration,
 ) -> Result<(), PlotError> {
     let kinds: [(&str, CallFilter, RGBColor); 3] = [
         ("served", is_served, GREEN),
         ("refused", is_refused, BLUE),
         ("failed", is_failed, RED),
     ];
-    let lines = kinds.map(|(name, kind, colour)| (name, series(history, length, kind), colour));
+    let lines = kinds.map(|(name, kind, colour)| (name, series(history, duration, kind), colour));
     let counts = lines.iter().flat_map(|(_, line, _)| line);
     let most = counts.map(|(_, count)| *count).max().unwrap_or(0).max(1);
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
@@ -84,7 +84,7 @@
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(40)
-        .build_cartesian_2d(0.0..length.as_secs_f64(), 0..most)
+        .build_cartesian_2d(0.0..duration.as_secs_f64(), 0..most)
         .map_err(PlotError::of)?;
     chart
         .configure_mesh()
--- a/crates/soak/src/processes.rs
+++ b/crates/soak/src/processes.rs
@@ -25,7 +25,7 @@
 
 /// A running daemon; its process is killed when this is dropped.
 #[derive(Debug)]
-pub(crate) struct Daemon {
+pub(crate) struct DaemonProcess {
     pub(crate) settings: DaemonSettings,
     program: PathBuf,
     logs: PathBuf,
@@ -33,7 +33,7 @@
     process: Child,
 }
 
-impl Daemon {
+impl DaemonProcess {
     /// Starts the daemon; each start logs to a file of its own.
     pub(crate) fn start(
         program: &Path,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,12 +1,12 @@
 //! One run: starts the processes and callers, injects the plan's faults, and checks the record.
 
+use crate::callers::{CallerTask, Calls};
 use crate::checks::{Violation, find_violations};
-use crate::clients::{Caller, Calls};
+use crate::environment::{Environment, STREAM_EVENTS};
 use crate::history::{CallEnd, Disruption, History, KeyRemoval, PlannedStop, WorkerDrain};
-use crate::options::Options;
-use crate::plan::{AnnouncementEvent, Event, Fault, LinkMode, Plan, WorkerAnnouncement};
+use crate::options::SoakOptions;
+use crate::plan::{AnnouncementEvent, Fault, FaultEvent, LinkMode, Plan, WorkerAnnouncement};
 use crate::plot::{self, PlotError};
-use crate::stage::{Environment, STREAM_EVENTS};
 use bridgevane_platform_emulator::{Announcement, Behaviour, Fault as StoreFault};
 use derive_more::{Display, Error, From};
 use rustix::process::Signal;
@@ -37,16 +37,16 @@
 
 /// The result of a run.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct SoakOutcome {
     /// The plan of the run.
     pub plan: Plan,
     /// The record of the run.
     pub history: History,
     /// The violated guarantees.
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
 }
 
-impl Outcome {
+impl SoakOutcome {
     /// Returns one line with the number of calls by their end, of faults and of violations.
     pub fn summary(&self) -> String {
         let calls = &self.history.calls;
@@ -71,7 +71,7 @@
             answered - served - refused,
             calls.len() - answered - not_connected,
             self.plan.events.len(),
-            self.broken.len()
+            self.violations.len()
         )
     }
 }
@@ -86,7 +86,7 @@
     undisturbed_from: Duration,
 }
 
-struct Shared {
+struct RunState {
     environment: Mutex<Environment>,
     record: Mutex<FaultRecord>,
     started: Instant,
@@ -96,18 +96,18 @@
 ///
 /// # Errors
 /// [`SoakError`] if the run can't be performed; violations are part of the outcome.
-pub async fn run(options: &Options) -> Result<Outcome, SoakError> {
+pub async fn run(options: &SoakOptions) -> Result<SoakOutcome, SoakError> {
     std::fs::create_dir_all(&options.folder)?;
-    let plan = Plan::draw(options.seed, options.scale);
+    let plan = Plan::draw(options.seed, options.size);
     let mut environment = Environment::start(options).await?;
     sleep(START_PERIOD).await;
     environment.started = Instant::now();
     let started = environment.started;
-    let until = started + options.scale.length;
+    let until = started + options.size.duration;
     let calls = Calls::default();
     let mut callers = JoinSet::new();
     for number in 0..options.callers {
-        let caller = Caller {
+        let caller = CallerTask {
             number,
             seed: options.seed,
             client_addresses: environment.client_addresses(),
@@ -117,7 +117,7 @@
         };
         callers.spawn(caller.run());
     }
-    let shared = Arc::new(Shared {
+    let shared = Arc::new(RunState {
         environment: Mutex::new(environment),
         record: Mutex::default(),
         started,
@@ -149,16 +149,16 @@
         serves_stale: options.serves_stale,
     };
     let plot_path = options.folder.join("served.svg");
-    plot::draw(&plot_path, &plan, &history, options.scale.length)?;
-    Ok(Outcome {
-        broken: find_violations(&history),
+    plot::draw(&plot_path, &plan, &history, options.size.duration)?;
+    Ok(SoakOutcome {
+        violations: find_violations(&history),
         plan,
         history,
     })
 }
 
 /// Injects one fault at its time, and records its period if it is unplanned.
-async fn inject_fault(shared: Arc<Shared>, event: Event) -> Result<(), std::io::Error> {
+async fn inject_fault(shared: Arc<RunState>, event: FaultEvent) -> Result<(), std::io::Error> {
     sleep_until(shared.started + event.at).await;
     let from = shared.started.elapsed();
     let is_planned = apply_fault(&shared, event).await?;
@@ -175,7 +175,7 @@
 
 /// Lets a worker make an announcement for a while; this isn't recorded as a fault.
 async fn make_announcement(
-    shared: Arc<Shared>,
+    shared: Arc<RunState>,
     event: AnnouncementEvent,
 ) -> Result<(), std::io::Error> {
     sleep_until(shared.started + event.at).await;
@@ -210,7 +210,7 @@
 }
 
 /// Applies a fault and ends it after its duration; returns whether it was planned work.
-async fn apply_fault(shared: &Shared, event: Event) -> Result<bool, std::io::Error> {
+async fn apply_fault(shared: &RunState, event: FaultEvent) -> Result<bool, std::io::Error> {
     let lasts = event.lasts;
     match event.fault {
         Fault::Kill(at) => kill_and_restart(shared, &[at]).await?,
@@ -263,7 +263,7 @@
     Ok(false)
 }
 
-async fn kill_and_restart(shared: &Shared, daemons: &[usize]) -> Result<(), std::io::Error> {
+async fn kill_and_restart(shared: &RunState, daemons: &[usize]) -> Result<(), std::io::Error> {
     let mut environment = shared.environment.lock().await;
     for at in daemons {
         environment.daemons[*at].signal(Signal::KILL);
@@ -276,7 +276,7 @@
 }
 
 /// Stops a daemon as planned and starts it again when it has ended.
-async fn stop_and_restart(shared: &Shared, at: usize) -> Result<(), std::io::Error> {
+async fn stop_and_restart(shared: &RunState, at: usize) -> Result<(), std::io::Error> {
     let from = shared.started.elapsed();
     shared.environment.lock().await.daemons[at].signal(Signal::TERM);
     // The lock is free in between: other faults may occur, including a kill of this daemon.
@@ -302,19 +302,19 @@
     Ok(())
 }
 
-async fn disturb_store(shared: &Shared, fault: StoreFault, lasts: Duration) {
+async fn disturb_store(shared: &RunState, fault: StoreFault, lasts: Duration) {
     shared.environment.lock().await.store.set_fault(Some(fault));
     sleep(lasts).await;
     shared.environment.lock().await.store.set_fault(None);
 }
 
-async fn disturb_worker(shared: &Shared, at: usize, behaviour: Behaviour, lasts: Duration) {
+async fn disturb_worker(shared: &RunState, at: usize, behaviour: Behaviour, lasts: Duration) {
     shared.environment.lock().await.set_behaviour(at, behaviour);
     sleep(lasts).await;
     shared.environment.lock().await.restore_behaviour(at);
 }
 
-async fn drain_worker(shared: &Shared, at: usize) -> Result<(), std::io::Error> {
+async fn drain_worker(shared: &RunState, at: usize) -> Result<(), std::io::Error> {
     let drained = shared.environment.lock().await.replace_worker(at).await?;
     let drain = WorkerDrain {
         worker: drained.id,
@@ -324,7 +324,7 @@
     Ok(())
 }
 
-async fn remove_key(shared: &Shared) {
+async fn remove_key(shared: &RunState) {
     let removed = shared.environment.lock().await.remove_key();
     let at = shared.started.elapsed();
     if let Some(key) = removed {
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -6,8 +6,8 @@
     whole_body,
 };
 use bridgevane_soak::history::{
-    Call, CallEnd, Disruption, History, KeyRemoval, PlannedStop, RequestArrival, RouteKind, Run,
-    WorkerDrain,
+    CallEnd, Disruption, History, KeyRemoval, PlannedStop, RecordedCall, RequestArrival, RouteKind,
+    Run, WorkerDrain,
 };
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
     answered(200, true, whole_body(kind, id, STREAM_EVENTS))
 }
 
-fn call(id: &str, kind: RouteKind, sent_at: Duration, end: CallEnd) -> Call {
-    Call {
+fn call(id: &str, kind: RouteKind, sent_at: Duration, end: CallEnd) -> RecordedCall {
+    RecordedCall {
         id: id.into(),
         kind,
         daemon: 0,
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Plans depend on their seeds alone, and proxies implement the modes of a plan.
 
-use bridgevane_soak::plan::{LinkMode, Plan, Scale};
+use bridgevane_soak::plan::{LinkMode, Plan, RunSize};
 use bridgevane_soak::proxy::Proxy;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -8,23 +8,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-const SCALE: Scale = Scale {
+const RUN_SIZE: RunSize = RunSize {
     daemons: 4,
     workers: 6,
-    length: Duration::from_secs(40),
+    duration: Duration::from_secs(40),
 };
 
 /// Guards against a failed run that can't be repeated from its seed.
 #[test]
 fn the_plan_of_a_seed_is_reproducible_and_differs_between_seeds() {
-    assert_eq!(Plan::draw(7, SCALE), Plan::draw(7, SCALE));
-    assert_ne!(Plan::draw(7, SCALE).events, Plan::draw(8, SCALE).events);
+    assert_eq!(Plan::draw(7, RUN_SIZE), Plan::draw(7, RUN_SIZE));
+    assert_ne!(
+        Plan::draw(7, RUN_SIZE).events,
+        Plan::draw(8, RUN_SIZE).events
+    );
 }
 
 /// Guards against faults that are never drawn, or that leave no time to recover.
 #[test]
 fn every_kind_of_fault_is_drawn_and_none_lasts_into_the_last_6_s() {
-    let plans = (0..60).map(|seed| Plan::draw(seed, SCALE));
+    let plans = (0..60).map(|seed| Plan::draw(seed, RUN_SIZE));
     let events: Vec<_> = plans.flat_map(|plan| plan.events).collect();
     let kinds: HashSet<String> = events
         .iter()
@@ -32,7 +35,7 @@
         .collect();
     assert!(kinds.len() >= 30, "{kinds:?}");
     let last = events.iter().map(|event| event.at + event.lasts).max();
-    assert!(last.unwrap() <= SCALE.length - Duration::from_secs(6));
+    assert!(last.unwrap() <= RUN_SIZE.duration - Duration::from_secs(6));
 }
 
 async fn echo() -> TcpListener {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -21,4 +21,4 @@
 pub use plain_server::PlainStandin;
 pub use platform_server::{PlatformSettings, PlatformStandin};
 pub use promises::{BrokenPromise, check_promises};
-pub use serving::{Served, StandinError, serve};
+pub use serving::{StandinError, StandinServer, serve};
--- a/crates/standins/src/serving.rs
+++ b/crates/standins/src/serving.rs
@@ -15,13 +15,13 @@
 
 /// A running server of a stand-in; dropping it ends the server.
 #[derive(Debug)]
-pub struct Served {
+pub struct StandinServer {
     /// The address at which it listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
 
-impl Drop for Served {
+impl Drop for StandinServer {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// [`StandinError`] when the address can't be listened on.
-pub async fn serve(address: SocketAddr, router: Router) -> Result<Served, StandinError> {
+pub async fn serve(address: SocketAddr, router: Router) -> Result<StandinServer, StandinError> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     let task = tokio::spawn(async move {
@@ -42,5 +42,5 @@
         // The server runs until this task is aborted.
         let _ = axum::serve(listener, router).await;
     });
-    Ok(Served { address, task })
+    Ok(StandinServer { address, task })
 }
--- a/crates/standins/tests/contract.rs
+++ b/crates/standins/tests/contract.rs
@@ -8,7 +8,7 @@
 };
 use bridgevane_standins::{
     EngineSpec, EngineStandin, EngineStandinSettings, Fault, PlainStandin, PlatformSettings,
-    PlatformStandin, Served, answer_length, serve, token_text,
+    PlatformStandin, StandinServer, answer_length, serve, token_text,
 };
 use bridgevane_types::{AttemptNumber, DurationMs, FenceToken, RequestId, Tier, Tokens};
 use futures_util::StreamExt;
@@ -18,11 +18,11 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-async fn platform(settings: PlatformSettings) -> (PlatformStandin, HttpPlatform, Served) {
+async fn platform(settings: PlatformSettings) -> (PlatformStandin, HttpPlatform, StandinServer) {
     let standin = PlatformStandin::new(settings);
-    let served = serve(loopback(), standin.router()).await.expect("a port");
-    let adapter = HttpPlatform::new(served.address);
-    (standin, adapter, served)
+    let server = serve(loopback(), standin.router()).await.expect("a port");
+    let adapter = HttpPlatform::new(server.address);
+    (standin, adapter, server)
 }
 
 fn cas(key: &str, expected: Option<KvRevision>, text: &str) -> KvCas {
@@ -37,7 +37,7 @@
 /// Guards against lost updates: two writers with the same expected revision must not both succeed.
 #[tokio::test]
 async fn a_compare_and_swap_with_an_outdated_revision_conflicts() {
-    let (_, kv, _served) = platform(PlatformSettings::default()).await;
+    let (_, kv, _server) = platform(PlatformSettings::default()).await;
     assert_eq!(kv.get("k").await, Ok(None));
     let first = kv
         .compare_and_swap(cas("k", None, "a"))
@@ -58,7 +58,7 @@
 /// Guards against a missed change: a value written before the watch began must be returned too.
 #[tokio::test]
 async fn a_watch_returns_a_newer_value_or_none_at_its_deadline() {
-    let (standin, kv, _served) = platform(PlatformSettings::default()).await;
+    let (standin, kv, _server) = platform(PlatformSettings::default()).await;
     let first = standin.put("k", "a");
     assert_eq!(kv.watch("k", first, DurationMs(30)).await, Ok(None));
     let watched = kv.clone();
@@ -113,7 +113,7 @@
         ("slow", slow, None, true),
     ];
     for (name, fault, expected, takes_effect) in table {
-        let (standin, kv, _served) = platform(PlatformSettings::default()).await;
+        let (standin, kv, _server) = platform(PlatformSettings::default()).await;
         standin.set_fault(fault);
         let result = kv.compare_and_swap(cas("k", None, "a")).await;
         assert_eq!(result.clone().err(), expected, "{name}");
@@ -133,7 +133,7 @@
 /// Guards against calls that bypass the platform's rates, and against renewals that change a lease.
 #[tokio::test]
 async fn leases_are_renewed_and_calls_above_a_rate_are_refused() {
-    let (_, kv, _served) = platform(PlatformSettings::default()).await;
+    let (_, kv, _server) = platform(PlatformSettings::default()).await;
     let lease = kv.grant_lease(DurationMs(60_000)).await.expect("granted");
     assert_eq!(kv.renew_lease(lease.id).await, Ok(lease));
     assert!(kv.list().await.expect("a read").is_empty());
@@ -144,7 +144,7 @@
         reads_per_s: 0,
         tickets_per_s: 0,
     };
-    let (standin, kv, _served) = platform(zero_rates).await;
+    let (standin, kv, _server) = platform(zero_rates).await;
     let refused = |error: Option<KvError>| matches!(error, Some(KvError::RateLimited { .. }));
     assert!(refused(kv.grant_lease(DurationMs(1)).await.err()));
     assert!(refused(kv.get("k").await.err()));
@@ -155,7 +155,7 @@
 /// Guards against a key that outlives its lease, such as a holder record of a dead holder.
 #[tokio::test]
 async fn keys_are_removed_when_their_lease_expires() {
-    let (standin, kv, _served) = platform(PlatformSettings::default()).await;
+    let (standin, kv, _server) = platform(PlatformSettings::default()).await;
     let lease = kv.grant_lease(DurationMs(1)).await.expect("granted");
     let held = KvCas {
         lease: Some(lease.id),
@@ -168,7 +168,7 @@
     assert_eq!(standin.read("k"), None);
 }
 
-async fn engine(checks_fence: bool) -> (EngineStandin, HttpEngine, Served) {
+async fn engine(checks_fence: bool) -> (EngineStandin, HttpEngine, StandinServer) {
     let spec = EngineSpec {
         step_base_us: 500.0,
         step_per_sequence_us: 0.0,
@@ -179,9 +179,9 @@
         checks_fence,
         ends_on: None,
     });
-    let served = serve(loopback(), standin.router()).await.expect("a port");
-    let adapter = HttpEngine::new(served.address);
-    (standin, adapter, served)
+    let server = serve(loopback(), standin.router()).await.expect("a port");
+    let adapter = HttpEngine::new(server.address);
+    (standin, adapter, server)
 }
 
 fn call(resume_from: u64) -> GenerateCall {
@@ -225,7 +225,7 @@
     let whole: Vec<(u64, String)> = (0..answer_length(&call(0).prompt))
         .map(|offset| (offset, token_text(&call(0).prompt, offset)))
         .collect();
-    let (standin, engine, _served) = engine(false).await;
+    let (standin, engine, _server) = engine(false).await;
     assert_eq!(read_answer(&engine, 0).await, (whole.clone(), 0, None));
     assert_eq!(
         read_answer(&engine, 7).await,
@@ -277,7 +277,7 @@
 /// Guards against readers that take the cache events for complete: lost ones leave a gap.
 #[tokio::test]
 async fn lost_cache_events_leave_a_gap() {
-    let (standin, engine, _served) = engine(false).await;
+    let (standin, engine, _server) = engine(false).await;
     read_answer(&engine, 0).await;
     let events = engine.cache_events(0).await.expect("events");
     assert!(!events.is_empty());
@@ -298,7 +298,7 @@
 /// report is served.
 #[tokio::test]
 async fn a_lag_before_the_first_load_report_returns_the_oldest_report() {
-    let (standin, engine, _served) = engine(false).await;
+    let (standin, engine, _server) = engine(false).await;
     standin.set_fault(Fault {
         load_lag_ms: DurationMs(60_000),
         ..Fault::default()
@@ -330,7 +330,7 @@
         (true, 6, 4, OrderReply::Fenced),
     ];
     for (checks_fence, fence, generation, reply) in table {
-        let (standin, engine, _served) = engine(checks_fence).await;
+        let (standin, engine, _server) = engine(checks_fence).await;
         assert_eq!(engine.order(order(5, 5)).await, Ok(OrderReply::Done));
         assert_eq!(
             engine.order(order(fence, generation)).await,
@@ -353,8 +353,8 @@
 #[tokio::test]
 async fn a_plain_call_whose_answer_is_lost_has_an_unknown_outcome() {
     let standin = PlainStandin::new(false);
-    let served = serve(loopback(), standin.router()).await.expect("a port");
-    let service = HttpPlainService::new(served.address);
+    let server = serve(loopback(), standin.router()).await.expect("a port");
+    let service = HttpPlainService::new(server.address);
     let call = || PlainCall {
         request: RequestId(1),
         method: http::Method::POST,
@@ -381,10 +381,10 @@
         Err(PlainCallError::NotReached)
     );
     let deduplicating = PlainStandin::new(true);
-    let served = serve(loopback(), deduplicating.router())
+    let server = serve(loopback(), deduplicating.router())
         .await
         .expect("a port");
-    let service = HttpPlainService::new(served.address);
+    let service = HttpPlainService::new(server.address);
     for _ in 0..2 {
         assert_eq!(service.call(call()).await.expect("answered").status, 200);
     }
--- a/src/commands/demo/load.rs
+++ b/src/commands/demo/load.rs
@@ -1,6 +1,6 @@
 //! The demo's load: seeded arrivals in an open loop over the real HTTP path.
 
-use super::stage::DemoSystem;
+use super::system::DemoSystem;
 use super::{DemoArguments, User};
 use bridgevane_adapters::HttpClient;
 use bridgevane_standins::{answer_length, token_text};
--- a/src/commands/demo/mod.rs
+++ b/src/commands/demo/mod.rs
@@ -2,7 +2,7 @@
 
 mod load;
 mod results;
-mod stage;
+mod system;
 
 use crate::commands::{block_on, exit, print_line};
 use crate::configs::log::{LogConfig, LogFormat};
@@ -11,10 +11,10 @@
 use derive_more::{Display, Error};
 use indicatif::{ProgressBar, ProgressStyle};
 use results::Results;
-use stage::DemoSystem;
 use std::io::IsTerminal;
 use std::str::FromStr;
 use std::time::Duration;
+use system::DemoSystem;
 
 /// Run the daemon on loopback with embedded stand-ins, send it a seeded mixed load of a user's
 /// classes over the real HTTP path, and print the results by class. The exit code is 1 if a
@@ -135,7 +135,7 @@
     }
 }
 
-async fn demo(arguments: &DemoArguments) -> Result<u8, stage::StageError> {
+async fn demo(arguments: &DemoArguments) -> Result<u8, system::DemoError> {
     let system = DemoSystem::start(arguments.user).await?;
     if !arguments.json {
         print_addresses(&system);
@@ -174,7 +174,7 @@
     print_line!("callers   http://{callers}");
     print_line!(
         "operators http://{operators}  (token {})",
-        stage::OPERATOR_TOKEN
+        system::OPERATOR_TOKEN
     );
     print_line!("platform  http://{}", system.platform_address());
     print_line!(
@@ -193,7 +193,7 @@
     ProgressBar::new(arguments.seconds).with_style(style.unwrap_or(ProgressStyle::default_bar()))
 }
 
-async fn run_fault(faults: stage::Faults, kind: FaultKind, seconds: u64) {
+async fn run_fault(faults: system::Faults, kind: FaultKind, seconds: u64) {
     let third = Duration::from_millis(seconds * 1000 / 3);
     tokio::time::sleep(third).await;
     faults.begin(kind);
--- a/src/commands/demo/results.rs
+++ b/src/commands/demo/results.rs
@@ -2,7 +2,7 @@
 
 use super::DemoArguments;
 use super::load::{CallerResult, FinishedCall};
-use super::stage::DemoSystem;
+use super::system::DemoSystem;
 use crate::modules::serve::requests::targets::Targets;
 use bridgevane_standins::check_promises;
 use bridgevane_types::{ClassName, DurationMs};
--- a/src/commands/demo/stage.rs
+++ b/src/commands/demo/system.rs
@@ -12,7 +12,7 @@
 use bridgevane_config::{ConfigProblems, Document, Envelope, EnvelopeError, ServiceKind};
 use bridgevane_standins::{
     EngineSpec, EngineStandin, EngineStandinSettings, Fault, PlainStandin, PlatformSettings,
-    PlatformStandin, Served, StandinError, serve as serve_standin,
+    PlatformStandin, StandinError, StandinServer, serve as serve_standin,
 };
 use bridgevane_types::{
     ConfigVersion, DataCentreId, DurationMs, Incarnation, ModelName, ServiceName, Slots,
@@ -34,7 +34,7 @@
 
 /// The reason why the demo can't be started.
 #[derive(Debug, Display, Error, From)]
-pub enum StageError {
+pub enum DemoError {
     /// The example configuration has problems.
     #[display("{_0}")]
     Config(ConfigProblems),
@@ -61,7 +61,7 @@
     platform: PlatformStandin,
     engines: Vec<EngineStandin>,
     plain: PlainStandin,
-    served: Vec<Served>,
+    standin_servers: Vec<StandinServer>,
 }
 
 /// The stand-ins in which faults are injected.
@@ -116,13 +116,13 @@
 }
 
 impl DemoSystem {
-    pub(super) async fn start(user: User) -> Result<Self, StageError> {
+    pub(super) async fn start(user: User) -> Result<Self, DemoError> {
         let text = match user {
             User::Ravaton => RAVATON,
             User::Solcata => SOLCATA,
         };
         let mut document = Document::parse(text)?;
-        let mut served = Vec::new();
+        let mut standin_servers = Vec::new();
         let mut engines = Vec::new();
         let plain = PlainStandin::new(false);
         let mut model = ModelName::new("");
@@ -146,7 +146,7 @@
                 let standin = serve_standin(loopback(), router).await?;
                 engine.address = standin.address;
                 engine.data_centre = DataCentreId::new(DATA_CENTRE);
-                served.push(standin);
+                standin_servers.push(standin);
             }
         }
         let platform = PlatformStandin::new(PlatformSettings::default());
@@ -156,8 +156,8 @@
             document: document.clone(),
         };
         platform.put(CONFIG_KEY, &envelope.to_text()?);
-        served.push(serve_standin(loopback(), platform.router()).await?);
-        let platform_address = served[served.len() - 1].address;
+        standin_servers.push(serve_standin(loopback(), platform.router()).await?);
+        let platform_address = standin_servers[standin_servers.len() - 1].address;
         let started = serve::start(serve_config(platform_address), Incarnation(1)).await?;
         let system = Self {
             context: started.context,
@@ -169,7 +169,7 @@
             platform,
             engines,
             plain,
-            served,
+            standin_servers,
         };
         system.wait_until_ready().await;
         Ok(system)
@@ -186,7 +186,7 @@
     }
 
     pub(super) fn platform_address(&self) -> SocketAddr {
-        self.served[self.served.len() - 1].address
+        self.standin_servers[self.standin_servers.len() - 1].address
     }
 
     pub(super) fn faults(&self) -> Faults {
--- a/src/commands/report/request.rs
+++ b/src/commands/report/request.rs
@@ -3,7 +3,7 @@
 use crate::commands::report::log_files::{read_all, unread_text};
 use crate::commands::{exit, print_line};
 use argh::FromArgs;
-use bridgevane_log_report::{RequestLife, RequestLine};
+use bridgevane_log_report::{RequestHistory, RequestLine};
 use serde_json::json;
 use std::path::PathBuf;
 use std::time::{Duration, UNIX_EPOCH};
@@ -29,7 +29,7 @@
         eprintln!("no log files given; - is standard input");
         return exit::USAGE;
     }
-    let mut history = RequestLife::new(&arguments.id);
+    let mut history = RequestHistory::new(&arguments.id);
     let read = match read_all(&arguments.files, |line, text| history.add(&line, text)) {
         Ok(read) => read,
         Err(error) => {
--- a/src/commands/soak.rs
+++ b/src/commands/soak.rs
@@ -2,8 +2,8 @@
 
 use crate::commands::{block_on, exit, print_line};
 use argh::FromArgs;
-use bridgevane_soak::plan::Scale;
-use bridgevane_soak::{Options, Outcome, SoakError};
+use bridgevane_soak::plan::RunSize;
+use bridgevane_soak::{SoakError, SoakOptions, SoakOutcome};
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
@@ -74,21 +74,21 @@
 async fn soak(arguments: &SoakArguments) -> Result<u64, SoakError> {
     let mut failed = 0;
     for seed in arguments.first_seed..arguments.first_seed + arguments.seeds {
-        let options = Options {
+        let options = SoakOptions {
             program: std::env::current_exe()?,
             folder: arguments.folder.join(seed.to_string()),
             seed,
-            scale: Scale {
+            size: RunSize {
                 daemons: arguments.processes,
                 workers: 6,
-                length: Duration::from_secs(arguments.seconds),
+                duration: Duration::from_secs(arguments.seconds),
             },
             callers: arguments.callers,
             serves_stale: arguments.serve_stale,
         };
         let outcome = bridgevane_soak::run(&options).await?;
         print_line!("{}", outcome.summary());
-        if !outcome.broken.is_empty() {
+        if !outcome.violations.is_empty() {
             failed += 1;
             print_failure(&outcome);
             print_line!("logs and plot: {}", options.folder.display());
@@ -100,11 +100,11 @@
 }
 
 /// Prints the planned faults and the broken promises.
-fn print_failure(outcome: &Outcome) {
+fn print_failure(outcome: &SoakOutcome) {
     for event in &outcome.plan.events {
         print_line!("  {event}");
     }
-    for broken in &outcome.broken {
-        print_line!("  BROKEN {broken}");
+    for violation in &outcome.violations {
+        print_line!("  BROKEN {violation}");
     }
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,8 +1,8 @@
 //! A short fault soak with fixed seeds: real processes, faults injected from outside, no guarantee
 //! violated.
 
-use bridgevane_soak::plan::Scale;
-use bridgevane_soak::{Options, run};
+use bridgevane_soak::plan::RunSize;
+use bridgevane_soak::{SoakOptions, run};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -24,15 +24,15 @@
 
 async fn run_seeds(serves_stale: bool) {
     for seed in SEEDS {
-        let options = Options {
+        let options = SoakOptions {
             program: PathBuf::from(env!("CARGO_BIN_EXE_bridgevane")),
             folder: Path::new(env!("CARGO_TARGET_TMPDIR"))
                 .join(format!("soak-{seed}-{serves_stale}")),
             seed,
-            scale: Scale {
+            size: RunSize {
                 daemons: 3,
                 workers: 4,
-                length: Duration::from_secs(18),
+                duration: Duration::from_secs(18),
             },
             callers: 8,
             serves_stale,
@@ -45,9 +45,9 @@
             .map(ToString::to_string)
             .collect();
         assert!(
-            outcome.broken.is_empty(),
+            outcome.violations.is_empty(),
             "{:?}\n{events:#?}",
-            outcome.broken
+            outcome.violations
         );
         assert!(outcome.history.calls.len() > 100, "{}", outcome.summary());
         assert!(options.folder.join("served.svg").exists());
