--- a/crates/gateway/src/endpoints/rate_limit.rs
+++ b/crates/gateway/src/endpoints/rate_limit.rs
@@ -35,7 +35,7 @@
 
 /// The last report.
 #[derive(Clone, Copy, Debug)]
-struct Report {
+struct LimitReport {
     /// `None`: the limit had ended.
     limit: Option<RequestsPerSecond>,
     at: TimeMs,
@@ -46,7 +46,7 @@
     current: Option<CurrentLimit>,
     /// When the request was sent that got the newest answer without a limit, since a limit ended.
     ended_at: Option<TimeMs>,
-    reported: Option<Report>,
+    reported: Option<LimitReport>,
 }
 
 /// The state of one endpoint's limit.
@@ -263,7 +263,7 @@
         if is_known || is_soon && limit.is_some() {
             return None;
         }
-        self.reported = Some(Report { limit, at: now });
+        self.reported = Some(LimitReport { limit, at: now });
         Some(limit)
     }
 }
--- a/crates/log-report/src/counts.rs
+++ b/crates/log-report/src/counts.rs
@@ -11,7 +11,7 @@
 
 /// The numbers of requests and attempts by outcome.
 #[derive(AddAssign, Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Counts {
+pub struct OutcomeCounts {
     /// The estimated number of served requests; only a sample of plain successes is logged.
     pub served_estimate: u64,
     /// Requests refused by the daemon.
@@ -32,7 +32,7 @@
     pub resumed: u64,
 }
 
-impl Counts {
+impl OutcomeCounts {
     /// Returns the counts of one line, or `None` if it isn't about the outcome of a request.
     pub(crate) fn from_line(line: &LogLine<'_>) -> Option<Self> {
         let mut counts = Self::default();
--- a/crates/log-report/src/lib.rs
+++ b/crates/log-report/src/lib.rs
@@ -16,12 +16,12 @@
 mod timeline;
 mod tree;
 
-pub use counts::Counts;
+pub use counts::OutcomeCounts;
 pub use line::{LogLine, Unread};
 pub use reader::{LogReader, ReadCounts};
 pub use request_history::{RequestHistory, RequestLine};
-pub use row::Row;
+pub use row::SummaryRow;
 pub use summary::{Dimension, Summary};
 pub use svg::{PlotError, timeline_svg};
-pub use timeline::{Bucket, Timeline};
+pub use timeline::{Timeline, TimelineBucket};
 pub use tree::{TreeHistory, TreeRow};
--- a/crates/log-report/src/summary.rs
+++ b/crates/log-report/src/summary.rs
@@ -1,9 +1,9 @@
 //! Counts the outcomes of requests by reason, endpoint, route, customer and data centre, and over
 //! time.
 
-use crate::counts::Counts;
+use crate::counts::OutcomeCounts;
 use crate::line::LogLine;
-use crate::row::Row;
+use crate::row::SummaryRow;
 use crate::timeline::Timeline;
 use derive_more::Display;
 use hdrhistogram::Histogram;
@@ -76,7 +76,7 @@
 
 #[derive(Clone, Debug)]
 struct RowState {
-    counts: Counts,
+    counts: OutcomeCounts,
     queue_ms: Histogram<u32>,
 }
 
@@ -84,26 +84,26 @@
     fn default() -> Self {
         let queue_ms = Histogram::new_with_max(MAX_QUEUE_MS, QUEUE_DIGITS);
         Self {
-            counts: Counts::default(),
+            counts: OutcomeCounts::default(),
             queue_ms: queue_ms.expect("the bounds are constants"),
         }
     }
 }
 
 impl RowState {
-    fn add(&mut self, line: &LogLine<'_>, counts: Counts) {
+    fn add(&mut self, line: &LogLine<'_>, counts: OutcomeCounts) {
         self.counts += counts;
         if let Some(queue_ms) = line.queue_ms {
             self.queue_ms.saturating_record(queue_ms);
         }
     }
 
-    fn row(&self, name: &str) -> Row {
+    fn row(&self, name: &str) -> SummaryRow {
         let quantile = |quantile| {
             let has_queues = !self.queue_ms.is_empty();
             has_queues.then(|| self.queue_ms.value_at_quantile(quantile))
         };
-        Row {
+        SummaryRow {
             name: name.to_owned(),
             counts: self.counts,
             queue_p50_ms: quantile(0.5),
@@ -124,7 +124,7 @@
 impl Summary {
     /// Adds a line.
     pub fn add(&mut self, line: &LogLine<'_>) {
-        let Some(counts) = Counts::from_line(line) else {
+        let Some(counts) = OutcomeCounts::from_line(line) else {
             return;
         };
         self.total.add(line, counts);
@@ -149,15 +149,15 @@
     }
 
     /// Returns the totals as one row.
-    pub fn total(&self) -> Row {
+    pub fn total(&self) -> SummaryRow {
         self.total.row("all")
     }
 
     /// Returns the rows of one dimension, those with the most failures first.
-    pub fn rows(&self, dimension: Dimension) -> Vec<Row> {
+    pub fn rows(&self, dimension: Dimension) -> Vec<SummaryRow> {
         let entries = self.rows.iter();
         let dimension_entries = entries.filter(|((key, _), _)| *key == dimension);
-        let mut rows: Vec<Row> = dimension_entries
+        let mut rows: Vec<SummaryRow> = dimension_entries
             .map(|((_, name), state)| state.row(name))
             .collect();
         rows.sort_by(|a, b| {
--- a/crates/log-report/src/svg.rs
+++ b/crates/log-report/src/svg.rs
@@ -1,6 +1,6 @@
 //! Plots the counts over time.
 
-use crate::timeline::{Bucket, Timeline};
+use crate::timeline::{Timeline, TimelineBucket};
 use derive_more::{Display, Error};
 use plotters::prelude::*;
 
@@ -24,7 +24,7 @@
     }
 }
 
-type Series = (&'static str, RGBColor, fn(&crate::Counts) -> u64);
+type Series = (&'static str, RGBColor, fn(&crate::OutcomeCounts) -> u64);
 
 /// The plotted series, with their names and colours.
 const SERIES: [Series; 4] = [
@@ -45,7 +45,7 @@
 /// # Errors
 /// [`PlotError`] if the plot can't be drawn.
 pub fn timeline_svg(timeline: &Timeline) -> Result<String, PlotError> {
-    let buckets: Vec<Bucket> = timeline.buckets().collect();
+    let buckets: Vec<TimelineBucket> = timeline.buckets().collect();
     let first_ms = buckets.first().map_or(0, |bucket| bucket.from_ms);
     let second_of = |from_ms: u64| (from_ms - first_ms) as f64 / MS_PER_S;
     let width_s = timeline.width_ms() as f64 / MS_PER_S;
@@ -69,7 +69,8 @@
             .build_cartesian_2d(0.0..last_s, 0.0..top)?;
         chart.configure_mesh().x_desc("seconds").draw()?;
         for (name, colour, count) in SERIES {
-            let point = |bucket: &Bucket| (second_of(bucket.from_ms), rate(count(&bucket.counts)));
+            let point =
+                |bucket: &TimelineBucket| (second_of(bucket.from_ms), rate(count(&bucket.counts)));
             let points: Vec<(f64, f64)> = buckets.iter().map(point).collect();
             chart
                 .draw_series([PathElement::new(points, colour.stroke_width(2))])?
--- a/crates/log-report/src/timeline.rs
+++ b/crates/log-report/src/timeline.rs
@@ -1,7 +1,7 @@
 //! Counts over time in a bounded number of buckets.
 
-use crate::counts::Counts;
-use crate::row::Row;
+use crate::counts::OutcomeCounts;
+use crate::row::SummaryRow;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::{Duration, UNIX_EPOCH};
@@ -16,24 +16,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timeline {
     width_ms: u64,
-    buckets: BTreeMap<u64, Counts>,
+    buckets: BTreeMap<u64, OutcomeCounts>,
 }
 
 /// The counts of one time interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Bucket {
+pub struct TimelineBucket {
     /// The start of the interval, in Unix milliseconds.
     pub from_ms: u64,
     /// The counts in the interval.
     #[serde(flatten)]
-    pub counts: Counts,
+    pub counts: OutcomeCounts,
 }
 
-impl Bucket {
+impl TimelineBucket {
     /// Returns the bucket as a row of a table, named by its start.
-    pub fn as_row(&self) -> Row {
+    pub fn as_row(&self) -> SummaryRow {
         let from = UNIX_EPOCH + Duration::from_millis(self.from_ms);
-        Row {
+        SummaryRow {
             name: humantime::format_rfc3339_seconds(from).to_string(),
             counts: self.counts,
             queue_p50_ms: None,
@@ -53,7 +53,7 @@
 
 impl Timeline {
     /// Adds the counts of a line written at `at_ms`.
-    pub(crate) fn add(&mut self, at_ms: u64, counts: Counts) {
+    pub(crate) fn add(&mut self, at_ms: u64, counts: OutcomeCounts) {
         let bucket = self.buckets.entry(at_ms / self.width_ms).or_default();
         *bucket += counts;
         while self.buckets.len() > MAX_BUCKETS {
@@ -74,8 +74,8 @@
     }
 
     /// Returns the buckets in order of time, without empty ones.
-    pub fn buckets(&self) -> impl Iterator<Item = Bucket> {
-        self.buckets.iter().map(|(at, counts)| Bucket {
+    pub fn buckets(&self) -> impl Iterator<Item = TimelineBucket> {
+        self.buckets.iter().map(|(at, counts)| TimelineBucket {
             from_ms: at * self.width_ms,
             counts: *counts,
         })
--- a/crates/log-report/src/tree.rs
+++ b/crates/log-report/src/tree.rs
@@ -16,7 +16,7 @@
 
 /// The changes of one daemon's upstream.
 #[derive(Clone, Debug, Default)]
-struct Daemon {
+struct UpstreamHistory {
     data_centre: String,
     /// Its upstreams and the times since which it followed them, in Unix milliseconds and sorted.
     upstreams: Vec<(u64, String)>,
@@ -25,7 +25,7 @@
 /// The upstreams of all daemons over time.
 #[derive(Clone, Debug, Default)]
 pub struct TreeHistory {
-    daemons: BTreeMap<String, Daemon>,
+    daemons: BTreeMap<String, UpstreamHistory>,
     vm_by_peer_address: BTreeMap<String, String>,
 }
 
@@ -115,7 +115,7 @@
 
     /// Returns the upstream of each daemon that had one.
     fn upstreams_at(&self, at_ms: u64) -> BTreeMap<&str, &str> {
-        let upstream_at = |daemon: &'_ Daemon| {
+        let upstream_at = |daemon: &'_ UpstreamHistory| {
             let changes = daemon.upstreams.partition_point(|(at, _)| *at <= at_ms);
             changes.checked_sub(1)
         };
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -7,7 +7,7 @@
 use crate::processes::{DaemonProcess, DaemonSettings};
 use crate::proxy::Proxy;
 use bridgevane_platform_emulator::{
-    Behaviour, CONFIG_KEY, MODEL, PLAIN, Store, Worker, document_with_keys,
+    Behaviour, CONFIG_KEY, EmulatedStore, MODEL, PLAIN, Worker, document_with_keys,
 };
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -45,7 +45,7 @@
 /// The store, daemons, workers and proxies of a run.
 #[derive(Debug)]
 pub(crate) struct Environment {
-    pub(crate) store: Store,
+    pub(crate) store: EmulatedStore,
     pub(crate) daemons: Vec<DaemonProcess>,
     proxies: Vec<Proxies>,
     positions: Vec<WorkerPosition>,
@@ -108,7 +108,7 @@
     pub(crate) async fn start(options: &SoakOptions) -> Result<Self, std::io::Error> {
         let size = options.size;
         let mut environment = Self {
-            store: Store::start().await,
+            store: EmulatedStore::start().await,
             daemons: Vec::new(),
             proxies: Vec::new(),
             positions: Vec::new(),
--- a/src/commands/report/logs.rs
+++ b/src/commands/report/logs.rs
@@ -3,7 +3,7 @@
 use crate::commands::report::log_files::{LogFileError, read_all, unread_text};
 use crate::commands::{exit, print_line};
 use argh::FromArgs;
-use bridgevane_log_report::{Dimension, ReadCounts, Row, Summary, timeline_svg};
+use bridgevane_log_report::{Dimension, ReadCounts, Summary, SummaryRow, timeline_svg};
 use comfy_table::{Table, presets};
 use serde_json::json;
 use std::path::PathBuf;
@@ -99,15 +99,15 @@
 }
 
 /// Returns the time buckets with the most failures, in order of time.
-fn worst_buckets(summary: &Summary, count: usize) -> Vec<Row> {
-    let mut rows: Vec<Row> = summary.timeline().buckets().map(|b| b.as_row()).collect();
+fn worst_buckets(summary: &Summary, count: usize) -> Vec<SummaryRow> {
+    let mut rows: Vec<SummaryRow> = summary.timeline().buckets().map(|b| b.as_row()).collect();
     rows.sort_by_key(|row| std::cmp::Reverse(row.counts.failures()));
     rows.truncate(count);
     rows.sort_by(|a, b| a.name.cmp(&b.name));
     rows
 }
 
-fn table(name: &str, rows: &[Row], count: usize) -> Table {
+fn table(name: &str, rows: &[SummaryRow], count: usize) -> Table {
     let mut table = Table::new();
     table
         .load_preset(presets::UTF8_HORIZONTAL_ONLY)
--- a/tests/crashing_soak.rs
+++ b/tests/crashing_soak.rs
@@ -5,7 +5,7 @@
 //! Runs are seeded: `CRASH_SEEDS` is the number of seeds, `CRASH_FIRST_SEED` the first one.
 
 use bridgevane_platform_emulator::{
-    CONFIG_KEY, CRASHING_BODY, CrashingWorkers, FOREIGN_RECORDS, PLAIN, Store, document,
+    CONFIG_KEY, CRASHING_BODY, CrashingWorkers, EmulatedStore, FOREIGN_RECORDS, PLAIN, document,
     foreign_record, request_with_body, worker_key,
 };
 use rand::{RngExt, SeedableRng};
@@ -54,7 +54,7 @@
     listener.local_addr().expect("it listens")
 }
 
-fn start_gateway(store: &Store, all: &[GatewayAddresses], at: usize) -> Gateway {
+fn start_gateway(store: &EmulatedStore, all: &[GatewayAddresses], at: usize) -> Gateway {
     let seeds = all.iter().take(2).map(|gateway| gateway.peers.to_string());
     let seeds: Vec<String> = seeds.collect();
     let addresses = all[at];
@@ -106,7 +106,7 @@
 }
 
 /// Stores a foreign record among the workers' records, as another writer does.
-fn store_foreign_record(store: &Store, random: &mut Pcg64) {
+fn store_foreign_record(store: &EmulatedStore, random: &mut Pcg64) {
     let key = worker_key(&format!("i-junk-{}", random.random_range(0..40)));
     let kind = random.random_range(0..FOREIGN_RECORDS);
     store.put(&key, &foreign_record(kind));
@@ -137,7 +137,7 @@
 
 async fn run_seed(seed: u64) {
     let mut random = Pcg64::seed_from_u64(seed);
-    let store = Store::start().await;
+    let store = EmulatedStore::start().await;
     store.put(CONFIG_KEY, &document(1));
     let workers = CrashingWorkers::start(&store, PLAIN, WORKERS);
     let mut addresses = Vec::new();
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -2,8 +2,8 @@
 //! request is submitted once, and a killed holder gets a successor.
 
 use bridgevane_platform_emulator::{
-    Behaviour, CONFIG_KEY, DutyApi, LEASE_MS, PLAIN, Store, SubmittedUsage, Worker, document,
-    request,
+    Behaviour, CONFIG_KEY, EmulatedDutyApi, EmulatedStore, LEASE_MS, PLAIN, SubmittedUsage, Worker,
+    document, request,
 };
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
 }
 
 struct GatewayFleet {
-    store: Store,
-    api: DutyApi,
+    store: EmulatedStore,
+    api: EmulatedDutyApi,
     gateways: Vec<Gateway>,
 }
 
@@ -90,13 +90,13 @@
 }
 
 async fn start_fleet(daemons: usize) -> GatewayFleet {
-    let store = Store::start().await;
+    let store = EmulatedStore::start().await;
     store.put(CONFIG_KEY, &document(1));
     let worker = Worker::start("i-plain", Behaviour::Whole(Duration::ZERO)).await;
     store.put(&worker.key(), &worker.record(PLAIN, "z", "ready"));
     let mut fleet = GatewayFleet {
         store,
-        api: DutyApi::start().await,
+        api: EmulatedDutyApi::start().await,
         gateways: Vec::new(),
     };
     let mut peers = Vec::new();
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,7 +1,8 @@
 //! The gateway as separate processes with the emulated platform.
 
 use bridgevane_platform_emulator::{
-    Announcement, Behaviour, CONFIG_KEY, Fault, MODEL, PLAIN, Store, Worker, document, request,
+    Announcement, Behaviour, CONFIG_KEY, EmulatedStore, Fault, MODEL, PLAIN, Worker, document,
+    request,
 };
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::SocketAddr;
@@ -15,7 +16,7 @@
 
 /// A store, workers and gateways.
 struct GatewayFleet {
-    store: Store,
+    store: EmulatedStore,
     workers: Vec<Worker>,
     gateways: Vec<Gateway>,
 }
@@ -32,7 +33,7 @@
     listener.local_addr().expect("it listens")
 }
 
-async fn start_gateway(store: &Store, name: &str) -> Gateway {
+async fn start_gateway(store: &EmulatedStore, name: &str) -> Gateway {
     let (clients, ready) = (free_address().await, free_address().await);
     let process = Command::new(env!("CARGO_BIN_EXE_bridgevane"))
         .arg("gateway")
@@ -61,7 +62,7 @@
 }
 
 async fn start_fleet(gateways: usize) -> GatewayFleet {
-    let store = Store::start().await;
+    let store = EmulatedStore::start().await;
     store.put(CONFIG_KEY, &document(1));
     let whole = Behaviour::Whole(Duration::ZERO);
     let events = Behaviour::Events(4, Duration::from_millis(10));
