--- a/crates/standins/src/engine_server.rs
+++ b/crates/standins/src/engine_server.rs
@@ -2,7 +2,7 @@
 
 use crate::answer_text::{answer_length, prompt_blocks, prompt_tokens, token_text};
 use crate::engine_model::{EngineModel, EngineSpec, Job, ModelEvent};
-use crate::fault::Fault;
+use crate::fault::StandinFault;
 use axum::body::{Body, Bytes};
 use axum::extract::State;
 use axum::http::StatusCode;
@@ -72,7 +72,7 @@
     streams: HashMap<Key, Stream>,
     reports: VecDeque<(Instant, LoadReport)>,
     report_sequence: u64,
-    fault: Fault,
+    fault: StandinFault,
     highest_fence: FenceToken,
     highest_generation: u64,
     orders: Vec<FencedOrder>,
@@ -111,7 +111,7 @@
             streams: HashMap::new(),
             reports: VecDeque::new(),
             report_sequence: 0,
-            fault: Fault::default(),
+            fault: StandinFault::default(),
             highest_fence: FenceToken(0),
             highest_generation: 0,
             orders: Vec::new(),
@@ -141,7 +141,7 @@
     }
 
     /// Sets the faults, replacing those set before; a crash breaks all streams.
-    pub fn set_fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: StandinFault) {
         let mut engine = self.lock();
         engine.fault = fault;
         let slowdown = if fault.slowdown > 0.0 {
@@ -286,11 +286,11 @@
         sender: &PieceSender,
     ) -> Option<u64> {
         let first = PieceEvent::Token(token_text(&call.prompt, call.resume_from.0));
-        if Fault::consume_one(&mut self.fault.cross_pieces) {
+        if StandinFault::consume_one(&mut self.fault.cross_pieces) {
             let other = (RequestId(key.0.0 ^ 1), key.1);
             let _ = sender.send(Ok(piece_line(other, 0, first.clone())));
         }
-        if Fault::consume_one(&mut self.fault.duplicate_pieces) {
+        if StandinFault::consume_one(&mut self.fault.duplicate_pieces) {
             let _ = sender.send(Ok(piece_line(key, call.resume_from.0, first)));
         }
         self.fault.cut_after_tokens.take()
@@ -351,7 +351,7 @@
             prompt,
             sender,
             cut_after,
-            is_swapping: Fault::consume_one(&mut engine.fault.swap_pieces),
+            is_swapping: StandinFault::consume_one(&mut engine.fault.swap_pieces),
             held_piece: None,
         };
         engine.streams.insert(key, stream);
@@ -425,6 +425,6 @@
     Json(standin.orders())
 }
 
-async fn set_fault(State(standin): State<EngineStandin>, Json(fault): Json<Fault>) {
+async fn set_fault(State(standin): State<EngineStandin>, Json(fault): Json<StandinFault>) {
     standin.set_fault(fault);
 }
--- a/crates/standins/src/fault.rs
+++ b/crates/standins/src/fault.rs
@@ -6,7 +6,7 @@
 /// The faults of a stand-in; the default is no fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Fault {
+pub struct StandinFault {
     /// Every call is refused as if the service were down.
     pub is_down: bool,
     /// The delay of every answer.
@@ -33,7 +33,7 @@
     pub lose_cache_events: u32,
 }
 
-impl Fault {
+impl StandinFault {
     /// Decrements a counter of next calls; returns whether it was above 0.
     pub(crate) fn consume_one(counter: &mut u32) -> bool {
         let was_positive = *counter > 0;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -17,7 +17,7 @@
 pub use answer_text::{answer_length, prompt_blocks, prompt_tokens, token_text};
 pub use engine_model::{EngineModel, EngineSpec, Job, ModelEvent};
 pub use engine_server::{EngineStandin, EngineStandinSettings};
-pub use fault::Fault;
+pub use fault::StandinFault;
 pub use plain_server::PlainStandin;
 pub use platform_server::{PlatformSettings, PlatformStandin};
 pub use promises::{BrokenPromise, check_promises};
--- a/crates/standins/src/plain_server.rs
+++ b/crates/standins/src/plain_server.rs
@@ -1,6 +1,6 @@
 //! The plain service stand-in, which counts how often each call ran.
 
-use crate::fault::Fault;
+use crate::fault::StandinFault;
 use axum::body::Bytes;
 use axum::extract::{Request, State};
 use axum::http::StatusCode;
@@ -20,7 +20,7 @@
     runs: u64,
     running: u32,
     reports: u64,
-    fault: Fault,
+    fault: StandinFault,
 }
 
 /// The plain service stand-in; clones share one state.
@@ -55,7 +55,7 @@
     }
 
     /// Sets the faults; replaces those set before.
-    pub fn set_fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: StandinFault) {
         self.lock().fault = fault;
     }
 
@@ -76,7 +76,10 @@
             *plain.runs_of_key.entry(key.to_owned()).or_default() += 1;
             plain.answers.insert(key.to_owned(), run);
         }
-        (run, Fault::consume_one(&mut plain.fault.lose_answers))
+        (
+            run,
+            StandinFault::consume_one(&mut plain.fault.lose_answers),
+        )
     }
 }
 
@@ -129,7 +132,7 @@
     axum::body::Body::from_stream(cut).into_response()
 }
 
-async fn set_fault(State(standin): State<PlainStandin>, Json(fault): Json<Fault>) {
+async fn set_fault(State(standin): State<PlainStandin>, Json(fault): Json<StandinFault>) {
     standin.set_fault(fault);
 }
 
--- a/crates/standins/src/platform_server.rs
+++ b/crates/standins/src/platform_server.rs
@@ -1,6 +1,6 @@
 //! The platform stand-in: key-value service, VM list and weight store in memory.
 
-use crate::fault::Fault;
+use crate::fault::StandinFault;
 use axum::extract::State;
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
@@ -83,7 +83,7 @@
     next_lease: u64,
     revision: KvRevision,
     vms: Vec<VmEntry>,
-    fault: Fault,
+    fault: StandinFault,
     started: Instant,
     writes: Rate,
     reads: Rate,
@@ -151,7 +151,7 @@
             next_lease: 0,
             revision: KvRevision(0),
             vms: Vec::new(),
-            fault: Fault::default(),
+            fault: StandinFault::default(),
             started: Instant::now(),
             writes: Rate::new(settings.writes_per_s),
             reads: Rate::new(settings.reads_per_s),
@@ -200,7 +200,7 @@
     }
 
     /// Sets the faults; replaces those set before.
-    pub fn set_fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: StandinFault) {
         self.lock().fault = fault;
         self.changed.notify_waiters();
     }
@@ -236,7 +236,7 @@
             if platform.fault.is_down {
                 return Err(StatusCode::SERVICE_UNAVAILABLE.into_response());
             }
-            if !is_within || Fault::consume_one(&mut platform.fault.refuse_by_rate) {
+            if !is_within || StandinFault::consume_one(&mut platform.fault.refuse_by_rate) {
                 let headers = [("retry-after-ms", "1000")];
                 return Err((StatusCode::TOO_MANY_REQUESTS, headers).into_response());
             }
@@ -303,7 +303,7 @@
     let (result, is_answer_lost) = {
         let mut platform = standin.lock();
         let result = platform.swap(cas);
-        let is_lost = result.is_ok() && Fault::consume_one(&mut platform.fault.lose_answers);
+        let is_lost = result.is_ok() && StandinFault::consume_one(&mut platform.fault.lose_answers);
         (result, is_lost)
     };
     standin.changed.notify_waiters();
@@ -387,7 +387,7 @@
     Ok(Json(format!("{}@{}", body.model, body.model_version)))
 }
 
-async fn set_fault(State(standin): State<PlatformStandin>, Json(fault): Json<Fault>) {
+async fn set_fault(State(standin): State<PlatformStandin>, Json(fault): Json<StandinFault>) {
     standin.set_fault(fault);
 }
 
--- a/crates/standins/tests/contract.rs
+++ b/crates/standins/tests/contract.rs
@@ -7,8 +7,8 @@
     PlainCall, PlainCallError, PlainService, VmList, WeightStore,
 };
 use bridgevane_standins::{
-    EngineSpec, EngineStandin, EngineStandinSettings, Fault, PlainStandin, PlatformSettings,
-    PlatformStandin, StandinServer, answer_length, serve, token_text,
+    EngineSpec, EngineStandin, EngineStandinSettings, PlainStandin, PlatformSettings,
+    PlatformStandin, StandinFault, StandinServer, answer_length, serve, token_text,
 };
 use bridgevane_types::{AttemptNumber, DurationMs, FenceToken, RequestId, Tier, Tokens};
 use futures_util::StreamExt;
@@ -82,26 +82,26 @@
 /// Each row: the fault, the adapter's error for a write, and whether the write took effect.
 #[tokio::test]
 async fn errors_of_the_key_value_service_tell_whether_a_write_may_have_taken_effect() {
-    let down = Fault {
+    let down = StandinFault {
         is_down: true,
-        ..Fault::default()
+        ..StandinFault::default()
     };
-    let lost = Fault {
+    let lost = StandinFault {
         lose_answers: 1,
-        ..Fault::default()
+        ..StandinFault::default()
     };
-    let rate = Fault {
+    let rate = StandinFault {
         refuse_by_rate: 1,
-        ..Fault::default()
+        ..StandinFault::default()
     };
-    let slow = Fault {
+    let slow = StandinFault {
         delay_ms: DurationMs(50),
-        ..Fault::default()
+        ..StandinFault::default()
     };
     let refused = KvError::RateLimited {
         retry_after_ms: DurationMs(1_000),
     };
-    let table: [(&str, Fault, Option<KvError>, bool); 4] = [
+    let table: [(&str, StandinFault, Option<KvError>, bool); 4] = [
         ("down", down, Some(KvError::NotReached), false),
         (
             "answer lost after it took effect",
@@ -231,26 +231,26 @@
         read_answer(&engine, 7).await,
         (whole[7..].to_vec(), 0, None)
     );
-    standin.set_fault(Fault {
+    standin.set_fault(StandinFault {
         cut_after_tokens: Some(4),
-        ..Fault::default()
+        ..StandinFault::default()
     });
     assert_eq!(
         read_answer(&engine, 0).await,
         (whole[..4].to_vec(), 0, Some(EngineCallError::Cut))
     );
-    standin.set_fault(Fault {
+    standin.set_fault(StandinFault {
         duplicate_pieces: 1,
         cross_pieces: 1,
-        ..Fault::default()
+        ..StandinFault::default()
     });
     let (tokens, foreign_pieces, error) = read_answer(&engine, 0).await;
     assert_eq!((foreign_pieces, error), (1, None));
     assert_eq!(tokens[0], tokens[1], "the first piece comes twice");
     assert_eq!(tokens[1..], whole[..]);
-    standin.set_fault(Fault {
+    standin.set_fault(StandinFault {
         swap_pieces: 1,
-        ..Fault::default()
+        ..StandinFault::default()
     });
     let (tokens, _, error) = read_answer(&engine, 0).await;
     assert_eq!(error, None);
@@ -259,9 +259,9 @@
         (&whole[1], &whole[0]),
         "out of order"
     );
-    standin.set_fault(Fault {
+    standin.set_fault(StandinFault {
         crash: true,
-        ..Fault::default()
+        ..StandinFault::default()
     });
     assert!(matches!(
         engine.generate(call(0)).await,
@@ -286,9 +286,9 @@
             .iter()
             .all(|event| event.change == CacheChange::Stored)
     );
-    standin.set_fault(Fault {
+    standin.set_fault(StandinFault {
         lose_cache_events: 1,
-        ..Fault::default()
+        ..StandinFault::default()
     });
     let with_gap = engine.cache_events(0).await.expect("events");
     assert_eq!(with_gap.len(), events.len() - 1);
@@ -299,9 +299,9 @@
 #[tokio::test]
 async fn a_lag_before_the_first_load_report_returns_the_oldest_report() {
     let (standin, engine, _server) = engine(false).await;
-    standin.set_fault(Fault {
+    standin.set_fault(StandinFault {
         load_lag_ms: DurationMs(60_000),
-        ..Fault::default()
+        ..StandinFault::default()
     });
     let report = engine.load().await.expect("the oldest report");
     assert_eq!(report.running.0, 0);
@@ -365,9 +365,9 @@
     };
     assert_eq!(service.call(call()).await.expect("answered").status, 200);
     assert_eq!(service.load().await.expect("a report").running.0, 0);
-    standin.set_fault(Fault {
+    standin.set_fault(StandinFault {
         lose_answers: 1,
-        ..Fault::default()
+        ..StandinFault::default()
     });
     assert_eq!(service.call(call()).await, Err(PlainCallError::Unknown));
     assert_eq!(
--- a/src/commands/demo/load.rs
+++ b/src/commands/demo/load.rs
@@ -187,7 +187,7 @@
     &parts[parts.len() - 1]
 }
 
-struct ModelCall {
+struct DemoModelCall {
     class: ClassName,
     kind: &'static str,
     key: String,
@@ -202,7 +202,7 @@
         tokens * FULL_STEP_MS + chars / PREFILL_CHARS_PER_MS
     }
 
-    fn call(&self, system: &DemoSystem, rng: &mut Pcg64Mcg) -> ModelCall {
+    fn call(&self, system: &DemoSystem, rng: &mut Pcg64Mcg) -> DemoModelCall {
         let normal = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         let tokens = (self.median_tokens * (self.sigma * normal).exp()) as u64;
         let tokens = tokens.clamp(1, MAX_TOKENS);
@@ -216,7 +216,7 @@
             "max_tokens": MAX_TOKENS,
             "messages": [{ "role": "user", "content": prompt }],
         });
-        ModelCall {
+        DemoModelCall {
             class,
             kind: self.kind,
             key: system.key_of(customer),
@@ -243,7 +243,7 @@
     }
 }
 
-async fn model_call(client: HttpClient, call: ModelCall) -> FinishedCall {
+async fn model_call(client: HttpClient, call: DemoModelCall) -> FinishedCall {
     let result = stream(&client, &call).await.unwrap_or(CallerResult::Cut);
     FinishedCall {
         class: call.class,
@@ -252,7 +252,7 @@
 }
 
 /// Sends a call and reads its stream. Returns `None` if it broke off.
-async fn stream(client: &HttpClient, call: &ModelCall) -> Option<CallerResult> {
+async fn stream(client: &HttpClient, call: &DemoModelCall) -> Option<CallerResult> {
     let request = client
         .request(http::Method::POST, "/v1/chat/completions")
         .header("authorization", format!("Bearer {}", call.key))
@@ -326,7 +326,7 @@
     }
 }
 
-struct PlainCall {
+struct DemoPlainCall {
     class: ClassName,
     path: String,
     key: String,
@@ -334,10 +334,10 @@
     idempotency_key: Option<String>,
 }
 
-fn new_plain_call(system: &DemoSystem, rng: &mut Pcg64Mcg, count: u64) -> PlainCall {
+fn new_plain_call(system: &DemoSystem, rng: &mut Pcg64Mcg, count: u64) -> DemoPlainCall {
     let service = &system.document.service[&system.plain_service];
     let route = &service.route[rng.random_range(0..service.route.len())];
-    PlainCall {
+    DemoPlainCall {
         class: route.class.clone(),
         path: format!("/svc/{}{}/{count}", system.plain_service, route.prefix),
         key: system.any_key(),
@@ -346,7 +346,7 @@
 }
 
 /// Sends a plain call twice, like a caller that didn't get the first answer; it must run only once.
-async fn plain_call(client: HttpClient, call: PlainCall) -> FinishedCall {
+async fn plain_call(client: HttpClient, call: DemoPlainCall) -> FinishedCall {
     let mut result = CallerResult::Cut;
     for attempt in 0..2 {
         let started = Instant::now();
--- a/src/commands/demo/system.rs
+++ b/src/commands/demo/system.rs
@@ -11,8 +11,8 @@
 use crate::modules::serve::context::Context;
 use bridgevane_config::{ConfigProblems, Document, Envelope, EnvelopeError, ServiceKind};
 use bridgevane_standins::{
-    EngineSpec, EngineStandin, EngineStandinSettings, Fault, PlainStandin, PlatformSettings,
-    PlatformStandin, StandinError, StandinServer, serve as serve_standin,
+    EngineSpec, EngineStandin, EngineStandinSettings, PlainStandin, PlatformSettings,
+    PlatformStandin, StandinError, StandinFault, StandinServer, serve as serve_standin,
 };
 use bridgevane_types::{
     ConfigVersion, DataCentreId, DurationMs, Incarnation, ModelName, ServiceName, Slots,
@@ -72,41 +72,41 @@
 
 impl Faults {
     pub(super) fn begin(&self, kind: FaultKind) {
-        let one = |fault: Fault| self.engines[0].set_fault(fault);
-        let all = |fault: Fault| {
+        let one = |fault: StandinFault| self.engines[0].set_fault(fault);
+        let all = |fault: StandinFault| {
             self.engines
                 .iter()
                 .for_each(|engine| engine.set_fault(fault))
         };
         match kind {
             FaultKind::None => {}
-            FaultKind::SlowEngine => one(Fault {
+            FaultKind::SlowEngine => one(StandinFault {
                 slowdown: 10.0,
-                ..Fault::default()
+                ..StandinFault::default()
             }),
-            FaultKind::CrashEngine => one(Fault {
+            FaultKind::CrashEngine => one(StandinFault {
                 crash: true,
-                ..Fault::default()
+                ..StandinFault::default()
             }),
-            FaultKind::KvOutage => self.platform.set_fault(Fault {
+            FaultKind::KvOutage => self.platform.set_fault(StandinFault {
                 is_down: true,
-                ..Fault::default()
+                ..StandinFault::default()
             }),
-            FaultKind::LateReports => all(Fault {
+            FaultKind::LateReports => all(StandinFault {
                 load_lag_ms: DurationMs(2_000),
-                ..Fault::default()
+                ..StandinFault::default()
             }),
-            FaultKind::LostCacheEvents => all(Fault {
+            FaultKind::LostCacheEvents => all(StandinFault {
                 lose_cache_events: u32::MAX,
-                ..Fault::default()
+                ..StandinFault::default()
             }),
         }
     }
 
     pub(super) fn end(&self) {
-        self.platform.set_fault(Fault::default());
+        self.platform.set_fault(StandinFault::default());
         for engine in &self.engines {
-            engine.set_fault(Fault::default());
+            engine.set_fault(StandinFault::default());
         }
     }
 }
