--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,7 +1,7 @@
 //! Checks the gateway's guarantees over the record of a run.
 
-use crate::history::{Call, CallEnd, History, RequestArrival, RouteKind};
-use bridgevane_platform_emulator::Wish;
+use crate::history::{CallEnd, History, RecordedCall, RequestArrival, RouteKind};
+use bridgevane_platform_emulator::Announcement;
 use derive_more::Display;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -175,7 +175,7 @@
 }
 
 /// Finds a success whose signature or body isn't the worker's.
-fn wrong_answer(history: &History, call: &Call) -> Option<Violation> {
+fn wrong_answer(history: &History, call: &RecordedCall) -> Option<Violation> {
     let CallEnd::Answered {
         status,
         is_signed,
@@ -198,14 +198,14 @@
 }
 
 /// Finds a request that ran more often than its route permits.
-fn ran_too_often(call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+fn ran_too_often(call: &RecordedCall, runs: &RunsById<'_>) -> Option<Violation> {
     let times = runs.get(call.id.as_str()).copied().unwrap_or(0);
     let id = call.id.clone();
     (times > 1 && !call.kind.may_repeat()).then_some(Violation::RanTooOften { id, times })
 }
 
 /// Finds a request that ran although the status of its answer guarantees that it didn't.
-fn ran_despite_refusal(call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+fn ran_despite_refusal(call: &RecordedCall, runs: &RunsById<'_>) -> Option<Violation> {
     let CallEnd::Answered { status, .. } = call.end else {
         return None;
     };
@@ -216,7 +216,11 @@
 }
 
 /// Finds a request that was sent with a removed key after the bound, and that ran.
-fn ran_with_removed_key(history: &History, call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+fn ran_with_removed_key(
+    history: &History,
+    call: &RecordedCall,
+    runs: &RunsById<'_>,
+) -> Option<Violation> {
     if !runs.contains_key(call.id.as_str()) {
         return None;
     }
@@ -234,7 +238,7 @@
 
 /// Finds a request that a worker ran but whose answer was cut while its daemon performed a planned
 /// stop, without any unplanned fault.
-fn cut_by_stop(history: &History, call: &Call, runs: &RunsById<'_>) -> Option<Violation> {
+fn cut_by_stop(history: &History, call: &RecordedCall, runs: &RunsById<'_>) -> Option<Violation> {
     if !matches!(call.end, CallEnd::CutInside | CallEnd::CutBefore)
         || !runs.contains_key(call.id.as_str())
     {
@@ -286,13 +290,16 @@
 /// Finds a worker that got more requests than its limit allows from daemons that had forwarded an
 /// answer announcing the limit.
 fn limit_exceeded(history: &History) -> Vec<Violation> {
-    let informed =
-        InformedDaemons::from_history(history, |announced| matches!(announced, Wish::Limit(_)));
+    let informed = InformedDaemons::from_history(history, |announced| {
+        matches!(announced, Announcement::Limit(_))
+    });
     let from_informed: Vec<(&RequestArrival, f64)> = history
         .arrivals
         .iter()
         .filter_map(|arrival| match arrival.announcement {
-            Some(Wish::Limit(limit)) if informed.has_known(history, arrival, REACTION_BOUND) => {
+            Some(Announcement::Limit(limit))
+                if informed.has_known(history, arrival, REACTION_BOUND) =>
+            {
                 Some((arrival, limit))
             }
             _ => None,
@@ -317,9 +324,10 @@
 
 /// Finds requests at leaving workers from daemons that had forwarded an answer announcing it.
 fn sent_to_leaving(history: &History) -> Vec<Violation> {
-    let informed = InformedDaemons::from_history(history, |announced| *announced == Wish::Leaving);
+    let informed =
+        InformedDaemons::from_history(history, |announced| *announced == Announcement::Leaving);
     let late = history.arrivals.iter().filter(|arrival| {
-        arrival.announcement == Some(Wish::Leaving)
+        arrival.announcement == Some(Announcement::Leaving)
             && informed.has_known(history, arrival, DRAIN_BOUND)
     });
     late.map(|arrival| Violation::SentToLeaving {
@@ -337,7 +345,7 @@
         calls.map(|call| (call.id.as_str(), call.daemon)).collect();
     let daemon_of = |arrival: &RequestArrival| daemon_of.get(arrival.id.as_str()).copied();
     let backoffs = history.arrivals.iter().filter_map(|arrival| {
-        let Some(Wish::Rest(backoff)) = arrival.announcement else {
+        let Some(Announcement::Backoff(backoff)) = arrival.announcement else {
             return None;
         };
         Some((arrival, daemon_of(arrival)?, backoff))
@@ -370,9 +378,10 @@
 }
 
 impl<'a> InformedDaemons<'a> {
-    fn from_history(history: &'a History, is_expected: impl Fn(&Wish) -> bool) -> Self {
+    fn from_history(history: &'a History, is_expected: impl Fn(&Announcement) -> bool) -> Self {
         let calls = history.calls.iter();
-        let by_id: HashMap<&str, &Call> = calls.map(|call| (call.id.as_str(), call)).collect();
+        let by_id: HashMap<&str, &RecordedCall> =
+            calls.map(|call| (call.id.as_str(), call)).collect();
         let mut informed_at = HashMap::new();
         for arrival in &history.arrivals {
             let Some(call) = by_id.get(arrival.id.as_str()) else {
@@ -417,12 +426,13 @@
 fn not_recovered(history: &History) -> Option<Violation> {
     let from = history.undisturbed_from + RECOVERY_BOUND;
     let removed: HashSet<&str> = history.removals.iter().map(|r| r.key.as_str()).collect();
-    let sent: Vec<&Call> = history
+    let sent: Vec<&RecordedCall> = history
         .calls
         .iter()
         .filter(|call| call.sent_at >= from && !removed.contains(call.key.as_str()))
         .collect();
-    let is_served = |call: &&&Call| matches!(call.end, CallEnd::Answered { status: 200, .. });
+    let is_served =
+        |call: &&&RecordedCall| matches!(call.end, CallEnd::Answered { status: 200, .. });
     let served = sent.iter().filter(is_served).count();
     let sent = sent.len();
     let required = sent as f64 * MIN_SERVED_SHARE;
--- a/crates/soak/src/stage.rs
+++ b/crates/soak/src/environment.rs
@@ -2,12 +2,12 @@
 
 use crate::checks::KEY_REMOVAL_BOUND;
 use crate::history::{RequestArrival, Run};
-use crate::options::Options;
+use crate::options::SoakOptions;
 use crate::plan::{Link, LinkMode};
-use crate::processes::{Daemon, DaemonSettings};
+use crate::processes::{DaemonProcess, DaemonSettings};
 use crate::proxy::Proxy;
 use bridgevane_platform_emulator::{
-    Behaviour, CONFIG_KEY, MODEL, PLAIN, Store, Worker, document_with_keys,
+    Behaviour, CONFIG_KEY, EmulatedStore, MODEL, PLAIN, Worker, document_with_keys,
 };
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -45,8 +45,8 @@
 /// The store, daemons, workers and proxies of a run.
 #[derive(Debug)]
 pub(crate) struct Environment {
-    pub(crate) store: Store,
-    pub(crate) daemons: Vec<Daemon>,
+    pub(crate) store: EmulatedStore,
+    pub(crate) daemons: Vec<DaemonProcess>,
     proxies: Vec<Proxies>,
     positions: Vec<WorkerPosition>,
     replaced: Vec<Worker>,
@@ -105,10 +105,10 @@
 
 impl Environment {
     /// Starts the store, workers, proxies and daemons.
-    pub(crate) async fn start(options: &Options) -> Result<Self, std::io::Error> {
-        let scale = options.scale;
+    pub(crate) async fn start(options: &SoakOptions) -> Result<Self, std::io::Error> {
+        let size = options.size;
         let mut environment = Self {
-            store: Store::start().await,
+            store: EmulatedStore::start().await,
             daemons: Vec::new(),
             proxies: Vec::new(),
             positions: Vec::new(),
@@ -119,7 +119,7 @@
             started: Instant::now(),
         };
         environment.change_config();
-        for at in 0..scale.workers {
+        for at in 0..size.workers {
             let service = if at % 2 == 0 { PLAIN } else { MODEL };
             let position = environment.start_worker(service).await?;
             environment.positions.push(position);
@@ -128,8 +128,8 @@
         Ok(environment)
     }
 
-    async fn start_daemons(&mut self, options: &Options) -> Result<(), std::io::Error> {
-        let count = options.scale.daemons;
+    async fn start_daemons(&mut self, options: &SoakOptions) -> Result<(), std::io::Error> {
+        let count = options.size.daemons;
         let ports = Ports::new();
         let mut peers = Vec::new();
         for _ in 0..count {
@@ -158,7 +158,7 @@
                 key_removal_ms: KEY_REMOVAL_BOUND.as_millis(),
                 serves_stale: options.serves_stale,
             };
-            let daemon = Daemon::start(&options.program, &options.folder, settings)?;
+            let daemon = DaemonProcess::start(&options.program, &options.folder, settings)?;
             self.daemons.push(daemon);
             self.proxies.push(proxies);
         }
@@ -203,12 +203,14 @@
     }
 
     pub(crate) fn set_behaviour(&self, at: usize, behaviour: Behaviour) {
-        self.positions[at].worker.behave(behaviour);
+        self.positions[at].worker.set_behaviour(behaviour);
     }
 
     pub(crate) fn restore_behaviour(&self, at: usize) {
         let position = &self.positions[at];
-        position.worker.behave(normal_behaviour(position.service));
+        position
+            .worker
+            .set_behaviour(normal_behaviour(position.service));
     }
 
     /// Returns the worker that holds a position now.
@@ -272,7 +274,7 @@
                 id: arrival.id,
                 worker: worker.id.clone(),
                 at: Instant::from_std(arrival.at).duration_since(self.started),
-                announcement: arrival.wish,
+                announcement: arrival.announcement,
             });
             arrived.collect::<Vec<_>>()
         };
@@ -283,10 +285,10 @@
     pub(crate) fn runs(&self) -> Vec<Run> {
         let all = self.all_workers();
         all.flat_map(|worker| {
-            worker.runs().into_iter().map(|ran| Run {
-                id: ran.id,
+            worker.executed_requests().into_iter().map(|request| Run {
+                id: request.id,
                 worker: worker.id.clone(),
-                at: Instant::from_std(ran.at).duration_since(self.started),
+                at: Instant::from_std(request.at).duration_since(self.started),
             })
         })
         .collect()
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,6 +1,6 @@
 //! The record of a run: calls of callers, runs at workers, and injected faults.
 
-use bridgevane_platform_emulator::Wish;
+use bridgevane_platform_emulator::Announcement;
 use std::time::Duration;
 
 /// How often a route's requests may run, and how they are answered.
@@ -54,7 +54,7 @@
 
 /// One call of a caller.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct RecordedCall {
     /// The request's id.
     pub id: String,
     /// The route's kind.
@@ -92,7 +92,7 @@
     /// When it arrived.
     pub at: Duration,
     /// What the answer announced.
-    pub announcement: Option<Wish>,
+    pub announcement: Option<Announcement>,
 }
 
 /// The removal of an API key, acknowledged by the store.
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// The calls of all callers.
-    pub calls: Vec<Call>,
+    pub calls: Vec<RecordedCall>,
     /// The runs at all workers.
     pub runs: Vec<Run>,
     /// The requests that reached workers.
