--- a/crates/decisions/src/configs/admission.rs
+++ b/crates/decisions/src/configs/admission.rs
@@ -15,15 +15,15 @@
     pub preempt_slack_ms: f64,
     /// The maximum of `preempt_slack_ms` as a share of the first-token target.
     pub max_preempt_slack_share: f64,
-    /// The share of the first-token target by which a request may be late before it is refused.
+    /// The share of the first-token target by which a queued request may be late before it is refused.
     pub late_grace_share: f64,
     /// One in this many slots may run requests that have reached their class's longest wait.
     pub slots_per_aged_request: u32,
     /// The share of the first-token target after which a class counts as starved, if its
     /// configuration sets no longest wait.
     pub default_max_wait_share: f64,
-    /// The share of the first-token target that an expected wait may exceed it by before the
-    /// request is refused.
+    /// The share of the first-token target by which the expected time to first token of a new
+    /// request may exceed the target before the request is refused.
     pub refuse_margin_share: f64,
     /// The minimum `Retry-After` of a refusal (ms).
     pub min_retry_after_ms: u64,
--- a/crates/decisions/src/configs/engine_health.rs
+++ b/crates/decisions/src/configs/engine_health.rs
@@ -7,8 +7,8 @@
     pub slow_factor: f64,
     /// The number of consecutive slow checks that eject an engine.
     pub slow_checks: u32,
-    /// The number of refused requests or broken streams, without tokens between them, that ejects
-    /// an engine.
+    /// The number of refused requests or broken streams, without tokens at normal speed between
+    /// them, that ejects an engine.
     pub refusals: u32,
     /// The interval at which engines are checked (ms).
     pub check_every_ms: u64,
--- a/crates/decisions/src/configs/estimates.rs
+++ b/crates/decisions/src/configs/estimates.rs
@@ -14,7 +14,7 @@
     pub answers_per_generation: u64,
     /// The number of answers of a customer from which on its own sketch is used.
     pub min_customer_answers: u64,
-    /// The maximum number of sketches per customer and kind.
+    /// The maximum number of sketches in a pool that cover one kind of one customer.
     pub max_customer_sketches: usize,
 }
 
--- a/crates/decisions/src/crash_count.rs
+++ b/crates/decisions/src/crash_count.rs
@@ -14,7 +14,7 @@
 //!   earlier crash. Processes that are killed together crash under whatever they run, such as
 //!   identical requests of a client that polls.
 //! - A successful answer clears the request of all earlier crashes: a client that polls with
-//!   identical requests isn't the cause of the crashes that happened beside them.
+//!   identical requests isn't the cause of the crashes that happened while they ran.
 //! - A crash under a request that is already under quarantine is attributed to that request, and
 //!   counts for no other request that was running there.
 //!
@@ -43,7 +43,7 @@
 /// because of this window.
 pub const SAME_CRASH_WINDOW: DurationMs = DurationMs(50);
 /// The maximum number of crashes kept per request: a single request doesn't cause that many within
-/// one window.
+/// one [`SAME_CRASH_WINDOW`].
 const MAX_CRASHES: usize = 16;
 /// The duration of a quarantine, and the time for which a crash counts. It is the longest lease of
 /// the users' store, under which a quarantine survives the restart of all daemons. A longer one
@@ -336,12 +336,14 @@
         }
         let mut observations: Vec<(ObservationCursor, CrashObservation<E>)> =
             self.all_observations().collect();
-        observations.retain(|(at, _)| *at > cursor);
-        observations.sort_unstable_by_key(|(at, _)| *at);
-        let is_cut = observations.len() > max;
+        observations.retain(|(position, _)| *position > cursor);
+        observations.sort_unstable_by_key(|(position, _)| *position);
+        let is_truncated = observations.len() > max;
         observations.truncate(max);
-        let last = observations.last().map_or(self.newest, |(at, _)| *at);
-        let up_to = if is_cut { last } else { self.newest };
+        let last = observations
+            .last()
+            .map_or(self.newest, |(position, _)| *position);
+        let up_to = if is_truncated { last } else { self.newest };
         (
             observations
                 .into_iter()
--- a/crates/decisions/src/decision_log.rs
+++ b/crates/decisions/src/decision_log.rs
@@ -15,7 +15,7 @@
     /// A request was offered to the pool.
     #[display("{request} of class {class}, tier {tier}, asks to be served")]
     Offered {
-        /// The request.
+        /// The offered request.
         request: RequestId,
         /// The request's class.
         class: ClassIx,
@@ -29,7 +29,7 @@
     /// The request waits in its queue.
     #[display("{request} waits, first token expected in {expected_ms} ms")]
     Queued {
-        /// The request.
+        /// The waiting request.
         request: RequestId,
         /// The expected time to first token.
         expected_ms: DurationMs,
@@ -39,11 +39,11 @@
         "{request} attempt {attempt} goes to engine {engine}, {cached_tokens} tokens cached there"
     )]
     Dispatched {
-        /// The request.
+        /// The dispatched request.
         request: RequestId,
-        /// The attempt.
+        /// The number of the new attempt.
         attempt: AttemptNumber,
-        /// The engine.
+        /// The engine that has to run the attempt.
         engine: EndpointIx,
         /// The number of prompt tokens expected in the engine's prefix cache.
         cached_tokens: Tokens,
@@ -54,11 +54,11 @@
     /// An attempt was cancelled at its engine.
     #[display("{request} attempt {attempt} is cancelled at its engine: {cause}")]
     Cancelled {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// The attempt.
+        /// The number of the cancelled attempt.
         attempt: AttemptNumber,
-        /// The reason.
+        /// The reason for cancelling.
         cause: CancelCause,
         /// The tier that gets the slot, if preempted.
         for_tier: Option<Tier>,
@@ -66,9 +66,9 @@
     /// An attempt ended without a complete answer.
     #[display("{request} attempt {attempt} was lost; may have run: {may_have_run}")]
     Lost {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// The attempt.
+        /// The number of the lost attempt.
         attempt: AttemptNumber,
         /// Whether the attempt may have run.
         may_have_run: bool,
@@ -77,7 +77,7 @@
     /// drained.
     #[display("engine {engine} is in use: {is_in_use}")]
     EngineUse {
-        /// The engine.
+        /// The engine whose use changed.
         engine: EndpointIx,
         /// Whether its slots can be given to requests.
         is_in_use: bool,
@@ -85,9 +85,9 @@
     /// The answer is complete.
     #[display("{request} attempt {attempt} is done, {tokens} tokens")]
     Done {
-        /// The request.
+        /// The answered request.
         request: RequestId,
-        /// The attempt.
+        /// The number of the attempt that completed the answer.
         attempt: AttemptNumber,
         /// The length of the answer.
         tokens: Tokens,
@@ -95,9 +95,9 @@
     /// The request was refused: this is its final answer.
     #[display("{request} is refused: {code}, {outcome}")]
     Refused {
-        /// The request.
+        /// The refused request.
         request: RequestId,
-        /// The reason.
+        /// The reason, as reported to the caller.
         code: RefusalCode,
         /// Whether the request ran.
         outcome: Outcome,
--- a/crates/decisions/src/effect.rs
+++ b/crates/decisions/src/effect.rs
@@ -23,11 +23,11 @@
 pub enum Effect {
     /// Send an attempt to an engine.
     Dispatch {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The attempt.
+        /// The number of the new attempt.
         attempt: AttemptNumber,
-        /// The engine.
+        /// The engine that has to run the attempt.
         engine: EndpointIx,
         /// The priority inside the engine.
         priority: Tier,
@@ -38,20 +38,20 @@
     },
     /// Cancel an attempt at its engine; later output of the attempt is dropped.
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// The attempt.
+        /// The number of the attempt to cancel.
         attempt: AttemptNumber,
-        /// The engine.
+        /// The engine that runs the attempt.
         engine: EndpointIx,
-        /// The reason.
+        /// The reason for cancelling.
         cause: CancelCause,
     },
     /// Refuse a request: this is its final answer.
     Refuse {
-        /// The request.
+        /// The request to refuse.
         request: RequestId,
-        /// The reason.
+        /// The reason, as reported to the caller.
         code: RefusalCode,
         /// Whether the request ran.
         outcome: Outcome,
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -8,13 +8,13 @@
 /// A request offered to a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// The request's id.
+    /// The request's id, by which later events and effects name it.
     pub request: RequestId,
-    /// The request's class.
+    /// The class, which sets the request's tier and targets.
     pub class: ClassIx,
-    /// The request's customer.
+    /// The customer whose limits and fair share apply.
     pub customer: CustomerIx,
-    /// The request's kind.
+    /// The kind, by which answer lengths are estimated.
     pub kind: KindIx,
     /// The number of prompt tokens.
     pub prompt_tokens: Tokens,
--- a/crates/decisions/src/modules/customer_limits.rs
+++ b/crates/decisions/src/modules/customer_limits.rs
@@ -14,6 +14,7 @@
 #[derive(Clone, Debug, Default)]
 struct Usage {
     in_flight: u32,
+    /// The output tokens spent from the burst; the customer's rate reduces them over time.
     spent_tokens: f64,
     updated_at: TimeMs,
 }
--- a/crates/decisions/src/modules/engine_load.rs
+++ b/crates/decisions/src/modules/engine_load.rs
@@ -66,8 +66,8 @@
             .min(MAX_SAMPLES as u64);
         let carried = self.samples[(self.newest_interval % MAX_SAMPLES as u64) as usize];
         for step in 0..missed {
-            let at = (interval - step) % MAX_SAMPLES as u64;
-            self.samples[at as usize] = carried;
+            let index = (interval - step) % MAX_SAMPLES as u64;
+            self.samples[index as usize] = carried;
         }
         if missed > 0 {
             self.samples[(interval % MAX_SAMPLES as u64) as usize] = self.in_flight;
--- a/crates/decisions/src/modules/estimates.rs
+++ b/crates/decisions/src/modules/estimates.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 
-/// The maximum length that a sketch records. No model gives longer answers.
+/// The maximum length (tokens) that a sketch records. No model gives longer answers.
 const MAX_LENGTH: u64 = 1 << 20;
 /// The significant digits of a sketch. With one digit a sketch takes 1.9 KB, and an estimate needs
 /// no more. See docs/CAPACITY.md.
@@ -98,8 +98,8 @@
 
     /// Adds kinds that are new in the configuration.
     pub(crate) fn set_kinds(&mut self, expected_tokens: impl Iterator<Item = f64>) {
-        for (at, expected) in expected_tokens.enumerate() {
-            if at >= self.by_kind.len() {
+        for (index, expected) in expected_tokens.enumerate() {
+            if index >= self.by_kind.len() {
                 self.by_kind.push(LengthSketch::new(expected));
             }
         }
--- a/crates/decisions/src/modules/fair_queue.rs
+++ b/crates/decisions/src/modules/fair_queue.rs
@@ -1,8 +1,8 @@
 //! The queue of one class, fair among its customers.
 //!
 //! Each customer has a virtual time that advances with the work (ms) of its dequeued requests; the
-//! customer with the lowest virtual time goes next. Requests that are requeued after a preemption
-//! or a lost attempt go before all others: their callers already wait for the rest.
+//! customer with the lowest virtual time is next. Requests that are requeued after a preemption or a
+//! lost attempt are served before all others: their callers may already have part of the answer.
 
 use crate::index::CustomerIx;
 use bridgevane_types::RequestId;
@@ -10,6 +10,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct CustomerQueue {
+    /// The waiting requests, each with its expected work (ms).
     requests: VecDeque<(RequestId, f64)>,
     virtual_time: u64,
     work_ms: f64,
@@ -18,6 +19,7 @@
 /// A queue that shares work fairly among customers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
+    /// The requeued requests of all customers, each with its expected work (ms).
     requeued: VecDeque<(RequestId, f64)>,
     customers: HashMap<CustomerIx, CustomerQueue>,
     by_virtual_time: BTreeSet<(u64, CustomerIx)>,
@@ -35,7 +37,7 @@
         self.len == 0
     }
 
-    /// Returns the expected work (ms) that goes before a new request of `customer`.
+    /// Returns the expected work (ms) ahead of a new request of `customer`.
     pub(crate) fn work_ahead_ms(&self, customer: CustomerIx) -> f64 {
         let own = self
             .customers
@@ -63,7 +65,7 @@
         self.work_ms += work_ms;
     }
 
-    /// Adds a requeued request, which goes before those that never ran.
+    /// Adds a requeued request, which is served before those that never ran.
     pub(crate) fn push_requeued(&mut self, request: RequestId, work_ms: f64) {
         self.requeued.push_back((request, work_ms));
         self.len += 1;
@@ -75,7 +77,7 @@
         self.requeued.iter().map(|(request, _)| *request)
     }
 
-    /// Returns the request that goes next.
+    /// Returns the next request.
     pub(crate) fn peek(&self) -> Option<RequestId> {
         if let Some((request, _)) = self.requeued.front() {
             return Some(*request);
@@ -85,7 +87,7 @@
         queue.requests.front().map(|(request, _)| *request)
     }
 
-    /// Removes and returns the request that goes next.
+    /// Removes and returns the next request.
     pub(crate) fn pop(&mut self) -> Option<RequestId> {
         if let Some((request, work_ms)) = self.requeued.pop_front() {
             self.subtract_work(work_ms);
@@ -108,8 +110,8 @@
 
     /// Removes a request at any position; returns whether it was queued.
     pub(crate) fn remove(&mut self, request: RequestId, customer: CustomerIx) -> bool {
-        if let Some(at) = self.requeued.iter().position(|(id, _)| *id == request) {
-            if let Some((_, work_ms)) = self.requeued.remove(at) {
+        if let Some(index) = self.requeued.iter().position(|(id, _)| *id == request) {
+            if let Some((_, work_ms)) = self.requeued.remove(index) {
                 self.subtract_work(work_ms);
             }
             return true;
@@ -117,10 +119,10 @@
         let Some(queue) = self.customers.get_mut(&customer) else {
             return false;
         };
-        let Some(at) = queue.requests.iter().position(|(id, _)| *id == request) else {
+        let Some(index) = queue.requests.iter().position(|(id, _)| *id == request) else {
             return false;
         };
-        let Some((_, work_ms)) = queue.requests.remove(at) else {
+        let Some((_, work_ms)) = queue.requests.remove(index) else {
             return false;
         };
         queue.work_ms = (queue.work_ms - work_ms).max(0.0);
--- a/crates/decisions/src/modules/prefix_cache.rs
+++ b/crates/decisions/src/modules/prefix_cache.rs
@@ -44,11 +44,11 @@
         };
         if let Some(holders) = self.holders.get_mut(&block) {
             let same = |slot: &Option<Holder>| slot.is_some_and(|known| known.engine == engine);
-            let at = holders
+            let index = holders
                 .iter()
                 .position(same)
                 .unwrap_or_else(|| oldest_slot(holders));
-            holders[at] = Some(holder);
+            holders[index] = Some(holder);
             return;
         }
         let mut holders = [None; MAX_HOLDERS];
@@ -76,13 +76,13 @@
     /// Returns the engines that hold the longest known prefixes of `blocks`.
     pub fn holders_of(&self, now: TimeMs, blocks: &[u64], memory_ms: u64) -> Holders {
         let mut found: Holders = [None; MAX_HOLDERS];
-        for (at, block) in blocks.iter().enumerate().rev() {
+        for (index, block) in blocks.iter().enumerate().rev() {
             let Some(holders) = self.holders.get(block) else {
                 continue;
             };
             for holder in holders.iter().flatten() {
                 if now.since(holder.seen_at).0 <= memory_ms {
-                    add_holder(&mut found, holder.engine, at as u32 + 1);
+                    add_holder(&mut found, holder.engine, index as u32 + 1);
                 }
             }
             if found.iter().all(Option::is_some) {
@@ -95,7 +95,7 @@
 
 fn oldest_slot(holders: &[Option<Holder>; MAX_HOLDERS]) -> usize {
     let seen_at = |slot: &Option<Holder>| slot.map_or(TimeMs(0), |holder| holder.seen_at);
-    let oldest_slot = (0..MAX_HOLDERS).min_by_key(|at| seen_at(&holders[*at]));
+    let oldest_slot = (0..MAX_HOLDERS).min_by_key(|index| seen_at(&holders[*index]));
     // There is always an oldest slot, since MAX_HOLDERS isn't 0.
     oldest_slot.unwrap_or(0)
 }
--- a/crates/decisions/src/modules/request_lifecycle.rs
+++ b/crates/decisions/src/modules/request_lifecycle.rs
@@ -12,7 +12,7 @@
     /// The first token of the attempt arrived.
     FirstToken,
     /// The attempt was cancelled or lost; the request waits again.
-    Return,
+    Requeue,
     /// The request has its final answer, or its caller disconnected.
     End,
 }
@@ -72,7 +72,7 @@
     #[superstate(superstate = "alive")]
     fn running(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifecycleEvent::Return => Transition(State::queued()),
+            LifecycleEvent::Requeue => Transition(State::queued()),
             _ => Super,
         }
     }
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -21,8 +21,8 @@
     pub between_tokens_target_ms: Option<DurationMs>,
     /// The guaranteed share of the pool's slots.
     pub min_share: Share,
-    /// The wait after which the class may run a protected request; `None` derives it from the
-    /// first-token target.
+    /// The longest wait of the class: once a request has waited as long, the class may run a
+    /// protected request. `None` derives it from the first-token target.
     pub max_wait_ms: Option<DurationMs>,
 }
 
@@ -31,9 +31,9 @@
 pub struct CustomerPolicy {
     /// The customer's id.
     pub name: CustomerId,
-    /// The maximum of output tokens per second; `None` sets no limit.
+    /// The maximum number of output tokens per second; `None` sets no limit.
     pub rate_limit_tps: Option<TokensPerSecond>,
-    /// The maximum of requests in flight; `None` sets no limit.
+    /// The maximum number of requests in flight; `None` sets no limit.
     pub concurrency_limit: Option<Slots>,
 }
 
@@ -74,7 +74,7 @@
     ) -> Self {
         let names = customers.iter().enumerate();
         let customer_indexes = names
-            .map(|(at, customer)| (customer.name.clone(), CustomerIx(at as u32)))
+            .map(|(index, customer)| (customer.name.clone(), CustomerIx(index as u32)))
             .collect();
         Self {
             classes,
@@ -160,8 +160,8 @@
 
     /// Returns the index of a class.
     pub fn class_ix(&self, name: &ClassName) -> Option<ClassIx> {
-        let at = self.classes.iter().position(|class| class.name == *name)?;
-        Some(ClassIx(at as u16))
+        let index = self.classes.iter().position(|class| class.name == *name)?;
+        Some(ClassIx(index as u16))
     }
 
     /// Returns the index of a customer.
@@ -171,15 +171,15 @@
 
     /// Returns the index of a kind.
     pub fn kind_ix(&self, name: &KindName) -> Option<KindIx> {
-        let at = self.kinds.iter().position(|kind| kind.0 == *name)?;
-        Some(KindIx(at as u16))
+        let index = self.kinds.iter().position(|kind| kind.0 == *name)?;
+        Some(KindIx(index as u16))
     }
 }
 
 /// Replaces the entry that matches `is_same`, or appends a new one.
 fn replace_or_push<T>(entries: &mut Vec<T>, entry: T, is_same: impl Fn(&T) -> bool) {
     match entries.iter().position(is_same) {
-        Some(at) => entries[at] = entry,
+        Some(index) => entries[index] = entry,
         None => entries.push(entry),
     }
 }
--- a/crates/decisions/src/pool/admit.rs
+++ b/crates/decisions/src/pool/admit.rs
@@ -157,10 +157,10 @@
         });
     }
 
-    /// Returns the expected wait of a new request of `customer` (ms).
+    /// Returns the expected wait (ms) of a new request of `customer`.
     ///
     /// The work ahead of it runs on the slots that more important classes leave free. A class whose
-    /// longest wait is reached gets one protected slot, which bounds the wait.
+    /// longest wait is reached gets a protected slot, which bounds the wait.
     pub(super) fn expected_wait_ms<L: DecisionLog>(
         &self,
         context: &PoolContext<'_, L>,
@@ -275,8 +275,8 @@
     // A request with an unknown outcome must not be encouraged to run again. A request that engines
     // reject, or that crashes them, would be refused again.
     let is_final = matches!(code, RefusalCode::Rejected | RefusalCode::EndsEngines);
-    let may_come_back = outcome != Outcome::Unknown && !is_final;
-    let retry_after_ms = may_come_back.then_some(retry_after_ms);
+    let may_retry = outcome != Outcome::Unknown && !is_final;
+    let retry_after_ms = may_retry.then_some(retry_after_ms);
     context.effects.push(Effect::Refuse {
         request,
         code,
--- a/crates/decisions/src/pool/dispatch.rs
+++ b/crates/decisions/src/pool/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: which waiting request goes next, and to which engine.
+//! Dispatch: which waiting request is sent next, and to which engine.
 
 use super::entry::RunningAttempt;
 use super::{Pool, PoolEngine};
@@ -13,7 +13,7 @@
 use bridgevane_types::{AttemptNumber, RequestId, Tier, TimeMs, Tokens};
 use rand::RngExt;
 
-/// The class that goes next, and the reason for its choice.
+/// The class to serve next, and the reason for its choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ClassSelection {
     class: ClassIx,
@@ -105,7 +105,7 @@
         (!is_top || !has_lower || !has_others).then_some(class)
     }
 
-    /// Returns the class that goes next: one whose longest wait is reached, else one with credit of
+    /// Returns the class to serve next: one whose longest wait is reached, else one with credit of
     /// its guaranteed share, else the most important one; within a tier, the earliest deadline.
     fn select_class<L: DecisionLog>(&self, context: &PoolContext<'_, L>) -> Option<ClassSelection> {
         if let Some(class) = self.aged_class(context) {
@@ -165,7 +165,7 @@
             let has_slot = self.classes[class.index()].aged_running < per_class;
             has_slot && waited_ms >= self.max_wait_ms(**class, context.settings)
         };
-        // The most important class is skipped: it goes first by its tier.
+        // The most important class is skipped: its tier makes it first anyway.
         self.class_order.iter().skip(1).find(is_aged).copied()
     }
 
--- a/crates/decisions/src/pool/entry.rs
+++ b/crates/decisions/src/pool/entry.rs
@@ -30,12 +30,15 @@
     pub(super) offer: Offer,
     pub(super) lifecycle: RequestLifecycle,
     pub(super) arrived_at: TimeMs,
-    /// The start of its wait, moved forward by the time for which it ran.
+    /// The start of its wait. Once tokens are delivered, the time for which it ran doesn't count.
     pub(super) waiting_since: TimeMs,
     /// The time for which it had waited at its last dispatch (ms).
     pub(super) waited_ms: u64,
+    /// The time at which the first token is due.
     pub(super) deadline: TimeMs,
+    /// The number of tokens that the caller has.
     pub(super) delivered: u64,
+    /// The expected length of the answer, as estimated when the request arrived.
     pub(super) expected_tokens: f64,
     pub(super) running: Option<RunningAttempt>,
     /// The engine on which it failed last: another one is preferred.
@@ -65,7 +68,7 @@
 
     /// Marks the request as waiting again.
     pub(super) fn return_to_queue(&mut self, now: TimeMs) {
-        self.lifecycle.handle(LifecycleEvent::Return);
+        self.lifecycle.handle(LifecycleEvent::Requeue);
         // All its waiting time counts, and so does the time of attempts without a token.
         // Otherwise a request that is preempted again and again never reaches the longest wait.
         self.waiting_since = match self.delivered {
@@ -80,7 +83,8 @@
     pub(super) fn resume_cost(&self) -> u64 {
         // Each preemption raises the cost of the next one, so that no request is preempted forever.
         const COST_PER_PREEMPTION: u64 = 4_096;
-        /// Estimates of the remaining tokens are no finer.
+        /// Delivered tokens count in steps of this size: estimates of the remaining tokens are no
+        /// finer.
         const DELIVERED_STEP: u64 = 64;
         let tokens = self.offer.prompt_tokens.0 + self.delivered / DELIVERED_STEP * DELIVERED_STEP;
         tokens + u64::from(self.preemptions) * COST_PER_PREEMPTION
--- a/crates/decisions/src/pool/maintain.rs
+++ b/crates/decisions/src/pool/maintain.rs
@@ -212,7 +212,7 @@
     }
 
     /// Returns whether a request has a slot but waits inside its engine for the prompts of others,
-    /// and its class's longest wait is reached. Dispatched again, it goes before them.
+    /// and its class's longest wait is reached. Dispatched again, it is processed before them.
     fn is_starved_in_engine<L: DecisionLog>(
         &self,
         context: &PoolContext<'_, L>,
@@ -269,7 +269,8 @@
         // A request with delivered tokens is never refused: its caller has part of the answer.
         let mut latest_ms = target_ms * (1.0 + admission.late_grace_share);
         if self.can_use_aged_slot(context, class) {
-            // The aged slot that it gets by the longest wait may take as long again to become free.
+            // The request gets an aged slot once its class's longest wait is reached; the slot may
+            // take as long again to become free.
             latest_ms += target_ms;
         }
         if waited_ms > latest_ms && delivered == 0 {
--- a/crates/decisions/src/pool/mod.rs
+++ b/crates/decisions/src/pool/mod.rs
@@ -53,9 +53,9 @@
     last_activity_at: TimeMs,
     /// The requests that this pool runs on the engine.
     running: Vec<RequestId>,
-    /// The number of observed crashes, which tells the engine's incarnations apart.
+    /// The number of observed crashes, which identifies the engine's incarnation.
     incarnation: u32,
-    /// Whether the engine has crashed and given no sign of life since.
+    /// Whether the engine has crashed and produced no first token or complete answer since.
     has_crashed: bool,
 }
 
@@ -92,9 +92,11 @@
     /// The counts of engine crashes by request.
     crashes: CrashCount<EngineIncarnation>,
     rng: Pcg64Mcg,
+    /// The number of waiting requests of all classes.
     queued: usize,
     last_tick_at: TimeMs,
     last_check_at: TimeMs,
+    /// The number of slots of all engines that are neither drained nor ejected.
     total_slots: f64,
     /// Whether any engine is on probation.
     has_engine_on_probation: bool,
--- a/crates/decisions/src/pool/recover.rs
+++ b/crates/decisions/src/pool/recover.rs
@@ -105,8 +105,8 @@
     }
 
     /// Handles a stream that an engine broke off. One broken stream doesn't eject the engine: in a
-    /// pool of two, one fault on each would leave none. A second one without a token in between
-    /// does.
+    /// pool of two, one fault on each would leave none. A second one without tokens at normal speed
+    /// in between does.
     pub(super) fn on_stream_lost<L: DecisionLog>(
         &mut self,
         context: &mut PoolContext<'_, L>,
