--- a/crates/coordination/src/modules/call_budget.rs
+++ b/crates/coordination/src/modules/call_budget.rs
@@ -53,6 +53,7 @@
     config: CallBudgetConfig,
     reads: Bucket,
     writes: Bucket,
+    /// The number of failures since the last success.
     failures: u32,
     paused_until: TimeMs,
     rng: Pcg64Mcg,
--- a/crates/coordination/src/modules/gossip.rs
+++ b/crates/coordination/src/modules/gossip.rs
@@ -163,11 +163,11 @@
         if member.state != MemberState::Suspect {
             return vec![update];
         }
-        let accused = |accuser: &VmId| MemberUpdate {
+        let suspicion_by = |accuser: &VmId| MemberUpdate {
             accuser: Some(accuser.clone()),
             ..update.clone()
         };
-        member.accusers.iter().map(accused).collect()
+        member.accusers.iter().map(suspicion_by).collect()
     }
 
     /// Returns the updates to send with the next heartbeat, those sent least often first.
--- a/crates/coordination/src/modules/key_registry.rs
+++ b/crates/coordination/src/modules/key_registry.rs
@@ -42,11 +42,11 @@
 /// The answer of a call, kept for repetitions of the call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredAnswer {
-    /// HTTP status.
+    /// The HTTP status of the answer.
     pub status: u16,
-    /// Content type; empty if the answer has none.
+    /// The answer's content type; empty if it has none.
     pub content_type: String,
-    /// Body.
+    /// The answer's body; empty if it was too large to keep.
     pub body: Vec<u8>,
 }
 
@@ -63,7 +63,7 @@
     Unknown,
     /// The key was used for a different call.
     Mismatch,
-    /// This daemon was the home before and has to be asked.
+    /// The daemon of this VM is the key's home among the older daemons and has to be asked.
     AskEarlierHome(VmId),
     /// There is no older daemon that could know the key.
     NoOlderDaemon,
@@ -111,6 +111,7 @@
     own: KeyMember,
     started_at: TimeMs,
     entries: HashMap<String, KeyEntry>,
+    /// The keys whose calls have ended, with the time of the end, oldest first.
     expiry_queue: VecDeque<(TimeMs, String)>,
     lost: BTreeMap<VmId, LostMember>,
 }
@@ -144,7 +145,7 @@
             return self.start_run(claim);
         }
         match self.older_home(&claim.key, members) {
-            Some(before) => Verdict::AskEarlierHome(before),
+            Some(older_home) => Verdict::AskEarlierHome(older_home),
             None => Verdict::NoOlderDaemon,
         }
     }
--- a/crates/coordination/src/modules/member.rs
+++ b/crates/coordination/src/modules/member.rs
@@ -25,7 +25,7 @@
 /// An update about a node that nodes send each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberUpdate {
-    /// The node.
+    /// The VM of the node that the update is about.
     pub vm: VmId,
     /// The address at which the node listens for other nodes.
     pub address: SocketAddr,
--- a/crates/coordination/src/modules/membership.rs
+++ b/crates/coordination/src/modules/membership.rs
@@ -20,14 +20,14 @@
 pub enum MembershipEffect {
     /// Send a heartbeat.
     Heartbeat {
-        /// The receiving node.
+        /// The VM of the receiving node.
         vm: VmId,
-        /// The receiver's address.
+        /// The address at which the receiving node listens for other nodes.
         address: SocketAddr,
     },
     /// The view of a node changed.
     Changed {
-        /// The node.
+        /// The VM of the node whose state changed.
         vm: VmId,
         /// The node's new state.
         state: MemberState,
@@ -104,11 +104,11 @@
 
     /// Returns the incarnations of the live nodes, in the order of [`Membership::live_vms`].
     pub fn live_incarnations(&self) -> Vec<Incarnation> {
-        let of = |vm: &VmId| match self.members.get(vm) {
+        let incarnation_of = |vm: &VmId| match self.members.get(vm) {
             Some(member) => member.incarnation,
             None => self.own.incarnation,
         };
-        self.live_vms().iter().map(of).collect()
+        self.live_vms().iter().map(incarnation_of).collect()
     }
 
     /// Returns all known nodes except this one.
@@ -152,8 +152,8 @@
         self.queue_own_update();
     }
 
-    /// Marks a node as leaving, as the platform's list shows; returns whether the node was not
-    /// leaving before.
+    /// Marks a node as leaving, as the platform's list shows; returns false if the node is unknown,
+    /// dead or already leaving.
     pub fn mark_leaving(
         &mut self,
         now: TimeMs,
--- a/crates/coordination/src/modules/rollout.rs
+++ b/crates/coordination/src/modules/rollout.rs
@@ -14,7 +14,7 @@
 /// The model, versions, engines and limits of a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutPlan {
-    /// The model.
+    /// The model whose version changes.
     pub model: ModelName,
     /// The version before the rollout.
     pub from_version: u64,
@@ -53,7 +53,7 @@
     RolledBack,
 }
 
-/// The engines' versions and the burn rate at one moment.
+/// The engines' versions and the burn rate at one point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutObservation {
     /// The time of the observation.
@@ -69,7 +69,7 @@
 /// An order for an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// The engine.
+    /// The engine that gets the order.
     pub engine: EndpointId,
     /// The version that the engine has to run.
     pub version: u64,
--- a/crates/coordination/src/modules/timers.rs
+++ b/crates/coordination/src/modules/timers.rs
@@ -63,7 +63,8 @@
     pub(super) fn confirm_deaths(&mut self, now: TimeMs, effects: &mut Vec<MembershipEffect>) {
         let is_up = |member: &&Member| member.state != MemberState::Dead;
         let others = self.members.values().filter(is_up).count();
-        // The suspected node can't confirm its own death, this node can.
+        // Nodes that can confirm the death: all that are up except the suspected one, plus this node,
+        // which `others` doesn't count.
         let needed = self.config.required_accusers.min(others.max(1));
         let is_single_accuser = others < self.config.required_accusers;
         let wait_ms = if is_single_accuser {
