--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -1,8 +1,8 @@
 //! Sections and deltas, so that only the changed part of a document is sent to other daemons.
 //!
-//! A document of the design size has about 150 KB. At 2,900 changes a day, sending the whole
-//! document would take 5 KB/s of the 2 KB/s that each daemon has. A section is one class, customer,
-//! kind, service or rollout; a delta holds the sections that changed.
+//! A document of the size that the system is designed for has about 150 KB. At 2,900 changes a day,
+//! sending the whole document would take 5 KB/s, but each daemon has only 2 KB/s. A section is one
+//! class, customer, kind, service or rollout; a delta holds the sections that changed.
 
 use crate::document::Document;
 use bridgevane_types::ConfigVersion;
@@ -39,12 +39,12 @@
 /// Why a delta or sections can't be used.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum DeltaError {
-    /// The delta applies to another version than the one that is present.
+    /// The delta applies to another version than the one that this daemon has.
     #[display("the delta applies to version {from}, but this daemon has version {have}")]
     WrongBase {
         /// The version that the delta applies to.
         from: ConfigVersion,
-        /// The version that is present.
+        /// The version that this daemon has.
         have: ConfigVersion,
     },
     /// The result differs from the sender's sections.
@@ -76,7 +76,7 @@
 
 impl Document {
     /// Returns the document after changes of its sections. Only the changed sections are parsed:
-    /// parsing a whole document of the design size would be most of the cost of a change.
+    /// parsing a document of full size would be most of the cost of a change.
     ///
     /// # Errors
     /// [`DeltaError::Malformed`] if the result is not a valid document.
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -79,8 +79,8 @@
     /// The minimum share of each pool for this class, regardless of the load of higher tiers.
     #[serde(default)]
     pub min_share: Share,
-    /// How long a request may wait before one request of the class at a time gets a slot that no
-    /// other tier can use. Absent: four fifths of the first-token target.
+    /// How long a request may wait before its class gets at least one slot that no other tier can
+    /// use. Absent: four fifths of the first-token target.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_wait_ms: Option<DurationMs>,
     /// The share of requests that must meet the target; the rest is the error budget.
@@ -136,7 +136,7 @@
     Plain,
 }
 
-/// A service and its engines.
+/// A service and its workers: model engines or workers of a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
