--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -14,13 +14,13 @@
     /// The request, as text on the wire.
     #[serde(with = "request_text")]
     pub request: RequestId,
-    /// The attempt's number.
+    /// The number of the attempt, which each piece of the answer repeats.
     pub attempt: AttemptNumber,
     /// The priority; 0 is the highest.
     pub priority: Tier,
-    /// The model.
+    /// The model that generates the answer.
     pub model: ModelName,
-    /// The prompt.
+    /// The text of the prompt.
     pub prompt: String,
     /// The maximum length of the answer.
     pub max_tokens: Tokens,
@@ -157,7 +157,7 @@
 pub enum Order {
     /// Load a model at a version.
     LoadModel {
-        /// The model.
+        /// The model to load.
         model: ModelName,
         /// The model's version.
         model_version: u64,
--- a/crates/adapters/src/http_client.rs
+++ b/crates/adapters/src/http_client.rs
@@ -94,7 +94,7 @@
     /// above are errors.
     ///
     /// # Errors
-    /// As [`HttpClient::send`], [`HttpError::Status`], [`HttpError::Malformed`].
+    /// Those of [`HttpClient::send`], [`HttpError::Status`] and [`HttpError::Malformed`].
     pub(crate) async fn post_streaming<T: Serialize>(
         &self,
         path: &str,
@@ -125,7 +125,7 @@
     /// Sends `body` as JSON and reads the answer as JSON within `timeout`.
     ///
     /// # Errors
-    /// As [`HttpClient::post_streaming`], and [`HttpError::TimedOut`].
+    /// Those of [`HttpClient::post_streaming`], and [`HttpError::TimedOut`].
     pub(crate) async fn post_json<T: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
--- a/crates/adapters/src/http_engine.rs
+++ b/crates/adapters/src/http_engine.rs
@@ -34,6 +34,7 @@
     attempt: AttemptNumber,
 }
 
+/// The body of a call for the cache events after `sequence`.
 #[derive(Serialize)]
 struct AfterBody {
     sequence: u64,
--- a/crates/adapters/src/http_platform.rs
+++ b/crates/adapters/src/http_platform.rs
@@ -11,7 +11,7 @@
 
 /// The time limit of a call other than a watch; a healthy service answers within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time limit of a watch beyond its own wait; a slow service may take as long for any call.
+/// The time that a watch may take beyond its own wait: as long as any other call.
 const WATCH_SLACK: Duration = Duration::from_secs(2);
 
 /// The platform's services at an address.
--- a/crates/adapters/src/plain.rs
+++ b/crates/adapters/src/plain.rs
@@ -11,7 +11,7 @@
 pub struct PlainCall {
     /// The request's identifier.
     pub request: RequestId,
-    /// HTTP method.
+    /// The HTTP method of the client's request.
     pub method: http::Method,
     /// Path and query below the service.
     pub path: String,
@@ -19,22 +19,22 @@
     pub idempotency_key: Option<IdempotencyKey>,
     /// The client's content type, which is forwarded.
     pub content_type: Option<String>,
-    /// Body.
+    /// The client's body, which is forwarded.
     pub body: Bytes,
 }
 
 /// The service's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlainAnswer {
-    /// HTTP status.
+    /// The HTTP status of the answer.
     pub status: http::StatusCode,
-    /// Content type, if any.
+    /// The answer's content type, if it names one.
     pub content_type: Option<String>,
-    /// Body.
+    /// The answer's whole body.
     pub body: Bytes,
 }
 
-/// Why a call failed.
+/// Why a call of a plain service failed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum PlainCallError {
     /// No connection was made: the call did not run.
--- a/crates/adapters/src/platform.rs
+++ b/crates/adapters/src/platform.rs
@@ -26,7 +26,7 @@
 #[serde(transparent)]
 pub struct KvRevision(pub u64);
 
-/// A lease of the key-value service.
+/// The identifier of a lease of the key-value service.
 #[derive(Clone, Copy, Debug, Display, From, Into, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LeaseId(pub u64);
@@ -43,7 +43,7 @@
 /// A compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvCas {
-    /// The key.
+    /// The key to write.
     pub key: String,
     /// The revision that the key must have; `None` if the key must be absent.
     pub expected: Option<KvRevision>,
@@ -56,7 +56,7 @@
 /// A granted or renewed lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvLease {
-    /// The lease.
+    /// The lease's identifier.
     pub id: LeaseId,
     /// The lease's duration, counted from when the call was *sent*.
     pub ttl_ms: DurationMs,
