--- a/crates/protocol/src/handshake.rs
+++ b/crates/protocol/src/handshake.rs
@@ -17,7 +17,8 @@
 /// The oldest protocol version that this code understands; there has been only one version.
 pub const MIN_PROTOCOL_VERSION: u32 = 1;
 
-/// The side of a connection that sends a proof. The proof covers it, so that it can't be reflected.
+/// The side of a connection that sends a proof. The proof covers the role, so that the other side
+/// can't send a proof back as its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The side that connected.
