--- a/crates/types/src/boot_clock.rs
+++ b/crates/types/src/boot_clock.rs
@@ -1,4 +1,4 @@
-//! The clock by which every daemon measures the age of what it knows.
+//! The clock by which each daemon measures the age of its data.
 
 use crate::TimeMs;
 use rustix::time::{ClockId, clock_gettime};
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -71,7 +71,7 @@
     ClassName
 );
 text_id!(
-    /// A customer, identified by its keys.
+    /// A customer's identifier. Limits and usage are counted per customer.
     CustomerId
 );
 text_id!(
@@ -79,7 +79,8 @@
     DataCentreId
 );
 text_id!(
-    /// An endpoint: one incarnation of a service's worker, which is a model engine or a plain worker.
+    /// The identifier of an endpoint: a model engine or a worker of a plain service. A later process,
+    /// which is another incarnation, may have the same identifier.
     EndpointId
 );
 text_id!(
@@ -129,7 +130,8 @@
     FenceToken
 );
 number_id!(
-    /// Distinguishes successive incarnations of a VM under one name or address.
+    /// The number of an incarnation of a VM. A later incarnation under the same name or address has
+    /// a higher number.
     Incarnation
 );
 
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a request, in the words that clients get.
+//! The outcome of a request, as reported to clients.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
