--- a/crates/decisions/src/configs/admission.rs
+++ b/crates/decisions/src/configs/admission.rs
@@ -15,7 +15,8 @@
     pub preempt_slack_ms: f64,
     /// The maximum of `preempt_slack_ms` as a share of the first-token target.
     pub max_preempt_slack_share: f64,
-    /// The share of the first-token target by which a queued request may be late before it is refused.
+    /// The share of the first-token target by which a queued request may be late before it is
+    /// refused.
     pub late_grace_share: f64,
     /// One in this many slots may run requests that have reached their class's longest wait.
     pub slots_per_aged_request: u32,
