--- a/src/configs/gateway.rs
+++ b/src/configs/gateway.rs
@@ -101,7 +101,7 @@
     /// Reads and checks all settings.
     ///
     /// # Errors
-    /// All problems at once.
+    /// [`SettingProblems`] with all problems that were found.
     pub fn read(source: &impl SettingSource) -> Result<Self, SettingProblems> {
         let mut reader = SettingReader::new(source);
         let vm = reader.required("vm-id", NAME);
@@ -248,7 +248,7 @@
     DurationMs((seconds * MS_PER_S) as u64)
 }
 
-/// The platform's time limits.
+/// The platform's time limits for a drain, for a new configuration and for a stop.
 struct PlatformBounds {
     drain_ms: u64,
     config_apply_ms: u64,
--- a/src/configs/serve.rs
+++ b/src/configs/serve.rs
@@ -53,7 +53,7 @@
     /// Reads and checks all settings.
     ///
     /// # Errors
-    /// All problems at once.
+    /// [`SettingProblems`] with all problems that were found.
     pub fn read(source: &impl SettingSource) -> Result<Self, SettingProblems> {
         let mut reader = SettingReader::new(source);
         let vm: Required<VmId> = reader.required("vm-id", NAME);
--- a/src/configs/serving.rs
+++ b/src/configs/serving.rs
@@ -9,7 +9,7 @@
     pub max_body_bytes: usize,
     /// The time in which a caller must send its whole body.
     pub body_timeout_ms: DurationMs,
-    /// The number of answer chunks buffered for a slow caller.
+    /// The maximum number of an answer's tokens that are buffered for a slow caller.
     pub max_buffered_pieces: usize,
     /// The time after which a caller that reads nothing is disconnected.
     pub slow_reader_timeout_ms: DurationMs,
@@ -26,11 +26,12 @@
     pub polls_per_cache_read: u64,
     /// The interval at which pools handle timeouts.
     pub tick_every_ms: DurationMs,
-    /// The maximum number of tokens that a progress report to the pool covers...
+    /// The number of tokens after which an attempt reports its progress to the pool.
     pub progress_tokens: u64,
-    /// ...and the maximum time that it covers...
+    /// The time after which the next token is reported to the pool even if fewer tokens have
+    /// arrived.
     pub progress_ms: DurationMs,
-    /// ...while a gap of this length between two tokens is reported at once.
+    /// The length of a gap between two tokens that is reported to the pool at once.
     pub slow_gap_ms: DurationMs,
     /// The number of decisions that are kept for `explain request`.
     pub max_decisions: usize,
@@ -48,15 +49,17 @@
 /// The default of `poll_without_home_ms`: the reports are then the only information on the requests
 /// of other daemons. See docs/design/01.
 const POLL_WITHOUT_HOME: DurationMs = DurationMs(500);
-/// The default of `tick_every_ms`, which takes 0.07 % of a core at the size to design for. See
-/// docs/CAPACITY.md.
+/// The default of `tick_every_ms`, which takes 0.07 % of a core at the size that the product is
+/// designed for. See docs/CAPACITY.md.
 const TICK_EVERY: DurationMs = DurationMs(20);
 /// The default of `progress_ms`: with reports every 32 tokens or every second, the frames between
 /// daemons take 267 B per request of 20 tokens. See docs/BENCHMARKS.md.
 const PROGRESS_EVERY: DurationMs = DurationMs(1_000);
-/// The default of `slow_gap_ms`: about three times the 46 ms between tokens to design for.
+/// The default of `slow_gap_ms`: about three times the 46 ms between tokens that the product is
+/// designed for.
 const SLOW_GAP: DurationMs = DurationMs(150);
-/// The default of `drain_ms`: so long that no stream is cut; the platform ends the process earlier.
+/// The default of `drain_ms`: long enough that no stream is cut; the platform ends the process
+/// earlier.
 const MAX_DRAIN: DurationMs = DurationMs(3_600_000);
 
 impl Default for ServingConfig {
--- a/src/configs/settings_reader.rs
+++ b/src/configs/settings_reader.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{}", problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
 pub struct SettingProblems {
-    /// The problems.
+    /// The problems, in the order in which they were found.
     pub problems: Vec<SettingProblem>,
 }
 
@@ -95,10 +95,10 @@
         }
     }
 
-    /// Finishes reading.
+    /// Returns the proof that all settings are valid.
     ///
     /// # Errors
-    /// All problems at once.
+    /// [`SettingProblems`] with all problems that were found while reading.
     pub(crate) fn finish(self) -> Result<NoProblems, SettingProblems> {
         if self.problems.is_empty() {
             return Ok(NoProblems(()));
