--- a/src/commands/operator_client.rs
+++ b/src/commands/operator_client.rs
@@ -20,10 +20,10 @@
     Unreachable {
         /// The address that was called.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the HTTP call.
         source: HttpError,
     },
-    /// The request or the answer can't be encoded or decoded.
+    /// The request can't be encoded, or the answer can't be decoded.
     #[display("the answer can't be read")]
     Malformed,
 }
@@ -46,10 +46,10 @@
     }
 }
 
-/// A daemon's answer.
+/// A daemon's answer to an operator's request, also if it is a refusal.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct DaemonAnswer {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
     /// The JSON body.
     pub body: Value,
--- a/src/commands/report/burn.rs
+++ b/src/commands/report/burn.rs
@@ -1,4 +1,5 @@
-//! `bridgevane report`: service-level burn, on the terminal or as one HTML page.
+//! `bridgevane report`: service levels and the burn rate of their error budgets, on the terminal or
+//! as one HTML page.
 
 use crate::commands::operator_client::{ClientError, OperatorClient, run_to_exit_code};
 use crate::commands::report::{ReportArguments, burn_page};
--- a/src/commands/report/burn_page.rs
+++ b/src/commands/report/burn_page.rs
@@ -12,7 +12,7 @@
 table{border-collapse:collapse;font-size:13px}td,th{padding:4px 10px;border-bottom:1px solid #ddd;\
 text-align:right}td:first-child,th:first-child{text-align:left}.part{color:#a00}h2{margin-top:1.6em}";
 
-/// Returns the HTML page.
+/// Returns the HTML page for an answer to `show burn`.
 pub(super) fn page(answer: &OperatorAnswer) -> String {
     let rows = without_histograms(&answer.rows);
     let mut body = String::from("<h1>Service levels</h1>");
