--- a/src/modules/serve/configuration/accept.rs
+++ b/src/modules/serve/configuration/accept.rs
@@ -32,8 +32,8 @@
     membership::announce(context);
 }
 
-/// Activates `version` by changes to the version in force, or from the replica if that isn't
-/// `from`.
+/// Applies changes to the version in force and activates the result as `version`. If the version in
+/// force isn't `from`, activates the version that the replica holds instead.
 pub(super) fn activate_changes(
     context: &Arc<Context>,
     from: ConfigVersion,
--- a/src/modules/serve/configuration/change.rs
+++ b/src/modules/serve/configuration/change.rs
@@ -26,7 +26,7 @@
 /// A change that an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ProposedChange {
-    /// A statement of the language.
+    /// A statement of the operators' query language.
     Statement(Statement),
     /// A complete document, and the version that it is based on.
     Document(Box<Document>, ConfigVersion),
@@ -61,7 +61,7 @@
     },
 }
 
-/// An error of a proposal; it tells whether the change took effect.
+/// An error of a proposal; each variant states whether the change took effect.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ChangeError {
     /// The change would make the configuration invalid; it did not take effect.
@@ -71,7 +71,7 @@
     #[display("it did not take effect: {what}")]
     #[from(ignore)]
     NotFound {
-        /// The missing name, and the existing ones.
+        /// The problem, with the existing names if a name is missing.
         #[error(not(source))]
         what: String,
     },
@@ -101,7 +101,7 @@
 /// Applies a proposal to the stored configuration.
 ///
 /// # Errors
-/// Returns a [`ChangeError`], which tells whether the change took effect.
+/// Returns a [`ChangeError`], which states whether the change took effect.
 pub async fn propose(
     context: &Arc<Context>,
     proposal: Proposal,
@@ -376,7 +376,8 @@
     route.ok_or_else(|| not_found(format!("'{name}' has no route '{prefix}'")))
 }
 
-/// Converts a value to the type that the field has now; if it has none, whole numbers to integers.
+/// Converts a value to TOML: `true` and `false` to booleans, and whole numbers to integers unless
+/// the field holds a float now.
 fn to_toml(value: &Operand, before: Option<&toml::Value>) -> toml::Value {
     match value {
         Operand::Text(text) if text == "true" || text == "false" => {
--- a/src/modules/serve/configuration/in_force.rs
+++ b/src/modules/serve/configuration/in_force.rs
@@ -10,9 +10,9 @@
 /// A version of the configuration with the index by which requests find their customer.
 #[derive(Debug)]
 pub struct InForce {
-    /// The version.
+    /// The version's number, which rises with each accepted change.
     pub version: ConfigVersion,
-    /// The document.
+    /// The complete configuration of this version.
     pub document: Document,
     customer_of_digest: HashMap<String, CustomerId>,
 }
--- a/src/modules/serve/configuration/relay.rs
+++ b/src/modules/serve/configuration/relay.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Accepts a delta.
+/// Applies another daemon's delta to the replica, and activates its version.
 pub(crate) fn on_delta(context: &Arc<Context>, link: &LinkHandle, delta: ConfigDelta) {
     let version = ConfigVersion(delta.to_version);
     let from_wire = |change: WireChange| SectionChange {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Accepts a snapshot.
+/// Replaces the replica by another daemon's snapshot, and activates its version.
 pub(crate) fn on_snapshot(context: &Arc<Context>, snapshot: ConfigSnapshot) {
     let version = ConfigVersion(snapshot.version);
     let entry = |section: WireChange| Some((section.path, section.text?));
--- a/src/modules/serve/configuration/replica.rs
+++ b/src/modules/serve/configuration/replica.rs
@@ -51,7 +51,7 @@
         self.has_contact.store(true, Ordering::Release);
     }
 
-    /// Whether requests may be accepted. A started daemon needs a configuration, an answer from a
+    /// Whether requests may be accepted. A starting daemon needs a configuration, an answer from a
     /// peer or the platform, and no peer with a newer version; once it has accepted requests, it
     /// continues.
     pub(crate) fn may_serve(&self) -> bool {
--- a/src/modules/serve/context.rs
+++ b/src/modules/serve/context.rs
@@ -1,7 +1,7 @@
 //! The shared state of `serve`, passed down in place of globals.
 //!
-//! The context knows the owners of all state; no owner knows the context. The modules that take a
-//! context depend on each other in one direction only.
+//! The context holds the structs that own the state; none of these structs refers to the context.
+//! The modules that take a context depend on each other in one direction only.
 
 use crate::configs::serve::ServeConfig;
 use crate::modules::serve::configuration::in_force::ConfigInForce;
@@ -25,7 +25,7 @@
 
 /// The daemon's shared state. The path of a request reads all of it without locks.
 pub struct Context {
-    /// The settings.
+    /// The settings that the daemon was started with.
     pub config: ServeConfig,
     /// The client of the platform.
     pub platform: HttpPlatform,
@@ -37,7 +37,7 @@
     pub replica: LocalReplica,
     /// The membership of this data centre.
     pub members: Members,
-    /// Connections to other daemons.
+    /// The connections to other daemons.
     pub links: PeerLinks,
     /// The requests that other daemons decide on, and the bypassed homes.
     pub remote_requests: RemoteRequests,
@@ -47,7 +47,7 @@
     pub rollouts: Rollouts,
     /// The operators' statements that wait for other daemons.
     pub queries: Queries,
-    /// The metrics.
+    /// The metrics that `/metrics` shows.
     pub metrics: Metrics,
     /// The service levels by class.
     pub service_levels: ServiceLevels,
--- a/src/modules/serve/keys/claims.rs
+++ b/src/modules/serve/keys/claims.rs
@@ -1,5 +1,5 @@
 //! Claims of idempotency keys between daemons: the home of a key decides whether its call may run.
-//! [`super::ends`] reports to the home how the call ended.
+//! [`super::end_reports`] reports the end of the call to the home.
 
 use crate::modules::serve::context::Context;
 use crate::modules::serve::keys::key_homes::{ClaimAnswer, GrantedClaim, KeyedCall};
@@ -18,8 +18,8 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The time limit for a home's answer to a claim. Half of it would answer `unknown` when a home is
-/// only slow.
+/// The time limit for a home's answer to a claim. With half of it, calls would get the answer
+/// `unknown` when a home is only slow.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The pause before a claim is sent again to a daemon that answered that it isn't the key's home.
 /// The daemons' views of the membership converge within a few heartbeats.
@@ -47,7 +47,8 @@
     ClaimAnswer::Denied(Verdict::Unknown)
 }
 
-/// Asks another daemon about a key; `None` if it doesn't answer in time.
+/// Asks another daemon about a key, either as the key's home or, with `is_asked_before`, as its
+/// earlier home. Returns `None` if it doesn't answer in time.
 async fn ask_home(
     context: &Arc<Context>,
     address: SocketAddr,
--- a/src/modules/serve/keys/end_reports.rs
+++ b/src/modules/serve/keys/end_reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the home of an idempotency key how its call ended.
+//! Reports the end of a call with an idempotency key to the home of the key.
 //!
 //! The daemon that ran the call waits for the home's acknowledgement before it answers the caller:
 //! a caller that has the answer may send the same key through another daemon at once, and must not
--- a/src/modules/serve/keys/key_homes.rs
+++ b/src/modules/serve/keys/key_homes.rs
@@ -59,6 +59,7 @@
     pending_claims: Mutex<HashMap<u64, oneshot::Sender<KeyVerdict>>>,
     /// The reported ends of calls that homes haven't acknowledged.
     unacknowledged: Mutex<HashMap<u64, oneshot::Sender<()>>>,
+    /// The id of the next message that waits for an answer: a claim or a report of an end.
     pub(super) next_claim: AtomicU64,
     /// Whether this data centre has had daemons before, once the platform has answered that.
     pub(super) had_daemons: OnceCell<bool>,
@@ -97,9 +98,9 @@
 
     /// Handles a home's acknowledgement of the end of a call.
     pub(crate) fn on_end_acknowledged(&self, claim: u64) {
-        if let Some(unacknowledged) = self.unacknowledged().remove(&claim) {
+        if let Some(waiting) = self.unacknowledged().remove(&claim) {
             // The task that reported the end may have timed out.
-            let _ = unacknowledged.send(());
+            let _ = waiting.send(());
         }
     }
 
@@ -115,9 +116,9 @@
 
     /// Handles a home's answer to a claim.
     pub(crate) fn on_verdict(&self, verdict: &KeyVerdict) {
-        if let Some(pending_claims) = self.pending_claims().remove(&verdict.claim) {
+        if let Some(waiting) = self.pending_claims().remove(&verdict.claim) {
             // The task that sent the claim may have timed out.
-            let _ = pending_claims.send(verdict.clone());
+            let _ = waiting.send(verdict.clone());
         }
     }
 }
--- a/src/modules/serve/observation/service_levels.rs
+++ b/src/modules/serve/observation/service_levels.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// How one request ended.
+/// The end of one request, as the service levels count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// The answer was complete.
@@ -149,7 +149,7 @@
     /// Records a time to the first token. Histograms cover five minutes each: one per minute would
     /// be too many.
     fn record_first_token(&mut self, now: TimeMs, first_token_ms: u64) {
-        /// The shortest window of the burn rate is five minutes.
+        /// The number of minutes that one histogram covers: the shortest window of the burn rate.
         const SPAN_MINUTES: u64 = 5;
         const SPANS: usize = MINUTES / SPAN_MINUTES as usize;
         let span = now.0 / MINUTE_MS / SPAN_MINUTES * SPAN_MINUTES;
--- a/src/modules/serve/operators/query_language.rs
+++ b/src/modules/serve/operators/query_language.rs
@@ -83,9 +83,9 @@
 /// One condition of a `where` clause.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
-    /// The field.
+    /// The name of the row's field; its unit `_ms` may be omitted.
     pub field: String,
-    /// The comparison.
+    /// The comparison of the field with the value.
     pub comparison: Comparison,
     /// The value that the field is compared with: a number (durations in milliseconds) or a text.
     pub value: Operand,
@@ -118,7 +118,7 @@
 pub enum Statement {
     /// `show TABLE [where …]`
     Show {
-        /// The table.
+        /// The table to display.
         table: Table,
         /// The conditions, all of which must hold.
         conditions: Vec<Condition>,
@@ -136,7 +136,7 @@
     },
     /// `roll out MODEL version N [batch K] [watch DURATION]`
     RollOut {
-        /// The model.
+        /// The model that gets the version.
         model: ModelName,
         /// The version that all engines are to run.
         version: u64,
@@ -147,18 +147,18 @@
     },
     /// `drain vm NAME`, `undrain vm NAME`
     DrainVm {
-        /// The VM.
+        /// The VM to drain or undrain.
         vm: VmId,
-        /// Drain or undrain.
+        /// Whether the statement is `drain`; otherwise it is `undrain`.
         is_drained: bool,
     },
     /// `drain engine SERVICE NAME`, `undrain engine SERVICE NAME`
     DrainEngine {
         /// The engine's service.
         service: ServiceName,
-        /// The engine.
+        /// The engine to drain or undrain.
         engine: EndpointId,
-        /// Drain or undrain.
+        /// Whether the statement is `drain`; otherwise it is `undrain`.
         is_drained: bool,
     },
 }
@@ -167,7 +167,7 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{statement}\n{pointer}\n{what}")]
 pub struct SyntaxError {
-    /// The statement.
+    /// The statement as the operator sent it.
     pub statement: String,
     /// A line with `^` below the wrong word.
     pub pointer: String,
--- a/src/modules/serve/peers/frames.rs
+++ b/src/modules/serve/peers/frames.rs
@@ -54,7 +54,7 @@
     offers: &mut OpenOffers,
 ) {
     let Some(body) = frame.body else {
-        // A message of a newer protocol version.
+        // A daemon with a newer protocol version has sent a message that is unknown here.
         return;
     };
     match body {
@@ -83,7 +83,7 @@
         Body::KeyEndedHeard(heard) => context.keys.on_end_acknowledged(heard.claim),
         Body::Query(query) => fan_out::on_query(context, link, query),
         Body::QueryAnswer(answer) => context.queries.on_answer(peer, answer),
-        // Between gateways only.
+        // Only daemons of `bridgevane gateway` send these frames to each other.
         Body::RecordsWanted(_)
         | Body::RecordsAnswer(_)
         | Body::UsageReported(_)
--- a/src/modules/serve/peers/links.rs
+++ b/src/modules/serve/peers/links.rs
@@ -22,7 +22,7 @@
     pub vm: VmId,
     /// The data centre of the VM.
     pub data_centre: DataCentreId,
-    /// Its incarnation.
+    /// The daemon's incarnation.
     pub incarnation: Incarnation,
     /// The address that it listens on for other daemons.
     pub address: SocketAddr,
--- a/src/modules/serve/peers/members.rs
+++ b/src/modules/serve/peers/members.rs
@@ -83,7 +83,8 @@
         self.view.load_full()
     }
 
-    /// Returns the home of a key and its address; `None` when it is this daemon.
+    /// Returns the home of a key and its address; `None` when it is this daemon, or when its address
+    /// isn't known.
     pub(crate) fn remote_home(&self, key: &str) -> Option<(VmId, SocketAddr)> {
         let view = self.view.load();
         let home = home_of(key, view.live.iter())?;
--- a/src/modules/serve/peers/membership.rs
+++ b/src/modules/serve/peers/membership.rs
@@ -126,8 +126,8 @@
 
 /// Sends heartbeats at once to the neighbours and a few other daemons, to spread a change quickly.
 pub(crate) fn announce(context: &Arc<Context>) {
-    /// The number of other daemons. The neighbours forward changes; two more daemons spread them
-    /// faster to the far side of the ring.
+    /// The number of daemons that get a heartbeat in addition to the neighbours. The neighbours
+    /// forward changes; two more daemons spread them faster to the far side of the ring.
     const OTHER_DAEMONS: usize = 2;
     let mut addresses: Vec<SocketAddr> = Vec::new();
     {
--- a/src/modules/serve/pools/handle.rs
+++ b/src/modules/serve/pools/handle.rs
@@ -29,7 +29,7 @@
         attempt: AttemptNumber,
         /// The number of tokens delivered so far.
         delivered: Tokens,
-        /// Where its orders go.
+        /// The sender of the pool's orders to the request.
         orders: OrderSender,
     },
     /// An engine's load, as of `age_ms` ago.
--- a/src/modules/serve/pools/messages.rs
+++ b/src/modules/serve/pools/messages.rs
@@ -31,7 +31,7 @@
     pub max_tokens: Tokens,
     /// The hashes of the prompt's prefixes, one per block.
     pub blocks: Vec<u64>,
-    /// The number of prompt tokens that one block stands for.
+    /// The number of prompt tokens per block.
     pub block_tokens: u32,
     /// The fingerprint that equal requests share; `None` if the daemon that sent the offer doesn't
     /// send fingerprints.
@@ -47,9 +47,9 @@
 pub enum PoolOrder {
     /// Starts an attempt at an engine.
     Dispatch {
-        /// The attempt.
+        /// The number of the attempt to start.
         attempt: AttemptNumber,
-        /// The engine.
+        /// The link to the engine.
         engine: Arc<EndpointLink>,
         /// The priority inside the engine.
         priority: Tier,
@@ -58,7 +58,7 @@
     },
     /// Cancels the attempt; the request waits for the next order.
     Cancel {
-        /// The attempt.
+        /// The number of the attempt to cancel.
         attempt: AttemptNumber,
         /// The reason of the cancellation.
         cause: CancelCause,
@@ -69,7 +69,8 @@
         code: RefusalCode,
         /// Whether the request ran.
         outcome: Outcome,
-        /// The retry time.
+        /// The time after which the caller may send the request again; `None`: client libraries must
+        /// not retry by themselves.
         retry_after_ms: Option<DurationMs>,
     },
 }
--- a/src/modules/serve/pools/orders.rs
+++ b/src/modules/serve/pools/orders.rs
@@ -17,7 +17,8 @@
     Peer(RequestId, LinkHandle),
 }
 
-/// The origin of requests of this daemon. Connections are numbered from 0 and never reach it.
+/// The origin of the requests that this daemon received itself. Connections are numbered from 0 and
+/// never reach it.
 const LOCAL_ORIGIN: u64 = u64::MAX;
 
 impl OrderSender {
--- a/src/modules/serve/requests/chat_format.rs
+++ b/src/modules/serve/requests/chat_format.rs
@@ -75,7 +75,7 @@
     /// Returns the prompt as one text.
     pub(crate) fn prompt_text(&self, api: ModelApi) -> String {
         match api {
-            // A completion without a prompt has an empty one, as the API allows.
+            // `parse` refuses a completion without a prompt.
             ModelApi::Completion => self.prompt.as_ref().map(text_in).unwrap_or_default(),
             ModelApi::Chat => {
                 let line = |message: &Message| {
@@ -116,7 +116,7 @@
     pub model: ModelName,
     /// Creation time of the answer, in seconds since 1970.
     pub created_s: u64,
-    /// The prompt's length.
+    /// The estimated length of the prompt, sent in the answer's `usage`.
     pub prompt_tokens: Tokens,
 }
 
--- a/src/modules/serve/requests/crash_check.rs
+++ b/src/modules/serve/requests/crash_check.rs
@@ -13,7 +13,7 @@
 /// The time limit of the check: a crashed engine refuses connections after one round trip, and
 /// silence proves nothing.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// The pause before an engine whose answer ended early is checked again. A crashing engine closes
+/// The pause before a check with an unclear result is repeated. A crashing engine closes
 /// its connections one after the other: with a single check it was considered alive in one of four
 /// runs of the test.
 const RECHECK_PAUSE: Duration = Duration::from_millis(20);
@@ -47,7 +47,7 @@
 enum EngineState {
     Alive,
     Crashed,
-    /// The engine's answer ended early.
+    /// The engine accepted the connection, but sent no usable answer.
     Unclear,
 }
 
--- a/src/modules/serve/requests/plain_request.rs
+++ b/src/modules/serve/requests/plain_request.rs
@@ -60,7 +60,7 @@
     match result {
         Ok(answer) => KeyEnd::Done(StoredAnswer {
             status: answer.status.as_u16(),
-            // An empty text stands for an absent content type, here and when it is read.
+            // An absent content type is stored as an empty text; `replayed_answer` converts it back.
             content_type: answer.content_type.clone().unwrap_or_default(),
             body: answer.body.to_vec(),
         }),
--- a/src/modules/serve/requests/refusal.rs
+++ b/src/modules/serve/requests/refusal.rs
@@ -6,7 +6,7 @@
 use bridgevane_types::{DurationMs, Outcome, RefusalCode, RequestId};
 use serde_json::{Value, json};
 
-/// Why a request is invalid, or can't be accepted yet.
+/// The reason why a request is invalid, or can't be accepted yet.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub(crate) enum BadRequest {
     /// The bearer key is missing or unknown.
@@ -70,9 +70,9 @@
     Refused(RefusalCode),
 }
 
-/// The retry time at a daemon that isn't ready: a starting daemon has its configuration within a
-/// second.
-const NOT_READY_RETRY: DurationMs = DurationMs(1_000);
+/// The retry time of a request that is refused only for now: the daemon isn't ready, or a call with
+/// the same idempotency key is in progress. A starting daemon has its configuration within a second.
+const TEMPORARY_RETRY: DurationMs = DurationMs(1_000);
 
 impl CallerRefusal {
     /// Returns the refusal of an invalid request, which was not run.
@@ -96,7 +96,7 @@
             status,
             code: ErrorCode::BadRequest(bad),
             outcome: Outcome::NotRun,
-            retry_after_ms: is_temporary.then_some(NOT_READY_RETRY),
+            retry_after_ms: is_temporary.then_some(TEMPORARY_RETRY),
         }
     }
 
--- a/src/modules/serve/rollouts/held_rollouts.rs
+++ b/src/modules/serve/rollouts/held_rollouts.rs
@@ -14,12 +14,16 @@
     pub(super) lease_id: LeaseId,
     pub(super) lease: HeldLease,
     pub(super) rollout: Rollout,
-    pub(super) stored_at: Option<KvRevision>,
+    /// The revision of the stored state; `None`: nothing is stored yet.
+    pub(super) stored_revision: Option<KvRevision>,
     pub(super) watched_since: TimeMs,
+    /// The engines that confirmed the order to load the new version.
     pub(super) on_new: BTreeSet<EndpointId>,
+    /// The engines that confirmed the order to load the old version.
     pub(super) on_old: BTreeSet<EndpointId>,
     /// The tickets of the weight store by version; one ticket serves all engines.
     pub(super) tickets: BTreeMap<u64, String>,
+    /// The highest burn rate of all classes at the last step.
     pub(super) burn: f64,
 }
 
--- a/src/modules/serve/rollouts/runner.rs
+++ b/src/modules/serve/rollouts/runner.rs
@@ -37,7 +37,7 @@
 /// soonest.
 const BURN_WINDOW: DurationMs = rows::BURN_WINDOWS[0];
 
-/// Why a rollout can't continue now.
+/// The reason why a rollout can't continue now.
 #[derive(Clone, Debug, Display, Error, From)]
 pub(crate) enum RolloutError {
     /// A call to the platform failed.
@@ -113,7 +113,7 @@
             _ => self.load().await?,
         };
         if held.rollout.is_over() {
-            self.save(held);
+            self.keep_in_memory(held);
             return Ok(());
         }
         self.renew(&mut held).await?;
@@ -131,11 +131,11 @@
             self.store(&mut held, next).await?;
         }
         let result = self.send_orders(&mut held).await;
-        self.save(held);
+        self.keep_in_memory(held);
         result
     }
 
-    fn save(&self, held: HeldRollout) {
+    fn keep_in_memory(&self, held: HeldRollout) {
         self.context
             .rollouts
             .lock()
@@ -169,7 +169,7 @@
         let platform = &self.context.platform;
         self.context.metrics.count_platform_call("get");
         let stored = platform.get(&self.key("state")).await?;
-        let stored_at = stored.as_ref().map(|value| value.revision);
+        let stored_revision = stored.as_ref().map(|value| value.revision);
         let before: Option<Rollout> = match &stored {
             Some(value) => {
                 Some(serde_json::from_str(&value.text).map_err(|_| RolloutError::Malformed)?)
@@ -185,7 +185,7 @@
             lease_id: LeaseId(0),
             lease: HeldLease::expired(),
             rollout,
-            stored_at,
+            stored_revision,
             watched_since: boot_time(),
             on_new: BTreeSet::new(),
             on_old: BTreeSet::new(),
@@ -245,7 +245,7 @@
         let text = serde_json::to_string(&next).map_err(|_| RolloutError::Malformed)?;
         let cas = KvCas {
             key: self.key("state"),
-            expected: held.stored_at,
+            expected: held.stored_revision,
             text: Some(text),
             lease: None,
         };
@@ -263,7 +263,7 @@
                 held.watched_since = boot_time();
             }
         }
-        held.stored_at = Some(revision);
+        held.stored_revision = Some(revision);
         held.rollout = next;
         Ok(())
     }
