--- a/crates/gateway/src/decisions/admission/freshness.rs
+++ b/crates/gateway/src/decisions/admission/freshness.rs
@@ -1,4 +1,4 @@
-//! Freshness: how old the configuration may be by which requests are forwarded.
+//! Freshness: how old the configuration may be that is used to forward requests.
 //!
 //! Inputs: the age of the newest proof (ms), and the operator's [`FreshnessPolicy`]: how long a
 //! proof is valid (ms, `--key-removal-ms` less 300), and up to which age a stale configuration may
@@ -8,7 +8,7 @@
 //!
 //! Rules:
 //! - The configuration is current while the age is below the lifetime of a proof, then stale, then
-//!   too old. A daemon without a proof has nothing to serve by.
+//!   too old. Without a proof it counts as too old.
 //! - A stale configuration lets a request pass, but can't decide that a key or a route is unknown:
 //!   401 and 404 are final for a client, so they need a current one; without it the answer is 503.
 //! - A daemon that has just started has no proof yet, and its first one will arrive shortly: a
@@ -17,16 +17,16 @@
 //! Reason: with strict key removal, a key that was removed must stop working within a bound on
 //! every VM, also on one that is cut off from the source. Without it, the harm of a removed key
 //! that still works during an outage is small against refusing all requests while engines are idle.
-//! Waiting for the first proof cut the requests refused in the two seconds after all daemons were
-//! killed from about 440 to 105 of about 1,000.
+//! In the two seconds after all daemons were killed, waiting for the first proof lowered the number
+//! of refused requests from about 440 to 105 of about 1,000.
 //!
 //! Tests: `admission.rs::a_proof_ages_until_serving_ends`, `freshness.rs`.
 
 use bridgevane_types::DurationMs;
 
 /// The longest time that a request waits for a daemon that is starting. First configurations
-/// arrived 0.2 to 0.4 s after a start; half would refuse some of these requests, twice would delay
-/// the others without benefit.
+/// arrived 0.2 to 0.4 s after a start; half this time would refuse some of these requests, twice
+/// this time would delay the others without benefit.
 const MAX_STARTUP_WAIT: DurationMs = DurationMs(500);
 /// The maximum share of the client's timeout that a request waits; the rest is left for the request
 /// itself.
@@ -47,7 +47,7 @@
 pub enum Freshness {
     /// It was proved to be the newest within the lifetime of a proof.
     Current,
-    /// It may have been replaced, and the operator allows to use it.
+    /// It may have been replaced, and the operator allows its use.
     Stale,
     /// It may not be used, or there is none.
     TooOld,
--- a/crates/gateway/src/decisions/admission/load_shedding.rs
+++ b/crates/gateway/src/decisions/admission/load_shedding.rs
@@ -30,9 +30,9 @@
 /// The inputs of load shedding.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// The expected wait at the best endpoint before its prompt is read, in milliseconds.
+    /// The request's expected wait at the best endpoint before its prompt is read, in milliseconds.
     pub queue_ms: f64,
-    /// The target for the time to its first token.
+    /// The route's target for the time to the first token.
     pub target: DurationMs,
     /// Whether no request of its service has a lower priority.
     pub is_lowest_priority: bool,
--- a/crates/gateway/src/decisions/admission/priority.rs
+++ b/crates/gateway/src/decisions/admission/priority.rs
@@ -88,7 +88,8 @@
 
     fn add_lowest(&mut self, route: &Route, customer_tiers: &BTreeSet<Option<Tier>>) {
         let ranks = possible_ranks(route, customer_tiers);
-        // Every route has a rank: a public one that of no customer, others one for each customer.
+        // Every route has at least one rank: without customers, that of a request without a
+        // customer.
         let lowest = ranks.map(|rank| self.priority_of_rank(rank)).max();
         let lowest = lowest.unwrap_or_default();
         for target in &route.targets {
--- a/crates/gateway/src/decisions/admission/refusal.rs
+++ b/crates/gateway/src/decisions/admission/refusal.rs
@@ -14,7 +14,7 @@
 use http::StatusCode;
 
 /// The retry time while the daemon waits for a proof. It is below the 500 ms after which the source
-/// is asked again; half of it would bring most clients back too soon.
+/// is polled again; half of it would bring most clients back too soon.
 const NOT_READY_RETRY_AFTER: DurationMs = DurationMs(300);
 /// The retry time if a service has no endpoint. Changes of the source are batched for 200 ms, so
 /// that none can take effect sooner.
@@ -54,7 +54,7 @@
     /// All endpoints that were tried are full, or the queue is too long.
     #[display("overloaded")]
     Overloaded,
-    /// The daemon holds the maximum size of bodies.
+    /// With this body, the daemon would hold more bytes of bodies than it may.
     #[display("memory_full")]
     MemoryFull,
     /// The client's timeout has passed, and the request has not run.
--- a/crates/gateway/src/decisions/admission/traffic_split.rs
+++ b/crates/gateway/src/decisions/admission/traffic_split.rs
@@ -15,7 +15,7 @@
     weights.sum()
 }
 
-/// Returns the position of the service that contains a drawn point.
+/// Returns the position of the service whose share contains a drawn point.
 pub fn position(weights: impl Iterator<Item = u32>, point: u32) -> usize {
     let mut rest = point;
     for (position, weight) in weights.enumerate() {
--- a/crates/gateway/src/decisions/duties/duty_state.rs
+++ b/crates/gateway/src/decisions/duties/duty_state.rs
@@ -21,7 +21,7 @@
 /// The usage of one window, as submitted to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WindowUsage {
-    /// The window.
+    /// The window in which the requests started.
     pub window: UsageWindow,
     /// Its counts; they never change.
     pub counts: UsageCounts,
--- a/crates/gateway/src/decisions/duties/engine_need.rs
+++ b/crates/gateway/src/decisions/duties/engine_need.rs
@@ -6,8 +6,8 @@
 //! Rule: the need is the largest number of permanent engines that ever ran: the number with which
 //! the operator started the service is assumed to be enough for its usual peak. It is settled when
 //! the number of engines has not changed for `SETTLING_TIME`: the engines of a starting fleet
-//! record themselves one after the other, and a need that is read too early would give most of them
-//! up. Until then it may be used for orders that add engines, not for those that give any up.
+//! record themselves one after the other, and a need that is read too early would release most of
+//! them. Until then it may be used for orders that add engines, not for those that release any.
 //!
 //! Tests: `duties_engines.rs`.
 
--- a/crates/gateway/src/decisions/duties/engine_orders.rs
+++ b/crates/gateway/src/decisions/duties/engine_orders.rs
@@ -4,8 +4,8 @@
 //! and the operator's limits.
 //!
 //! Rules:
-//! 1. Permanent engines are given up only where the reclaimable ones that replace them already run:
-//!    no order lowers the capacity. While the fleet has no work at all, they are given up at once:
+//! 1. Permanent engines are released only where the reclaimable ones that replace them already run:
+//!    no order lowers the capacity. While the fleet has no work at all, they are released at once:
 //!    there are no requests to serve, and a starting fleet would pay for both kinds in the meantime
 //!    (0.03 of a day's worth). Before the need is settled no permanent engines are ordered: more of
 //!    them may run than are seen, and any number could be too low.
@@ -140,8 +140,8 @@
         let reclaimable = planned.reclaimable.min(available);
         // Reclaimable engines replace permanent ones only as far as they run.
         let is_replaced = inputs.is_idle || running.reclaimable >= replaced.min(reclaimable);
-        let may_give_up = inputs.is_settled && is_replaced;
-        let permanent = if replaced > 0 && !may_give_up {
+        let may_release = inputs.is_settled && is_replaced;
+        let permanent = if replaced > 0 && !may_release {
             permanent_now
         } else {
             planned.permanent
--- a/crates/gateway/src/decisions/duties/engine_plan.rs
+++ b/crates/gateway/src/decisions/duties/engine_plan.rs
@@ -21,12 +21,12 @@
 use derive_more::Display;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Factor for reclaimable engines beyond the loss of one data centre, for bursts: an engine takes
-/// seconds to start, a burst doubles the work within one. See docs/design/17.
+/// The factor for reclaimable engines beyond the loss of one data centre, for bursts: an engine
+/// takes seconds to start, a burst doubles the work within one. See docs/design/17.
 const BURST_RESERVE: f64 = 1.3;
-/// Permanent engines of a data centre where reclaimable ones serve the work, unless the operator's
-/// minimum is higher: some capacity remains when all others are reclaimed. Three cost 0.017 of
-/// worth more and served no more requests (docs/design/17).
+/// The number of permanent engines of a data centre where reclaimable ones serve the work, unless
+/// the operator's minimum is higher: some capacity remains when all others are reclaimed. Three
+/// cost 0.017 of worth more and served no more requests (docs/design/17).
 const MIN_PERMANENT: u32 = 1;
 
 /// Whether the platform may reclaim an engine.
--- a/crates/gateway/src/decisions/duties/tenure.rs
+++ b/crates/gateway/src/decisions/duties/tenure.rs
@@ -69,9 +69,9 @@
 }
 
 /// Returns when a daemon becomes a candidate for a key that has been vacant since a given time.
-pub fn candidacy_starts_at(vacant_since: TimeMs, place: CandidateRank) -> TimeMs {
+pub fn candidacy_starts_at(vacant_since: TimeMs, rank: CandidateRank) -> TimeMs {
     let step = CANDIDACY_STEP.0;
-    let delay_ms = match place {
+    let delay_ms = match rank {
         CandidateRank::LastHolder => 0,
         CandidateRank::Seed(position) => (position as u64 + 1).min(SEED_RANKS) * step,
         CandidateRank::Other { spread } => {
@@ -106,14 +106,14 @@
 
 impl Tenure {
     /// Creates the tenure of a daemon that has just become the holder.
-    pub fn begin(accession: TenureStart) -> Self {
+    pub fn begin(start: TenureStart) -> Self {
         let TenureStart {
             fence,
             lease_requested_at,
             known_at,
             lease_ms,
             predecessor,
-        } = accession;
+        } = start;
         let may_act_from = match predecessor {
             Predecessor::None | Predecessor::Itself => known_at,
             Predecessor::Another => known_at + lease_ms,
--- a/crates/gateway/src/decisions/duties/usage_start.rs
+++ b/crates/gateway/src/decisions/duties/usage_start.rs
@@ -46,7 +46,7 @@
 /// A run without a usable response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailedRun {
-    /// The error.
+    /// The reason why there was no usable response.
     pub error: AttemptError,
     /// The time since it was sent, in milliseconds.
     pub elapsed_ms: f64,
@@ -57,9 +57,9 @@
 /// The time from which a run counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageStart {
-    /// When it was sent.
+    /// The time at which the request was sent.
     WhenSent,
-    /// Now.
+    /// The present: the time at which the result of the run is known.
     Now,
 }
 
--- a/crates/gateway/src/decisions/duties/usage_window.rs
+++ b/crates/gateway/src/decisions/duties/usage_window.rs
@@ -51,7 +51,7 @@
 pub enum UsageDue {
     /// Its usage is submitted now.
     Now,
-    /// Not before this time, unless another daemon closes the window meanwhile.
+    /// At this time, or earlier if the window is closed by every daemon before.
     At(WallTimeMs),
 }
 
--- a/crates/gateway/src/decisions/eligibility/backoff.rs
+++ b/crates/gateway/src/decisions/eligibility/backoff.rs
@@ -8,8 +8,7 @@
 //!    resumption of a stream. A longer back-off replaces a shorter one; nothing ends it early.
 //! 2. A lack of other endpoints doesn't end it. If no endpoint accepts the request, it is refused,
 //!    and the client gets the time until the first of them does.
-//! 3. The client gets no time that is of no use to it: if an endpoint may get the request now, the
-//!    usual time is sent.
+//! 3. If an endpoint may get the request now, the client gets the usual retry time instead.
 //!
 //! Reason: a request sent during a back-off is rejected at once. It costs the endpoint work, a
 //! retry of the budget, and a part of the client's time.
--- a/crates/gateway/src/decisions/eligibility/cold_start.rs
+++ b/crates/gateway/src/decisions/eligibility/cold_start.rs
@@ -1,8 +1,8 @@
 //! Cold start: how many requests a daemon may send to an endpoint that is still cold.
 //!
-//! A cold endpoint can handle few requests a second, summed over all daemons, and ends when it gets
-//! many more. Each daemon knows only its own requests, and what others report of theirs is more
-//! than a second old.
+//! A cold endpoint can handle few requests a second, summed over all daemons, and its process ends
+//! when it gets many more. Each daemon knows only its own requests, and what others report of
+//! theirs is more than a second old.
 //!
 //! Inputs: what the service's endpoints can handle while cold ([`ColdLimits`]), the number of
 //! daemons, the names of this daemon and of the endpoint, and the number of the current window of
@@ -32,8 +32,8 @@
 /// The share of a cold endpoint's capacity that is planned for a window. A second may overlap two
 /// windows, and the daemons on the other side of a network partition don't count each other: either
 /// doubles what arrives. With 985 daemons that send all they may to an endpoint that can handle 11
-/// requests a second, two windows together exceeded half as many again plus 5 in 2 of 300 pairs at
-/// 0.5, and in none at 0.35.
+/// requests a second, two windows together exceeded 1.5 times that number plus 5 in 2 of 300 pairs
+/// at 0.5, and in none at 0.35.
 const PLANNED_SHARE: f64 = 0.35;
 
 /// What the endpoints of a service can handle while they are cold.
@@ -82,9 +82,9 @@
 
     /// Returns a pseudo-random number from 0 to 1 for a daemon, an endpoint and a window.
     fn draw(&self, endpoint: EndpointHash, window: u64) -> f64 {
-        let mut name = [0; 12];
-        name[..4].copy_from_slice(&endpoint.0.to_le_bytes());
-        name[4..].copy_from_slice(&window.to_le_bytes());
-        xxh3_64_with_seed(&name, self.daemon) as f64 / u64::MAX as f64
+        let mut key = [0; 12];
+        key[..4].copy_from_slice(&endpoint.0.to_le_bytes());
+        key[4..].copy_from_slice(&window.to_le_bytes());
+        xxh3_64_with_seed(&key, self.daemon) as f64 / u64::MAX as f64
     }
 }
--- a/crates/gateway/src/decisions/eligibility/evacuation.rs
+++ b/crates/gateway/src/decisions/eligibility/evacuation.rs
@@ -63,10 +63,10 @@
         revision: Revision,
     ) -> Vec<DataCentreId> {
         let entries = self.by_data_centre.iter();
-        let over = entries.filter(|(data_centre, entry)| {
+        let ended = entries.filter(|(data_centre, entry)| {
             entry.is_evacuated && entry.revision <= revision && !listed.contains(*data_centre)
         });
-        over.map(|(data_centre, _)| data_centre.clone()).collect()
+        ended.map(|(data_centre, _)| data_centre.clone()).collect()
     }
 
     /// Returns whether an evacuation has begun or ended since the last call.
--- a/crates/gateway/src/decisions/eligibility/rate_limit.rs
+++ b/crates/gateway/src/decisions/eligibility/rate_limit.rs
@@ -49,7 +49,8 @@
 const MIN_RATE: RequestsPerSecond = RequestsPerSecond(0.5);
 /// The highest accepted probability that the permits of one window exceed what is tolerated.
 const MAX_EXCESS: f64 = 1e-6;
-/// The same with twice as many daemons as are known: some join, or are counted late.
+/// The highest accepted value of that probability with twice as many daemons as are known: some
+/// join, or are counted late.
 const MAX_EXCESS_AT_TWICE_THE_DAEMONS: f64 = 1e-5;
 /// How long daemons report to each other that a limit has ended: longer than a daemon is usually
 /// cut off from the others.
--- a/crates/gateway/src/decisions/endpoint/ejection.rs
+++ b/crates/gateway/src/decisions/endpoint/ejection.rs
@@ -24,8 +24,8 @@
 const FIRST_EJECTION_MS: u64 = 500;
 /// The longest ejection in milliseconds: it bounds how long a recovered endpoint stays unused.
 const MAX_EJECTION_MS: u64 = 4_000;
-/// The maximum number of doublings: more would overflow. The longest ejection is reached after
-/// three.
+/// The maximum number of doublings, so that the shift can't overflow. The longest ejection is
+/// reached after three.
 const MAX_DOUBLINGS: u32 = 8;
 /// The weight of a new outcome in the failure share: two consecutive failures exceed the maximum,
 /// one doesn't.
@@ -40,11 +40,11 @@
 /// How far an endpoint is trusted with requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trust {
-    /// Gets requests.
+    /// The endpoint is neither failing nor ejected.
     Healthy,
-    /// Many of its requests fail.
+    /// Many of the endpoint's recent requests failed.
     Failing,
-    /// Is ejected.
+    /// The endpoint gets no requests until its ejection ends, unless all endpoints are ejected.
     Ejected,
 }
 
@@ -53,7 +53,7 @@
 pub struct HealthSnapshot {
     /// How far it is trusted.
     pub trust: Trust,
-    /// The share of its requests that fail.
+    /// The moving average of its failed requests, from 0 to 1.
     pub failure_share: f64,
 }
 
--- a/crates/gateway/src/decisions/endpoint/idle_connections.rs
+++ b/crates/gateway/src/decisions/endpoint/idle_connections.rs
@@ -47,7 +47,7 @@
 }
 
 /// Returns how long a connection may be idle, given the timeout that the endpoint announced; `None`
-/// if it is closed at once.
+/// if it must be closed at once.
 pub(crate) fn idle_timeout(announced: Option<Duration>) -> Option<DurationMs> {
     let timeout = announced.unwrap_or(DEFAULT_IDLE_TIMEOUT);
     let timeout = timeout.saturating_sub(IDLE_TIMEOUT_MARGIN);
--- a/crates/gateway/src/decisions/endpoint/load_report.rs
+++ b/crates/gateway/src/decisions/endpoint/load_report.rs
@@ -13,8 +13,9 @@
 
 use bridgevane_types::{DurationMs, TimeMs};
 
-/// How long the load on an endpoint's answers is valid. Twice as long would leave an endpoint that
-/// has become idle looking busy; half would drop the report between two answers.
+/// How long the load that an endpoint reports with an answer is valid. Twice as long would leave an
+/// endpoint that has become idle looking busy; half as long would drop the report between two
+/// answers.
 const ENDPOINT_REPORT_TTL: DurationMs = DurationMs(1_500);
 /// How long the prompts that other daemons report are valid: twice the 600 ms for which a long poll
 /// between daemons is held when there is nothing to report, so that one lost answer loses nothing.
--- a/crates/gateway/src/decisions/endpoint/placement.rs
+++ b/crates/gateway/src/decisions/endpoint/placement.rs
@@ -3,8 +3,8 @@
 //! Inputs: the prompt, the endpoints that this daemon saw read parts of it ([`Holders`]), the
 //! preferred endpoints, and a `Candidate` for each endpoint. The requests that other daemons run
 //! count, since they occupy an engine's slots. The prompts that other daemons report don't affect
-//! the choice, which was worse when they did; they lengthen the queue that load shedding uses. See
-//! docs/design/14.
+//! the choice, since placement was worse when they did; they only lengthen the queue that load
+//! shedding uses. See docs/design/14.
 //!
 //! Rules:
 //! - Every untried endpoint of the service gets an estimate in milliseconds, and the lowest one
@@ -50,7 +50,7 @@
 /// The cost of an endpoint with all slots occupied for a plain request: about as long as a plain
 /// request takes at the users' sites.
 const PLAIN_FULL_MS: f64 = 20.0;
-/// The cost of another data centre. A round trip is 1 to 3 ms, the rest stands for the price of the
+/// The cost of another data centre. A round trip is 1 to 3 ms, the rest is the price of the
 /// traffic. A lower value moves sessions between data centres sooner, a higher one keeps them.
 const REMOTE_MS: f64 = 12.0;
 /// The cost of an endpoint that always fails; one that fails at times costs its share of this. At a
@@ -89,7 +89,7 @@
 /// The state of one endpoint when a request is placed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
-    /// Its index.
+    /// The endpoint's index on this daemon.
     pub(crate) index: EndpointIx,
     /// The hash of this endpoint incarnation, the same on all daemons.
     pub(crate) hash: EndpointHash,
--- a/crates/gateway/src/decisions/endpoint/queue_delay.rs
+++ b/crates/gateway/src/decisions/endpoint/queue_delay.rs
@@ -17,7 +17,7 @@
 /// The number of prompt tokens that an engine reads per millisecond. The users' engines read 42.6
 /// to 56.9; one figure is used for all of them. See docs/design/13.
 const PREFILL_TOKENS_PER_MS: f64 = 50.0;
-/// The weight of a new wait in the average: half would follow a burst more slowly.
+/// The weight of a new wait in the average: half of it would follow a burst more slowly.
 const NEW_SAMPLE_WEIGHT: f64 = 0.5;
 /// The half-life of the average without new waits, in milliseconds: about a target for the first
 /// token, since a queue seen longer ago says little about the present one.
--- a/crates/gateway/src/decisions/endpoint/stream_reservation.rs
+++ b/crates/gateway/src/decisions/endpoint/stream_reservation.rs
@@ -9,7 +9,8 @@
 //! long in proportion to it. The reservation is a cost in [`super::placement`], not a hard limit.
 //!
 //! Reason: an engine that reads a long prompt produces no tokens for its other requests meanwhile,
-//! so that streams beside it pause. The reservation cut the longest pauses (p99) from 348 to 79 ms.
+//! so that streams on the same engine pause. The reservation cut the longest pauses (p99) from 348
+//! to 79 ms.
 //!
 //! Tests: `decisions.rs::streams_and_long_prompts_go_to_different_engines`,
 //! `streams_leave_an_engine_before_its_slots_are_taken`.
@@ -24,8 +25,8 @@
 /// scale-2 fell from 0.808 to 0.734.
 const RESERVED_SHARE: f64 = 0.3;
 /// The number of answer tokens per prompt token from which a request counts as a stream. The
-/// largest answer that a client allows is about four times the usual one; judged by the time of
-/// such an answer, reports counted as streams and were placed beside them.
+/// largest answer that a client allows is about four times the usual one: when the time of such an
+/// answer decided, reports (long prompts) counted as streams and were placed on the same engines.
 const MIN_ANSWER_RATIO: f64 = 0.15;
 /// The longest prompt that counts as a stream whatever its answer: an engine reads it in about one
 /// step (2,048 tokens at the users' sites). It keeps queues shorter on days with scaled-up traffic.
--- a/crates/gateway/src/decisions/replication/candidates.rs
+++ b/crates/gateway/src/decisions/replication/candidates.rs
@@ -3,9 +3,9 @@
 //! Inputs: the parent's ancestors and its other followers as it reported them, daemons that
 //! reported a fresher proof, those that led to a cycle, and the seeds.
 //!
-//! Rule: a daemon that reported a fresher proof, the former ancestors from the nearest on, the
-//! seeds, former siblings; [`MAX_CANDIDATES`] at most. This daemon, its parent, and one that led to
-//! a cycle up to [`CYCLE_BACKOFF`] ago are left out.
+//! Rule: the order is a daemon that reported a fresher proof, the former ancestors from the nearest
+//! on, the seeds, former siblings; [`MAX_CANDIDATES`] at most. This daemon, its parent, and one
+//! that led to a cycle up to [`CYCLE_BACKOFF`] ago are left out.
 //!
 //! Reason: ancestors are the likeliest to be fresh. A daemon that redirects this one to its own
 //! follower does so again until it has forgotten that follower.
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 
 /// The maximum number of daemons probed in one search. Each unreachable daemon takes 0.3 s, and the
-/// search must end before a proof does.
+/// search must end before a proof expires.
 const MAX_CANDIDATES: usize = 8;
 /// How long a daemon that led to a cycle isn't polled. A follower is forgotten two seconds after
 /// its last response, and a search starts each second.
--- a/crates/gateway/src/decisions/replication/fleet_size.rs
+++ b/crates/gateway/src/decisions/replication/fleet_size.rs
@@ -2,7 +2,8 @@
 //!
 //! Inputs: numbers that other daemons report, and when.
 //!
-//! Rule: the largest number of the last `REPORT_TTL`; after that the newest one.
+//! Rule: the largest number counts for `REPORT_TTL` after it was last reported; then the next one
+//! that is reported replaces it.
 //!
 //! Reason: the retry budget is divided by it. Daemons that are partitioned still run and retry, so
 //! too large a number is safer than too small a one.
@@ -18,7 +19,7 @@
 /// short partition keep their part of it.
 const REPORT_TTL: DurationMs = DurationMs(30_000);
 
-/// The number of daemons.
+/// The number of daemons, as others reported it.
 #[derive(Debug, Default)]
 pub struct FleetSize {
     /// 0 until a number is reported.
--- a/crates/gateway/src/decisions/replication/followers.rs
+++ b/crates/gateway/src/decisions/replication/followers.rs
@@ -243,7 +243,7 @@
         self.by_vm.len()
     }
 
-    /// Returns whether there were none.
+    /// Returns whether no follower was known at the last poll.
     pub fn is_empty(&self) -> bool {
         self.by_vm.is_empty()
     }
--- a/crates/gateway/src/decisions/replication/proof_limits.rs
+++ b/crates/gateway/src/decisions/replication/proof_limits.rs
@@ -25,30 +25,32 @@
 
 use bridgevane_types::DurationMs;
 
-/// Share of the proof's lifetime. A seed's proof is up to 1 s old, and an adopted upstream must
-/// last a while.
+/// The limit `adopt_below` as a share of the proof's lifetime. A seed's proof is up to 1 s old, and
+/// an adopted upstream must last a while.
 const ADOPT_SHARE: f64 = 0.34;
-/// Share of the proof's lifetime. 0.34 sent 116 of 295 daemons to the source at once.
+/// The limit `leave_from` as a share of the proof's lifetime. 0.34 sent 116 of 295 daemons to the
+/// source at once.
 const LEAVE_SHARE: f64 = 0.6;
-/// Share of the proof's lifetime. 1.4 s are left for a slow source.
+/// The limit `source_from` as a share of the proof's lifetime. 1.4 s are left for a slow source.
 const SOURCE_SHARE: f64 = 0.7;
 /// The margins below are shares of the time for a change, but of no more than this: the time at the
 /// small sites on which 0.6 s proved enough.
 const MAX_MARGIN_BASE: DurationMs = DurationMs(2_000);
-/// Share of the time for a change, at most of [`MAX_MARGIN_BASE`], that is left. An adopted
-/// upstream must last a while until its followers leave.
+/// The share of the time for a change, at most of [`MAX_MARGIN_BASE`], that is left at
+/// `adopt_below`. An adopted upstream must last a while until its followers leave.
 const ADOPT_MARGIN: f64 = 0.4;
-/// The same. 0.6 s are enough in 200 of 200 runs of `follow_tree.rs::a_change_is_in_force…`.
+/// The same share at `leave_from`. 0.6 s are enough in 200 of 200 runs of
+/// `follow_tree.rs::a_change_is_in_force…`.
 const LEAVE_MARGIN: f64 = 0.3;
-/// The same. The slowest known source takes 0.24 s.
+/// The same share at `source_from`. The slowest known source takes 0.24 s.
 const SOURCE_MARGIN: f64 = 0.2;
 
 /// The ages of proofs at which a daemon acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProofLimits {
     /// A daemon with a younger proof may become the upstream. When this daemon's own proof is this
-    /// old, a daemon that polls it with a newer proof becomes a candidate at once, before the own
-    /// followers leave.
+    /// old, a daemon that polls it with a newer proof becomes a candidate at once, before this
+    /// daemon's followers leave.
     pub adopt_below: DurationMs,
     /// When its own proof is this old, a daemon searches for another upstream; one without an
     /// upstream polls the source.
--- a/crates/gateway/src/decisions/replication/record_expiry.rs
+++ b/crates/gateway/src/decisions/replication/record_expiry.rs
@@ -30,7 +30,7 @@
 /// two seconds; the rest is for the change to reach a daemon.
 const RECORD_RESTORE_TIME: DurationMs = DurationMs(2_500);
 
-/// How an endpoint is removed whose record is gone.
+/// How an endpoint whose record is gone is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Removal {
     /// It gets no more requests.
@@ -47,7 +47,7 @@
 
 impl SourceOutage {
     /// Returns how endpoints whose records are gone now are removed. `proof_age` is the age of the
-    /// newest proof before the response that reports it, `grace` how long they may be used.
+    /// newest proof before the response without these records, `grace` how long they may be used.
     pub fn removal(
         &mut self,
         now: TimeMs,
--- a/crates/gateway/src/decisions/replication/seeds.rs
+++ b/crates/gateway/src/decisions/replication/seeds.rs
@@ -1,4 +1,4 @@
-//! Seeds: the daemons of the settings that follow the control source.
+//! Seeds: the daemons named in the settings, which follow the control source.
 //!
 //! Inputs: their addresses, the data centres that they reported, and which of them did not answer
 //! recently.
--- a/crates/gateway/src/decisions/replication/source_pacing.rs
+++ b/crates/gateway/src/decisions/replication/source_pacing.rs
@@ -49,8 +49,8 @@
 /// known fleets.
 const UNKNOWN_FLEET_SIZE: u32 = 100;
 
-/// Seeds beyond this one wait no longer than it. A source that falls silent is noticed after the
-/// wait and a second more: 2.5 s of the 4.7 s that proofs last.
+/// The rank of a seed from which all seeds wait for the same time. A source that falls silent is
+/// noticed after the wait and a second more: 2.5 s of the 4.7 s that proofs last.
 const MAX_WAITING_SEEDS: u64 = 3;
 
 /// Returns how long one long poll for changes lasts at the source, where proofs should come every
@@ -75,9 +75,9 @@
 /// A daemon that polls the source for changes.
 #[derive(Clone, Copy, Debug)]
 pub struct SourceCaller {
-    /// It follows the source while the source answers.
+    /// Whether it follows the source while the source answers.
     pub is_seed: bool,
-    /// The source did not answer its last poll.
+    /// Whether the source did not answer its last poll.
     pub has_failed: bool,
     /// The number of running seeds that come before this one.
     pub seeds_before: usize,
@@ -92,7 +92,7 @@
     not_before: TimeMs,
     /// The value of `not_before` before another daemon was adopted.
     not_before_adoption: TimeMs,
-    /// The last poll failed.
+    /// Whether the last poll failed.
     has_failed: bool,
     /// The next pause after a failure.
     retry_pause: DurationMs,
--- a/crates/gateway/src/decisions/replication/upstream.rs
+++ b/crates/gateway/src/decisions/replication/upstream.rs
@@ -63,7 +63,7 @@
     /// The control source, for the full state or for changes.
     #[display("source")]
     Source,
-    /// Another daemon, for the same; it counts this one among its followers.
+    /// Another daemon, for the full state or for changes; it counts this one among its followers.
     #[display("{_0}")]
     Peer(SocketAddr),
     /// Another daemon, for its place in the tree and the age of its proof only.
@@ -103,10 +103,10 @@
 /// The daemons still to be probed in a search for a parent.
 #[derive(Clone, Debug)]
 struct Search {
-    /// Seeds of unknown data centre are probed first.
+    /// Whether seeds of unknown data centre are probed first.
     is_locating: bool,
     queue: VecDeque<SocketAddr>,
-    /// The parent is fresh: the search is for a better place only.
+    /// Whether the parent is fresh, and the search is only for a better place in the tree.
     is_improvement: bool,
 }
 
@@ -115,7 +115,7 @@
 pub struct UpstreamSelector {
     own_data_centre: DataCentreId,
     own_address: SocketAddr,
-    /// This daemon has no address at which others can poll it, or knows no seeds.
+    /// Whether this daemon has no address at which others can poll it, or knows no seeds.
     is_standalone: bool,
     is_seed: bool,
     started_at: TimeMs,
@@ -126,7 +126,7 @@
     /// When the poll that gave this daemon's newest proof was sent.
     proved_at: Option<TimeMs>,
     parent: Option<Parent>,
-    /// The source answered the last poll of it, and no daemon was adopted since.
+    /// Whether the source answered its last poll, and no daemon was adopted since.
     follows_source: bool,
     candidates: Candidates,
     search: Option<Search>,
@@ -138,12 +138,12 @@
     has_peer_answered: bool,
     /// A stale former parent, to be notified when this daemon is fresh.
     stale_parent: Option<SocketAddr>,
-    /// A probe failed: the parent is polled before the next probe.
+    /// Whether the parent is polled before the next probe, since a probe failed.
     must_poll_parent: bool,
     must_pause: bool,
 }
 
-/// Stands for the address of a daemon that has none; it is never polled.
+/// A placeholder for the address of a daemon that has none; it is never polled.
 const NO_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
--- a/crates/gateway/src/decisions/resend/hedging.rs
+++ b/crates/gateway/src/decisions/resend/hedging.rs
@@ -3,10 +3,11 @@
 //! Inputs: the route's target (ms), whether it answers with a stream, and whether the endpoint sent
 //! bytes for any request since this one was sent.
 //!
-//! Rule: after a share of the target without an answer, unless the request is for a stream and the
-//! engine streams to others: then it is busy, not unreachable, and reading the prompt a second time
-//! would cost more than it gains. Whether the request may be sent a second time at all is decided
-//! by [`super::check`]; if so, the first attempt is abandoned.
+//! Rule: a second endpoint is asked after a share of the target without an answer, unless the
+//! request is for a stream and the engine streams to others: then the engine is busy, not
+//! unreachable, and reading the prompt a second time would cost more than it gains. Whether the
+//! request may be sent a second time at all is decided by [`super::check`]; if so, the first
+//! attempt is abandoned.
 //!
 //! Reason: hedging first attempts away from engines that were merely busy lowered the score of
 //! ravaton from 0.659 to 0.624 and of solcata from 0.797 to 0.720; limited to silent engines it
--- a/crates/gateway/src/decisions/resend/mod.rs
+++ b/crates/gateway/src/decisions/resend/mod.rs
@@ -4,9 +4,9 @@
 //! until the deadline, and the retry budget that all daemons share ([`retry_budget`]).
 //!
 //! Rules, in this order:
-//! 1. A request that was *not sent* goes to another endpoint for free; one that its endpoint
-//!    reports as *not executed* goes to another one and uses the budget. Both apply also to
-//!    requests that may run only once. At most [`MAX_ENDPOINTS`] endpoints are tried this way.
+//! 1. A request that was *not sent* goes to another endpoint without using the budget; one that its
+//!    endpoint reports as *not executed* goes to another one and uses the budget. Both apply also
+//!    to requests that may run only once. At most [`MAX_ENDPOINTS`] endpoints are tried this way.
 //! 2. A request that *may have run* is sent again only if its route allows more than one run, runs
 //!    are left, and the budget allows it. The same applies if the endpoint answered with a server
 //!    error.
@@ -81,7 +81,7 @@
     }
 }
 
-/// What happened to a request.
+/// The failure after which a request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// An attempt gave no usable answer.
@@ -94,7 +94,7 @@
     StreamBroken,
 }
 
-/// What a route allows.
+/// The route's limits on sending a request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResendPolicy {
     /// Whether a request may run more than once, which includes a resumed stream.
@@ -108,7 +108,7 @@
 /// The attempts of a request so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResendProgress {
-    /// The number of endpoints that it was sent to, or would have been sent to.
+    /// The number of endpoints that were tried, including those to which no byte was sent.
     pub endpoints_tried: usize,
     /// The number of attempts that ran or may have run.
     pub runs: u32,
@@ -139,7 +139,7 @@
     BudgetEmpty,
 }
 
-/// Decides whether a request is sent again. `take_from_budget` uses one retry of the budget, if one
+/// Decides whether a request is sent again. `withdraw_retry` uses one retry of the budget, if one
 /// is left; it is called last, and only if a retry is needed.
 ///
 /// # Errors
@@ -148,7 +148,7 @@
     failure: Failure,
     policy: ResendPolicy,
     progress: ResendProgress,
-    take_from_budget: impl FnOnce() -> bool,
+    withdraw_retry: impl FnOnce() -> bool,
 ) -> Result<(), NoResend> {
     let is_free = match failure {
         // The retry was taken from the budget when the second endpoint was allowed.
@@ -170,7 +170,7 @@
             false
         }
     };
-    if is_free || take_from_budget() {
+    if is_free || withdraw_retry() {
         return Ok(());
     }
     Err(NoResend::BudgetEmpty)
--- a/crates/gateway/src/decisions/resend/retry_budget.rs
+++ b/crates/gateway/src/decisions/resend/retry_budget.rs
@@ -6,9 +6,9 @@
 //!
 //! Rule: in each window, wherever it begins, a daemon makes at most half the ratio of its own
 //! requests of that window and the one before it, plus its share of the slack. The slack is divided
-//! into `PARTS_PER_DAEMON` parts for each daemon, and at least `MIN_PARTS`. A daemon that doesn't
-//! know the number of daemons has no share, nor has one in its first window, since its predecessor
-//! may have used the share. The sum is rounded up or down by the random number.
+//! into `PARTS_PER_DAEMON` parts for each daemon, and at least `MIN_PARTS`. A daemon has no
+//! share while it doesn't know the number of daemons, and none in its first window, since its
+//! predecessor may have used the share. The sum is rounded up or down by the random number.
 //!
 //! Reason: the bound holds over all daemons in every window, while daemons start, stop and are cut
 //! off; there is no time to ask for a retry at the moment it is needed. Added up over all daemons,
@@ -49,7 +49,7 @@
     pub(crate) ratio: Share,
     /// Retries beyond the ratio in one window.
     pub(crate) slack: u32,
-    /// The sliding window.
+    /// The length of the sliding window.
     pub(crate) window: DurationMs,
 }
 
