--- a/crates/gateway/src/endpoints/directory.rs
+++ b/crates/gateway/src/endpoints/directory.rs
@@ -94,8 +94,7 @@
         }
     }
 
-    /// Returns the endpoints of a service that may get requests; `None` if no record names the
-    /// service.
+    /// Returns the endpoints of a service that may get requests; `None` if there is none.
     pub fn service(&self, service: &ServiceName) -> Option<&ServiceEndpoints> {
         self.by_service.get(service)
     }
--- a/crates/gateway/src/endpoints/idle_connections.rs
+++ b/crates/gateway/src/endpoints/idle_connections.rs
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Closes all of them and keeps no more, since the endpoint is gone.
+    /// Closes all of them and keeps no more, since the endpoint gets no more requests.
     pub(crate) fn close(&self) {
         let mut state = self.state();
         state.is_closed = true;
--- a/crates/gateway/src/endpoints/lost_requests.rs
+++ b/crates/gateway/src/endpoints/lost_requests.rs
@@ -15,7 +15,7 @@
     is_checking: bool,
 }
 
-/// The requests, behind a lock.
+/// The requests that were in flight when a connection broke, behind a lock.
 #[derive(Debug, Default)]
 pub(crate) struct LostRequests {
     state: Mutex<State>,
--- a/crates/gateway/src/endpoints/rate_limit.rs
+++ b/crates/gateway/src/endpoints/rate_limit.rs
@@ -33,7 +33,7 @@
     permits: PacedPermits,
 }
 
-/// The last report.
+/// The limit as last reported in the log.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     /// `None`: the limit had ended.
@@ -79,13 +79,13 @@
         &self,
         now: TimeMs,
         sent_at: TimeMs,
-        named: AnnouncedLimit,
+        announced: AnnouncedLimit,
         draw: impl FnOnce() -> f64,
     ) -> Option<Option<RequestsPerSecond>> {
-        if named == AnnouncedLimit::None && !self.is_known() {
+        if announced == AnnouncedLimit::None && !self.is_known() {
             return None;
         }
-        self.change(now, |state| match named {
+        self.change(now, |state| match announced {
             AnnouncedLimit::Limit(limit) => state.apply_limit(now, limit, now, draw),
             AnnouncedLimit::None => state.end_limit(sent_at),
             AnnouncedLimit::Unreadable => {}
@@ -159,8 +159,8 @@
         self.with_permits(now, daemons, |permits| permits.wait_time(now))
     }
 
-    /// Calls `ask` with this daemon's permits; `None` if there is no limit. Without a number of
-    /// daemons there are no permits.
+    /// Calls `use_permits` with this daemon's permits; `None` if there is no limit. Without a
+    /// number of daemons there are no permits.
     fn with_permits<T: Default>(
         &self,
         now: TimeMs,
@@ -241,11 +241,11 @@
     }
 
     fn known(&self) -> Option<LimitObservation> {
-        let named = self.current.map(|current| LimitObservation {
+        let announced = self.current.map(|current| LimitObservation {
             limit: Some(current.limit),
             at: current.announced_at,
         });
-        named.or(self.ended_at.map(|at| LimitObservation { limit: None, at }))
+        announced.or(self.ended_at.map(|at| LimitObservation { limit: None, at }))
     }
 
     fn forget_old_end(&mut self, now: TimeMs) {
@@ -255,12 +255,12 @@
     /// Returns the limit that applies, if it differs from the last report and a report is due.
     fn take_report(&mut self, now: TimeMs) -> Option<Option<RequestsPerSecond>> {
         let limit = self.current.map(|current| current.limit);
-        let is_known = limit == self.reported.and_then(|reported| reported.limit);
+        let is_unchanged = limit == self.reported.and_then(|reported| reported.limit);
         let is_soon = self
             .reported
             .is_some_and(|reported| now.since(reported.at) < REPORT_INTERVAL);
         // An end is reported at once.
-        if is_known || is_soon && limit.is_some() {
+        if is_unchanged || is_soon && limit.is_some() {
             return None;
         }
         self.reported = Some(Report { limit, at: now });
--- a/crates/gateway/src/endpoints/selection.rs
+++ b/crates/gateway/src/endpoints/selection.rs
@@ -40,7 +40,7 @@
     pub region_limits: RegionLimits<'a>,
     /// The number of daemons; `None` if this daemon doesn't know it.
     pub daemons: Option<u32>,
-    /// What this daemon may send to cold endpoints; `None` for as much as to others.
+    /// This daemon's quota at cold endpoints; `None` if they get as many requests as others.
     pub cold: Option<ColdQuota>,
 }
 
