--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// The reading of the clock at the daemon's start, which is the greatest age of a proof that can be
-/// taken over from another daemon. It is longer than a stale configuration may be served
+/// adopted from another daemon. It is longer than a stale configuration may be served
 /// (`--max-stale-s`).
 const START: TimeMs = TimeMs(8 * 24 * 60 * 60 * 1_000);
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -5,7 +5,7 @@
 //! | [`ControlState`] | routes, customers, endpoints, and how recent they are |
 //! | [`Fleet`] | what is known about the other daemons |
 //! | [`PromptLocations`] | which engines have read which prompts |
-//! | [`UsageTracker`] | this daemon's part in the duties |
+//! | [`UsageTracker`] | usage counts: this daemon's own and, on the holder of the duties, reported ones |
 //! | [`Quarantine`] | the requests that crash the endpoints that run them |
 //! | [`RetryBudgets`] | this daemon's requests and retries of the last two windows |
 //! | [`Shutdown`] | the progress of a planned stop |
@@ -42,7 +42,7 @@
 /// The gateway's state.
 #[derive(Debug)]
 pub struct Gateway {
-    /// The settings.
+    /// The settings, fixed before the start.
     pub settings: GatewaySettings,
     /// The clock of all moments in the state.
     pub clock: Clock,
@@ -58,7 +58,7 @@
     pub(crate) fleet: Fleet,
     /// The packed full state that starting daemons receive.
     pub(crate) packed_state: PackedState,
-    /// This daemon's part in the duties.
+    /// The usage counts: this daemon's own and, on the holder of the duties, reported ones.
     pub usage_tracker: UsageTracker,
     pub(crate) prompt_locations: PromptLocations,
     /// The requests that crash the endpoints that run them.
--- a/crates/gateway/src/header_names.rs
+++ b/crates/gateway/src/header_names.rs
@@ -16,7 +16,7 @@
     pub prompt_parts: HeaderName,
     /// The last event of a stream that was received; the stream is resumed after it.
     pub last_event_id: HeaderName,
-    /// The customer that a key belongs to.
+    /// On requests to endpoints: the customer that the client's key belongs to.
     pub customer: HeaderName,
     /// The endpoint that a request is meant for; any other endpoint refuses it.
     pub expected_endpoint: HeaderName,
--- a/crates/gateway/src/prompt.rs
+++ b/crates/gateway/src/prompt.rs
@@ -48,7 +48,7 @@
         self.prefix_tokens(self.shared_parts())
     }
 
-    /// Returns the identifier of the last part that other requests may share, which stands for the
+    /// Returns the identifier of the last part that other requests may share, which identifies the
     /// whole shared prefix; `None` if no part may be shared.
     pub(crate) fn shared_prefix_id(&self) -> Option<u64> {
         let last = self.shared_parts().checked_sub(1)?;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -32,7 +32,7 @@
     pub lapse_grace_ms: DurationMs,
     /// The maximum time until a change of the configuration is active.
     pub config_apply_ms: DurationMs,
-    /// The maximum age of the configuration.
+    /// The limits on the age of the configuration.
     pub freshness: FreshnessPolicy,
     /// The duration of one wait for changes at the control source.
     pub watch_wait_ms: DurationMs,
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long sent bytes may stay unacknowledged before the connection fails: a peer behind a network
-/// cut never closes its connection. A lost packet is sent again within some hundred milliseconds, and
-/// a caller that waits longer than this has likely given up.
+/// How long sent bytes may stay unacknowledged before the connection fails: a peer on the other side
+/// of a network partition never closes its connection. A lost packet is sent again within some
+/// hundred milliseconds, and few callers wait longer than this.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The pause after a failed accept. Without it the daemon would spin while no file descriptor is
 /// free.
--- a/crates/gateway/src/unreadable_headers.rs
+++ b/crates/gateway/src/unreadable_headers.rs
@@ -87,7 +87,8 @@
         self.decoded(name, value.to_str())
     }
 
-    /// Returns the value of a header whose whole text is parsed.
+    /// Returns the value parsed from a header's text; `None` if the header is absent or can't be
+    /// parsed.
     pub(crate) fn parsed<T: std::str::FromStr>(&self, name: &HeaderName) -> Option<T> {
         self.decoded(name, self.text(name)?.trim().parse())
     }
--- a/crates/gateway/src/work_by_endpoint.rs
+++ b/crates/gateway/src/work_by_endpoint.rs
@@ -15,8 +15,8 @@
 /// sooner.
 const MIN_URGENT_TOKENS: u64 = 1_500;
 
-/// The identifier of an endpoint in messages between daemons, whose indexes for it differ: the upper
-/// half of a 64-bit hash of its id and start time. Each incarnation of the endpoint has its own.
+/// The identifier of one incarnation of an endpoint in messages between daemons: the upper half of a
+/// 64-bit hash of its id and start time. The index of an endpoint differs between daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointHash(pub u32);
 
