--- a/crates/gateway/src/requests/crash_check.rs
+++ b/crates/gateway/src/requests/crash_check.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout};
 
 /// The connect timeout of a check. A host whose endpoint has crashed refuses the connection after
-/// one round trip; a timeout means that the network path is cut, which proves nothing.
+/// one round trip; a timeout may be due to a network partition, and proves nothing.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a new connection must stay open to count. One that is closed earlier proves nothing, and
 /// another is opened: a process that ends closes its listener and its connections one by one.
--- a/crates/gateway/src/requests/endpoint_signals.rs
+++ b/crates/gateway/src/requests/endpoint_signals.rs
@@ -1,6 +1,6 @@
-//! The signals in an endpoint's answers besides its load: a rate limit, an announced leave and a
-//! back-off. They are read from the head of each answer, kept with this incarnation of the endpoint,
-//! and logged when they change.
+//! The signals in an endpoint's answers besides its load: a rate limit, the announcement that it is
+//! leaving, and a back-off. They are read from the head of each answer, kept with this incarnation
+//! of the endpoint, and logged when they change.
 //!
 //! Owns nothing. Only answers to the request that was sent count: an answer to another request, or
 //! from another endpoint at the same address, says nothing about this endpoint.
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -13,8 +13,8 @@
 //! When a connection to an endpoint breaks, [`crash_check`] finds out whether the endpoint has
 //! crashed, and [`quarantine`] remembers which requests ran there.
 //!
-//! The rules for refusing, retrying and giving up are in [`crate::decisions`]; these modules gather
-//! the inputs, act on the results and log.
+//! The rules for refusing, shedding, hedging and resending requests are in [`crate::decisions`];
+//! these modules gather the inputs, act on the results and log.
 
 pub(crate) mod admission;
 pub(crate) mod answer_body;
--- a/crates/gateway/src/requests/request_headers.rs
+++ b/crates/gateway/src/requests/request_headers.rs
@@ -115,7 +115,7 @@
     let count = |text: Option<&str>| -> Option<u64> { headers.decoded(name, text?.trim().parse()) };
     Prompt {
         tokens: Tokens(count(prompt).unwrap_or(tokens_of_parts)),
-        // Without a bound the answer may have any length, and counts as a short one.
+        // Without a maximum the answer may have any length; it is treated as a short one.
         max_answer_tokens: Tokens(count(answer).unwrap_or(0)),
         parts,
     }
--- a/crates/gateway/src/requests/retry_budgets.rs
+++ b/crates/gateway/src/requests/retry_budgets.rs
@@ -1,7 +1,7 @@
 //! The retry budgets of all services: this daemon's recent requests and retries, behind a lock.
 //!
 //! The rule is [`crate::decisions::resend::retry_budget`]. The state is lost with the process; the
-//! rule's bound holds across restarts of a daemon without it.
+//! rule's bound holds across restarts of a daemon nevertheless.
 
 use crate::decisions::resend::retry_budget::{
     self, FleetBudget, RetryDecision, RetryHistory, RetryRounding,
@@ -12,7 +12,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Stands for an unknown number of parts; a known one is at least the rule's minimum, above 0.
+/// The value for an unknown number of parts; a known one is at least the rule's minimum, above 0.
 const UNKNOWN_PARTS: u32 = 0;
 
 /// The retry budgets by service.
@@ -74,7 +74,7 @@
         self.with_history(service, |history| history.on_request(now, window));
     }
 
-    /// Takes one retry of a service's budget if one is left.
+    /// Takes one retry from a service's budget if one is left.
     pub fn withdraw(&self, now: TimeMs, service: &ServiceName) -> RetryDecision {
         let budget = &self.fleet_budget;
         let parts = self.parts.load(Ordering::Relaxed);
