--- a/crates/gateway/src/lifecycle/readiness.rs
+++ b/crates/gateway/src/lifecycle/readiness.rs
@@ -1,6 +1,6 @@
-//! The readiness endpoint for the load balancer, and the metrics page.
+//! The server for the load balancer's readiness checks and for the metrics page.
 //!
-//! The balancer may ask for any path except [`METRICS_PATH`]; 200 means that the daemon is ready for
+//! The balancer may request any path except [`METRICS_PATH`]; 200 means that the daemon is ready for
 //! new connections, 503 that it isn't.
 
 use crate::gateway::Gateway;
@@ -38,7 +38,7 @@
                 };
                 async move { Ok::<_, Infallible>(response) }
             });
-            // The error is ignored: after a broken connection the balancer asks again on a new one.
+            // The error is ignored: after a broken connection the balancer uses a new one.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
