--- a/crates/gateway/src/duties/engines.rs
+++ b/crates/gateway/src/duties/engines.rs
@@ -1,4 +1,4 @@
-//! Ordering engines.
+//! Orders engines while this daemon holds the duties.
 //!
 //! [`crate::decisions::duties::engine_plan`] decides how many engines are planned, and
 //! [`crate::decisions::duties::engine_orders`] which order is next; this module gathers the inputs
@@ -196,8 +196,8 @@
     }
 }
 
-/// Returns the engines of a service that don't drain. Those of an evacuated data centre keep
-/// running, and count: otherwise they would be ordered a second time.
+/// Counts the engines of a service that don't drain. Those of an evacuated data centre keep running
+/// and are included: otherwise they would be ordered a second time.
 fn running_engines(directory: &Directory, service: &ServiceName) -> EnginesByDataCentre {
     let mut running = EnginesByDataCentre::new();
     for endpoint in directory.endpoints() {
--- a/crates/gateway/src/duties/holder.rs
+++ b/crates/gateway/src/duties/holder.rs
@@ -1,4 +1,4 @@
-//! Becoming the holder of the duties, and holding them.
+//! Tries to make this daemon the holder of the duties, and performs them while it is.
 //!
 //! Every daemon runs this task. [`crate::decisions::duties::tenure`] decides which daemon is a
 //! candidate when, and whether a holder may act; this module makes the calls.
--- a/crates/gateway/src/duties/mod.rs
+++ b/crates/gateway/src/duties/mod.rs
@@ -4,7 +4,7 @@
 //! |---|---|---|
 //! | counts requests as they begin | every daemon | [`usage_tracker`] |
 //! | reports its counts to the holder | every daemon but the holder | [`reporter`] |
-//! | tries to become the holder, and keeps the lease | daemons that follow the store | [`holder`], [`holder_session`] |
+//! | tries to become the holder, and keeps the lease | daemons that follow the control source | [`holder`], [`holder_session`] |
 //! | submits each window's usage to the platform | the holder | [`usage`] |
 //! | orders engines | the holder | [`engines`] |
 //!
--- a/crates/gateway/src/duties/reporter.rs
+++ b/crates/gateway/src/duties/reporter.rs
@@ -1,7 +1,7 @@
-//! Reporting this daemon's usage counts to the holder of the duties.
+//! Reports this daemon's usage counts to the holder of the duties.
 //!
-//! Owns one connection, to the holder in the replica. Reports go directly to the holder, not up the
-//! tree of followers: see docs/design/16.
+//! Owns one connection, to the holder that the replica names. Reports go directly to the holder, not
+//! up the tree of followers: see docs/design/16.
 
 use crate::control::duty_holder::HolderView;
 use crate::control::holder_record::HolderRecord;
@@ -24,7 +24,7 @@
 /// 5 s is lost, well within the 5 % by which usage may be off.
 const REPORT_INTERVAL_MS: u64 = 1_000;
 /// Daemons spread their reports over this part of the interval, so that not all of a large fleet
-/// call the holder at once, and the last one is soon enough.
+/// call the holder at once, and the last report of a window still arrives in time.
 const SPREAD_MS: u64 = 300;
 /// Timeout for the holder's answer, which is sent immediately.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
--- a/crates/gateway/src/duties/usage.rs
+++ b/crates/gateway/src/duties/usage.rs
@@ -1,4 +1,4 @@
-//! Submitting the usage of each window to the platform.
+//! Submits the usage of each window to the platform while this daemon holds the duties.
 //!
 //! [`crate::decisions::duties::usage_window`] decides when a window is submitted, and
 //! [`crate::decisions::duties::usage_collection`] with which counts.
@@ -72,10 +72,10 @@
     }
 
     /// Returns the first window that no holder has stored.
-    fn first_window(&self, newest_submitted: Option<UsageWindow>) -> UsageWindow {
-        match newest_submitted {
+    fn first_window(&self, newest_stored: Option<UsageWindow>) -> UsageWindow {
+        match newest_stored {
             Some(newest) => newest.next().max(self.oldest_remembered_window()),
-            // No window was submitted yet: starts with the oldest one that daemons remember.
+            // No window was stored yet: starts with the oldest one that daemons remember.
             None => self.oldest_remembered_window(),
         }
     }
@@ -119,9 +119,9 @@
             return Ok(());
         }
         let usage = WindowUsage { window, counts };
-        let fixed = usage.clone();
+        let stored = usage.clone();
         self.session
-            .write_state(|state| state.with_window(fixed, daemons))
+            .write_state(|state| state.with_window(stored, daemons))
             .await?;
         self.submit(&usage).await?;
         let after_end = self.now().since(self.calendar.end_of(window));
--- a/crates/gateway/src/duties/usage_tracker.rs
+++ b/crates/gateway/src/duties/usage_tracker.rs
@@ -18,7 +18,7 @@
 pub struct UsageTracker {
     clock: Clock,
     daemon: DaemonIncarnation,
-    /// None if the fleet doesn't submit usage.
+    /// The usage windows; none if the fleet doesn't submit usage.
     calendar: Option<UsageCalendar>,
     ledger: Option<Mutex<UsageLedger>>,
     /// Set while this daemon holds the duties, or is about to.
