--- a/crates/gateway/src/control/patch.rs
+++ b/crates/gateway/src/control/patch.rs
@@ -14,15 +14,15 @@
 /// The difference between two values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Patch {
-    /// The number of bytes that stay at the start.
+    /// The number of bytes kept from the start of the previous value.
     pub kept_head: usize,
-    /// The number of bytes that stay at the end.
+    /// The number of bytes kept from the end of the previous value.
     pub kept_tail: usize,
     /// The new bytes between them.
     pub inserted: Bytes,
 }
 
-/// The patch was made for another value.
+/// The error for a patch that was made for another value.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("the patch doesn't fit the value before")]
 pub struct PatchDoesNotFit;
--- a/crates/gateway/src/control/replica.rs
+++ b/crates/gateway/src/control/replica.rs
@@ -87,6 +87,7 @@
 /// The records and recent changes.
 #[derive(Debug, Default)]
 pub struct Replica {
+    /// The revision up to which the replica is complete.
     at: Revision,
     records: BTreeMap<String, Value>,
     removals: Removals,
@@ -266,7 +267,7 @@
         self.keys.push_back((revision, key));
     }
 
-    /// Forgets the oldest removals if there are more than `records`.
+    /// Forgets the oldest removals if there are more than `records` and [`MIN_REMOVALS`].
     fn truncate(&mut self, records: usize) {
         while self.keys.len() > records.max(MIN_REMOVALS) {
             let Some((revision, _)) = self.keys.pop_front() else {
--- a/crates/gateway/src/control/routing_table.rs
+++ b/crates/gateway/src/control/routing_table.rs
@@ -39,9 +39,9 @@
 impl RoutingTable {
     /// Builds the indexes.
     pub fn new(parts: RoutingParts) -> Self {
-        let holders = parts.customers.iter().flat_map(HashMap::values);
-        let holders = holders.map(|customer| &**customer);
-        let priorities = PriorityRanking::new(parts.routes.iter(), holders);
+        let customers = parts.customers.iter().flat_map(HashMap::values);
+        let customers = customers.map(|customer| &**customer);
+        let priorities = PriorityRanking::new(parts.routes.iter(), customers);
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in parts.routes {
             let routes = by_host.entry(route.host.clone()).or_default();
--- a/crates/gateway/src/control/source.rs
+++ b/crates/gateway/src/control/source.rs
@@ -114,8 +114,8 @@
     Unreadable,
 }
 
-/// The progress of reading the full state. The caller gives up when no part arrives in time,
-/// however many parts there are.
+/// The progress of reading the full state. The caller aborts the read when the next part doesn't
+/// arrive in time; the number of parts isn't limited.
 #[derive(Debug, Default)]
 pub struct ReadProgress {
     parts: AtomicU64,
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -356,8 +356,8 @@
     /// Activates a routing table, unless its version is no higher than the current one's.
     fn activate(&self, table: Arc<RoutingTable>, revision: Revision) {
         let current = self.routing_table.load();
-        let is_older = |current: &Arc<RoutingTable>| current.version() >= table.version();
-        if current.as_ref().is_some_and(is_older) {
+        let is_as_new = |current: &Arc<RoutingTable>| current.version() >= table.version();
+        if current.as_ref().is_some_and(is_as_new) {
             return;
         }
         event!(
