--- a/crates/gateway/src/replication/client.rs
+++ b/crates/gateway/src/replication/client.rs
@@ -1,6 +1,6 @@
-//! Client for the replication protocol: asks another daemon for its replica of the control source.
+//! Client for the replication protocol: polls another daemon for its replica of the control source.
 //!
-//! Owns one connection, to the daemon that is currently asked. Retries and the choice of the daemon
+//! Owns one connection, to the daemon that is currently polled. Retries and the choice of the daemon
 //! belong to [`super::follow`].
 
 use crate::control::replica::ReplicaUpdate;
@@ -40,7 +40,7 @@
 /// Timeout for the first answer on a connection. A daemon with a proof answers immediately, with
 /// the changes of some seconds.
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Timeout for later answers. A question is held for up to 0.6 s (`server.rs`); the rest must cover
+/// Timeout for later answers. A poll is held for up to 0.6 s (`server.rs`); the rest must cover
 /// the network and a slow VM.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Timeout for the first message of a full state, which the sender packs first; the other messages
@@ -62,15 +62,15 @@
     pub(crate) data_centre: DataCentreId,
     /// The other daemon's path to the source.
     pub(crate) path: SourcePath,
-    /// The daemon to ask from now on, if the other daemon redirects.
+    /// The daemon to poll from now on, if the other daemon redirects.
     pub(crate) redirect: Option<SocketAddr>,
     /// Some of the other daemon's other followers.
     pub(crate) siblings: Vec<SocketAddr>,
-    /// The maximum number of daemons; 0: unknown.
+    /// The number of daemons, as far as the other daemon knows; 0: unknown.
     pub(crate) fleet_size: u32,
     /// The work that all daemons have under way.
     pub(crate) total_work: WorkByEndpoint,
-    /// `total_work` without this daemon's own work at the time of the question.
+    /// `total_work` without this daemon's own work at the time of the poll.
     pub(crate) others_work: WorkByEndpoint,
     /// Crash observations that the other daemon hadn't sent on this connection.
     crash_news: Vec<CrashNews>,
@@ -87,6 +87,7 @@
     pub(crate) proved_at: Option<TimeMs>,
     /// The other daemon's path to the source.
     pub(crate) path: SourcePath,
+    /// The work that the other daemon and those below it have under way.
     pub(crate) tree_work: WorkByEndpoint,
 }
 
@@ -99,7 +100,7 @@
     address: SocketAddr,
     frames: FramedStream,
     sent_observations: SentCrashObservations,
-    /// Whether a question of [`PeerClient::ask`] was answered on this connection.
+    /// Whether a poll by [`PeerClient::poll`] was answered on this connection.
     has_answered: bool,
 }
 
@@ -123,12 +124,12 @@
 }
 
 impl PeerClient {
-    /// Asks a daemon for the records after `after`; 0 asks for the full state. A failure closes the
+    /// Polls a daemon for the records after `after`; 0 asks for the full state. A failure closes the
     /// connection.
     ///
     /// # Errors
     /// [`PeerError`] when there is no usable answer.
-    pub(crate) async fn ask(
+    pub(crate) async fn poll(
         &mut self,
         gateway: &Gateway,
         peer: SocketAddr,
@@ -136,13 +137,13 @@
     ) -> Result<PeerAnswer, PeerError> {
         let mut open = self.connect(peer).await?;
         let own_work = own_work(&gateway.control.directory());
-        let question = RecordsWanted {
+        let poll = RecordsWanted {
             crash_news: open.sent_observations.take_unsent(gateway),
-            ..records_question(gateway, peer, after)
+            ..records_poll(gateway, peer, after)
         };
         let limit = open.answer_timeout(after);
         let asked_at = gateway.clock.now();
-        let first = send_question(&mut open.frames, question, limit).await?;
+        let first = send_poll(&mut open.frames, poll, limit).await?;
         let parts = receive_parts(&mut open.frames, first).await?;
         open.has_answered = true;
         self.open = Some(open);
@@ -162,7 +163,7 @@
         peer: SocketAddr,
     ) -> Result<ProbeAnswer, PeerError> {
         let mut open = self.connect(peer).await?;
-        let question = RecordsWanted {
+        let poll = RecordsWanted {
             is_for_work: true,
             endpoint_notices: endpoint_notices::current(gateway),
             crash_news: open.sent_observations.take_unsent(gateway),
@@ -171,7 +172,7 @@
             ..Default::default()
         };
         let asked_at = gateway.clock.now();
-        let answer = send_question(&mut open.frames, question, PROBE_TIMEOUT).await?;
+        let answer = send_poll(&mut open.frames, poll, PROBE_TIMEOUT).await?;
         crash_observations::apply(gateway, &answer.crash_news);
         endpoint_notices::apply(gateway, &answer.endpoint_notices);
         self.open = Some(open);
@@ -213,8 +214,8 @@
     Ok(Framed::new(stream, FrameCodec::default()))
 }
 
-/// Returns the question for the records after a revision, with the reports of this daemon's subtree.
-fn records_question(gateway: &Gateway, peer: SocketAddr, after: Revision) -> RecordsWanted {
+/// Returns the poll for the records after a revision, with the reports of this daemon's subtree.
+fn records_poll(gateway: &Gateway, peer: SocketAddr, after: Revision) -> RecordsWanted {
     let settings = &gateway.settings;
     let subtree = gateway
         .fleet
@@ -235,7 +236,7 @@
     }
 }
 
-/// Returns this daemon's peer address; empty if it has none and can't be asked.
+/// Returns this daemon's peer address; empty if it has none and can't be polled.
 fn own_address(gateway: &Gateway) -> String {
     let address = gateway.settings.peer_address;
     address.map_or_else(String::new, |address| address.to_string())
@@ -247,14 +248,14 @@
     Some(age.0 + CLOCK_RESOLUTION_MS)
 }
 
-/// Sends a question and waits for the first message of the answer.
-async fn send_question(
+/// Sends a poll and waits for the first message of the answer.
+async fn send_poll(
     frames: &mut FramedStream,
-    question: RecordsWanted,
+    poll: RecordsWanted,
     limit: Duration,
 ) -> Result<RecordsAnswer, PeerError> {
     let asked_at = Instant::now();
-    let body = Some(Body::RecordsWanted(question));
+    let body = Some(Body::RecordsWanted(poll));
     let sent = timeout(limit, frames.send(Frame { body })).await;
     let sent = sent.map_err(|_| PeerError::NoAnswer)?;
     sent.map_err(|_| PeerError::Broken)?;
@@ -295,7 +296,7 @@
 }
 
 /// Returns when the answering daemon's configuration was proved to be the newest, by this daemon's
-/// clock. The answering daemon started to hold the question after it was sent, so the answer was
+/// clock. The answering daemon started to hold the poll after it was sent, so the answer was
 /// made no earlier than `held_ms` after `asked_at`; subtracting the age of the proof gives a time
 /// no later than the actual one. A proof from before the start of this daemon's clock counts as
 /// none.
@@ -306,7 +307,7 @@
     Ok(answer.proof_age_ms.and_then(proved_at))
 }
 
-/// Decodes the messages of an answer to a question that was sent at `asked_at`.
+/// Decodes the messages of an answer to a poll that was sent at `asked_at`.
 fn decode_answer(
     asked_at: TimeMs,
     mut parts: Vec<RecordsAnswer>,
--- a/crates/gateway/src/replication/crash_observations.rs
+++ b/crates/gateway/src/replication/crash_observations.rs
@@ -1,5 +1,5 @@
 //! Observations of requests that crash endpoints, exchanged between daemons that follow each other:
-//! upwards with questions, downwards with answers, and between seeds.
+//! upwards with polls, downwards with answers, and between seeds.
 //!
 //! Each side of a connection sends the observations that it hasn't sent on it yet. An observation
 //! therefore passes every edge of the tree once, whichever daemon had it first, and a new
--- a/crates/gateway/src/replication/endpoint_notices.rs
+++ b/crates/gateway/src/replication/endpoint_notices.rs
@@ -1,5 +1,5 @@
-//! Rate limits that endpoints ask for, exchanged between daemons that follow each other: with each
-//! question and each answer, and between seeds. Each message carries the current state, not
+//! Rate limits that endpoints announce, exchanged between daemons that follow each other: with each
+//! poll and each answer, and between seeds. Each message carries the current state, not
 //! changes, so daemons don't track what others know.
 //!
 //! Notices that don't fit into a message are left out. A notice on an endpoint that isn't known
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 
 /// The maximum number of notices per message; the newest ones are sent. At some 18 bytes each they
-/// take 1.2 KB, and few endpoints of a fleet ask for a limit at the same time.
+/// take 1.2 KB, and few endpoints of a fleet announce a limit at the same time.
 const MAX_NOTICES: usize = 64;
 
 /// Returns the current limits, as notices for another daemon.
--- a/crates/gateway/src/replication/fleet.rs
+++ b/crates/gateway/src/replication/fleet.rs
@@ -156,7 +156,7 @@
         self.followers().place(self.clock.now(), follower, &path)
     }
 
-    /// Notes that a follower's question was answered.
+    /// Records that a follower's poll was answered.
     pub(crate) fn on_follower_answered(&self, vm: &VmId) {
         self.followers().on_answered(self.clock.now(), vm);
     }
@@ -191,14 +191,14 @@
         self.on_size_report(subtree.size.saturating_mul(seeds))
     }
 
-    /// Returns this daemon's subtree as it is reported to `asked`, without what `asked` reported
-    /// itself. Seeds exchange their subtrees among themselves, so a seed that follows this one for a
-    /// while isn't counted.
-    pub(crate) fn own_subtree(&self, directory: &Directory, asked: Option<SocketAddr>) -> Subtree {
+    /// Returns this daemon's subtree as it is reported to `peer`, without the part that `peer`
+    /// reported itself. Seeds exchange their subtrees among themselves, so a seed that follows this
+    /// one for a while isn't counted.
+    pub(crate) fn own_subtree(&self, directory: &Directory, peer: Option<SocketAddr>) -> Subtree {
         let is_seed = self.is_seed();
         let is_counted = |follower: &Follower| {
             let is_other_seed = is_seed && self.seed_addresses.contains(&follower.address);
-            Some(follower.address) != asked && !is_other_seed
+            Some(follower.address) != peer && !is_other_seed
         };
         let now = self.clock.now();
         self.followers()
--- a/crates/gateway/src/replication/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -3,7 +3,7 @@
 //!
 //! This task is the only writer of [`crate::control::state`], except for proofs of other seeds
 //! ([`super::seed_exchange`]). The upstream is chosen in
-//! [`crate::decisions::replication::upstream`]; this module asks it, applies the answer and stores
+//! [`crate::decisions::replication::upstream`]; this module polls it, applies the answer and stores
 //! the proof.
 
 use crate::control::replica::ReplicaUpdate;
@@ -45,7 +45,7 @@
 /// The time that a call without a wait may take. The users' slowest source takes 0.24 s, plus the
 /// time for a new connection.
 const ANSWER_SLACK: Duration = Duration::from_millis(600);
-/// The delay before the next question after changes. Changes come in bursts, and one later answer
+/// The delay before the next poll after changes. Changes come in bursts, and one later answer
 /// brings those of several. Without this delay a fleet made 12,585 calls to the source in a quiet
 /// day, and 4,400 with it and longer waits.
 const CHANGE_BURST_DELAY: Duration = Duration::from_millis(200);
@@ -85,19 +85,19 @@
     upstreams: UpstreamSelector,
     parent_client: PeerClient,
     probe_client: PeerClient,
-    /// The upstream of the previous step.
+    /// The upstream that was last logged; probes aren't logged.
     logged_upstream: Option<Upstream>,
     /// Whether the replica can't be brought up to date by changes.
     needs_full_state: bool,
     pause: Duration,
     reload_timeout: Duration,
     is_source_lost: bool,
-    /// The freshness that was last logged_freshness.
+    /// The freshness that was last logged.
     logged_freshness: Freshness,
 }
 
 impl<S: ControlSource> SourceFollower<S> {
-    /// Selects an upstream and asks it once.
+    /// Selects an upstream and polls it once.
     async fn step(&mut self) {
         let now = self.gateway.clock.now();
         // Other seeds' proofs are stored by another task.
@@ -111,7 +111,7 @@
         self.log_upstream(upstream);
         match upstream {
             Upstream::Source => self.poll_source().await,
-            Upstream::Peer(peer) => self.ask_peer(peer).await,
+            Upstream::Peer(peer) => self.poll_peer(peer).await,
             Upstream::Probe(peer) => self.probe(peer).await,
         }
         let path = self.upstreams.path();
@@ -136,7 +136,7 @@
         let result = tokio::select! {
             result = self.call_source() => result,
             () = gateway.fleet.wait_for_fresher_daemon() => Err(SourceError::NoAnswer),
-            // Repeats a question that was sent before a suspension.
+            // Repeats a poll that was sent before a suspension.
             () = gateway.resumed_from_suspension.notified() => return,
         };
         self.gateway.metrics.source_called(cause, result);
@@ -225,7 +225,7 @@
         Ok(())
     }
 
-    async fn ask_peer(&mut self, peer: SocketAddr) {
+    async fn poll_peer(&mut self, peer: SocketAddr) {
         let after = if self.needs_full_state {
             Revision(0)
         } else {
@@ -237,14 +237,14 @@
             .source_slot_at(now)
             .map(|slot| slot.since(now));
         let gateway = self.gateway.clone();
-        let asked = tokio::select! {
-            asked = self.parent_client.ask(&gateway, peer, after) => asked,
-            // The question is dropped with its connection; the parent is kept.
+        let polled = tokio::select! {
+            polled = self.parent_client.poll(&gateway, peer, after) => polled,
+            // The poll is dropped with its connection; the parent is kept.
             () = gateway.fleet.wait_for_fresher_daemon() => return,
             () = gateway.resumed_from_suspension.notified() => return,
             () = wait_for_slot(until_slot) => return,
         };
-        let applied = asked.and_then(|answer| self.apply_answer(answer));
+        let applied = polled.and_then(|answer| self.apply_answer(answer));
         self.gateway.metrics.peer_polled(applied.as_ref().err());
         match applied {
             Ok(report) => {
--- a/crates/gateway/src/replication/mod.rs
+++ b/crates/gateway/src/replication/mod.rs
@@ -7,7 +7,7 @@
 //! ([`crate::control::replica`]), from which it answers daemons that follow it ([`server`],
 //! [`client`]). Messages also carry the number of daemons and the work that they have under way
 //! ([`fleet`]), which requests crash endpoints ([`crash_observations`]), and the limits that
-//! endpoints ask for ([`endpoint_notices`]). There is no consensus and nothing is stored: a replica
+//! endpoints announce ([`endpoint_notices`]). There is no consensus and nothing is stored: a replica
 //! is a cache of the source, ordered only by the source's revision.
 
 pub(crate) mod client;
--- a/crates/gateway/src/replication/peer_error.rs
+++ b/crates/gateway/src/replication/peer_error.rs
@@ -17,7 +17,7 @@
     /// The connection broke.
     #[display("broken")]
     Broken,
-    /// The message isn't an answer to the question.
+    /// The message isn't an answer to the poll or the report.
     #[display("unreadable answer")]
     Unreadable,
     /// The other daemon follows this one, directly or indirectly.
--- a/crates/gateway/src/replication/quarantine_writer.rs
+++ b/crates/gateway/src/replication/quarantine_writer.rs
@@ -47,12 +47,12 @@
 /// Waits until there may be something to store. Without quarantined requests there is no periodic
 /// check.
 async fn wait_for_quarantined(gateway: &Gateway) {
-    let stopped = gateway.quarantine.wait_for_quarantined();
+    let quarantined = gateway.quarantine.wait_for_quarantined();
     if gateway.quarantine.has_quarantined() {
-        // The timeout is what finds overdue requests.
-        let _ = timeout(STORE_INTERVAL, stopped).await;
+        // After a timeout the caller looks for overdue requests.
+        let _ = timeout(STORE_INTERVAL, quarantined).await;
     } else {
-        stopped.await;
+        quarantined.await;
     }
 }
 
--- a/crates/gateway/src/replication/seed_exchange.rs
+++ b/crates/gateway/src/replication/seed_exchange.rs
@@ -1,8 +1,8 @@
-//! Exchange between seeds: each asks the others for the work that the daemons of their subtrees have
-//! under way, and for proofs.
+//! Exchange between seeds: each probes the others for the work that the daemons of their subtrees
+//! have under way, and for proofs.
 //!
 //! Seeds follow the source and not each other, so no upstream reports the total work to them. A
-//! proof of one seed is valid for all that have the same state, so some seeds may ask the source
+//! proof of one seed is valid for all that have the same state, so some seeds may poll the source
 //! less often ([`crate::decisions::replication::source_pacing::watch_wait`]).
 
 use crate::gateway::Gateway;
@@ -11,21 +11,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The delay between two questions. Followers' questions are held for the same time while there is
+/// The delay between two probes. Followers' polls are held for the same time while there is
 /// work to report.
 const INTERVAL: Duration = Duration::from_millis(200);
-/// The delay after an unanswered question. A seed that is down stays down for seconds, and its
+/// The delay after an unanswered probe. A seed that is down stays down for seconds, and its
 /// report expires meanwhile.
 const FAILURE_PAUSE: Duration = Duration::from_millis(2_000);
 
-/// Starts asking the other seeds, if this daemon is a seed; continues until the daemon ends.
+/// Starts probing the other seeds, if this daemon is a seed; continues until the daemon ends.
 pub(crate) fn start(gateway: &Arc<Gateway>) {
     for seed in gateway.fleet.other_seeds() {
-        tokio::spawn(ask_repeatedly(gateway.clone(), seed));
+        tokio::spawn(probe_repeatedly(gateway.clone(), seed));
     }
 }
 
-async fn ask_repeatedly(gateway: Arc<Gateway>, seed: SocketAddr) {
+async fn probe_repeatedly(gateway: Arc<Gateway>, seed: SocketAddr) {
     let mut client = PeerClient::default();
     loop {
         let pause = match client.probe(&gateway, seed).await {
@@ -33,8 +33,8 @@
                 on_answer(&gateway, seed, answer);
                 INTERVAL
             }
-            // Not logged: the report expires by itself, and a seed that is down is asked for a long
-            // time.
+            // Not logged: the report expires by itself, and a seed that is down is probed for a
+            // long time.
             Err(_) => FAILURE_PAUSE,
         };
         tokio::time::sleep(pause).await;
--- a/crates/gateway/src/replication/server.rs
+++ b/crates/gateway/src/replication/server.rs
@@ -29,9 +29,9 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// Timeout for the next question on a connection. A follower expires after 2 s; the rest saves a
-/// slow one from reconnecting.
-const NEXT_QUESTION_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Timeout for the next poll or report on a connection. A follower expires after 2 s; the rest saves
+/// a slow one from reconnecting.
+const NEXT_POLL_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// Of this many answers on a connection, one lists siblings. Siblings change seldom, and ten answers
 /// take two seconds or more.
 const SIBLINGS_EVERY: u64 = 10;
@@ -40,7 +40,7 @@
 const MAX_CONNECTIONS: u64 = 512;
 
 /// The delay for collecting crash observations before they are sent: an endpoint that crashes causes
-/// many at once. It is a quarter of the time for which a question is held while there is work.
+/// many at once. It is a quarter of the time for which a poll is held while there is work.
 const CRASH_OBSERVATION_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves other daemons until the daemon ends.
@@ -69,11 +69,11 @@
     let mut sent_observations = SentCrashObservations::default();
     let mut answers = 0;
     loop {
-        let Ok(Some(frame)) = timeout(NEXT_QUESTION_TIMEOUT, frames.next()).await else {
+        let Ok(Some(frame)) = timeout(NEXT_POLL_TIMEOUT, frames.next()).await else {
             return Ok(());
         };
-        let question = match frame?.body {
-            Some(Body::RecordsWanted(question)) => question,
+        let poll = match frame?.body {
+            Some(Body::RecordsWanted(poll)) => poll,
             Some(Body::UsageReported(report)) => {
                 let is_holder = gateway.usage_tracker.on_report(decode_report(report));
                 let body = Some(Body::UsageHeard(UsageHeard { is_holder }));
@@ -82,26 +82,26 @@
             }
             _ => return Ok(()),
         };
-        remember_fresher_daemon(gateway, &question);
-        crash_observations::apply(gateway, &question.crash_news);
-        endpoint_notices::apply(gateway, &question.endpoint_notices);
-        let placement = if question.is_for_work {
+        remember_fresher_daemon(gateway, &poll);
+        crash_observations::apply(gateway, &poll.crash_news);
+        endpoint_notices::apply(gateway, &poll.endpoint_notices);
+        let placement = if poll.is_for_work {
             None
         } else {
-            Some(place_follower(gateway, &question))
+            Some(place_follower(gateway, &poll))
         };
         let answer = match placement {
             None => RecordsAnswer {
                 crash_news: sent_observations.take_unsent(gateway),
                 ..probe_answer(gateway)
             },
-            Some(FollowerPlacement::Cycle) => cycle_answer(gateway, &question),
+            Some(FollowerPlacement::Cycle) => cycle_answer(gateway, &poll),
             Some(FollowerPlacement::Redirect(address)) => redirect_answer(gateway, address),
             Some(FollowerPlacement::Here) => {
                 let asked_at = gateway.clock.now();
-                let asked = Instant::now();
-                wait_for_update(gateway, sent_proof, &sent_observations, &question, asked).await;
-                let (parts, mut answer, proved_at) = records_answer(gateway, &question, asked_at);
+                let polled = Instant::now();
+                wait_for_update(gateway, sent_proof, &sent_observations, &poll, polled).await;
+                let (parts, mut answer, proved_at) = records_answer(gateway, &poll, asked_at);
                 for part in parts {
                     let body = Some(Body::RecordsAnswer(part));
                     frames.send(Frame { body }).await?;
@@ -110,7 +110,7 @@
                 answer.crash_news = sent_observations.take_unsent(gateway);
                 answer.endpoint_notices = endpoint_notices::current(gateway);
                 if answers % SIBLINGS_EVERY == 0 {
-                    let siblings = gateway.fleet.siblings(&VmId::from(question.vm.as_str()));
+                    let siblings = gateway.fleet.siblings(&VmId::from(poll.vm.as_str()));
                     answer.siblings = siblings.iter().map(ToString::to_string).collect();
                 }
                 answers += 1;
@@ -120,19 +120,19 @@
         let body = Some(Body::RecordsAnswer(answer));
         frames.send(Frame { body }).await?;
         if placement == Some(FollowerPlacement::Here) {
-            let vm = VmId::from(question.vm.as_str());
+            let vm = VmId::from(poll.vm.as_str());
             gateway.fleet.on_follower_answered(&vm);
         }
     }
 }
 
-/// Remembers an asking daemon whose proof is newer than this one's, if this one's is old.
-fn remember_fresher_daemon(gateway: &Gateway, question: &RecordsWanted) {
-    let Some(age_ms) = question.proof_age_ms else {
+/// Remembers a polling daemon whose proof is newer than this one's, if this one's is old.
+fn remember_fresher_daemon(gateway: &Gateway, poll: &RecordsWanted) {
+    let Some(age_ms) = poll.proof_age_ms else {
         return;
     };
     // A daemon without an address can't be followed.
-    let Ok(address) = question.peer_address.parse() else {
+    let Ok(address) = poll.peer_address.parse() else {
         return;
     };
     // A proof from before the start of this daemon's clock is too old to be of use.
@@ -167,13 +167,13 @@
     }
 }
 
-/// Returns an answer that shows the asking daemon that it would follow itself: the path contains
+/// Returns an answer that shows the polling daemon that it would follow itself: the path contains
 /// it. The answer has no records and no proof.
-fn cycle_answer(gateway: &Gateway, question: &RecordsWanted) -> RecordsAnswer {
+fn cycle_answer(gateway: &Gateway, poll: &RecordsWanted) -> RecordsAnswer {
     RecordsAnswer {
         data_centre: gateway.settings.data_centre.to_string(),
         path: Some(SourcePath {
-            daemons: vec![question.peer_address.clone()],
+            daemons: vec![poll.peer_address.clone()],
             reaches_source: false,
         }),
         ..Default::default()
@@ -197,19 +197,19 @@
 
 /// Decides which daemon answers. This happens before any record is sent: a full state is large for
 /// the link of a small VM.
-fn place_follower(gateway: &Gateway, question: &RecordsWanted) -> FollowerPlacement {
-    let Ok(address) = question.peer_address.parse() else {
+fn place_follower(gateway: &Gateway, poll: &RecordsWanted) -> FollowerPlacement {
+    let Ok(address) = poll.peer_address.parse() else {
         // A daemon without an address can't be followed; it is answered here.
         return FollowerPlacement::Here;
     };
     gateway.fleet.place_follower(Follower {
-        vm: VmId::from(question.vm.as_str()),
-        data_centre: DataCentreId::from(question.data_centre.as_str()),
+        vm: VmId::from(poll.vm.as_str()),
+        data_centre: DataCentreId::from(poll.data_centre.as_str()),
         address,
         subtree: Subtree {
-            size: question.tree_size,
-            depth: question.tree_depth,
-            work: decode_work(&question.tree_work),
+            size: poll.tree_size,
+            depth: poll.tree_depth,
+            work: decode_work(&poll.tree_work),
         },
     })
 }
@@ -219,23 +219,23 @@
     gateway: &Gateway,
     sent_proof: Option<TimeMs>,
     sent_observations: &SentCrashObservations,
-    question: &RecordsWanted,
-    asked: Instant,
+    poll: &RecordsWanted,
+    polled: Instant,
 ) {
     let mut progress = gateway.control.progress();
     let waiting = progress.wait_for(|_| {
-        let has_changes = gateway.control.replica().revision() > Revision(question.at);
+        let has_changes = gateway.control.replica().revision() > Revision(poll.at);
         let has_new_proof = gateway.control.proved_at() > sent_proof;
         has_changes || has_new_proof
     });
     let total_work = || gateway.fleet.total_work(&gateway.control.directory());
-    let is_busy = !question.tree_work.is_empty()
+    let is_busy = !poll.tree_work.is_empty()
         || !total_work().has_no_urgent_prefill()
         || gateway.quarantine.has_recent_observations();
     let limits = gateway.settings.proof_limits();
     let max_hold = max_hold(is_busy, gateway.control.proof_age(), limits).as_std();
     // An answer without changes shows that this daemon is alive.
-    let _ = timeout_at(asked + max_hold, async {
+    let _ = timeout_at(polled + max_hold, async {
         tokio::select! {
             _ = async { waiting.await.is_ok() } => {}
             () = sent_observations.wait_for_unsent(gateway) => sleep(CRASH_OBSERVATION_DELAY).await,
@@ -248,19 +248,19 @@
 /// into the last message are in the messages before it.
 fn records_answer(
     gateway: &Gateway,
-    question: &RecordsWanted,
+    poll: &RecordsWanted,
     asked_at: TimeMs,
 ) -> (Vec<RecordsAnswer>, RecordsAnswer, Option<TimeMs>) {
-    let after = Revision(question.at);
+    let after = Revision(poll.at);
     let mut packed_state = gateway.packed_state.lock();
     // A proof is stored after the state that it proves, so under the replica's lock the replica is
     // at least as new as the newest proof.
     let replica = gateway.control.replica();
     let proved_at = gateway.control.proved_at();
     let at = replica.revision();
-    let update = packed_state.update_unless_packed(&replica, after, question.takes_parts);
+    let update = packed_state.update_unless_packed(&replica, after, poll.takes_parts);
     drop(replica);
-    let mut parts = packed_state.parts(at, update, question.takes_parts);
+    let mut parts = packed_state.parts(at, update, poll.takes_parts);
     drop(packed_state);
     // Age and hold time refer to the same moment: the follower subtracts one from the other.
     let proof_age_ms = proof_age_ms(gateway, proved_at);
--- a/crates/gateway/tests/support/tree_sim/peers.rs
+++ b/crates/gateway/tests/support/tree_sim/peers.rs
@@ -193,7 +193,7 @@
         self.cancel_poll(at);
     }
 
-    /// Cancels the current poll, like `follow::ask_peer` and `ask_source` when a better upstream
+    /// Cancels the current poll, like `follow::poll_peer` and `poll_source` when a better upstream
     /// appears.
     pub(super) fn cancel_poll(&mut self, at: usize) {
         let daemon = &mut self.daemons[at];
