--- a/crates/gateway/src/replication/work_reports.rs
+++ b/crates/gateway/src/replication/work_reports.rs
@@ -42,13 +42,13 @@
         self.seeds.iter().filter(is_before).count()
     }
 
-    /// Returns the total work of all daemons; `tree` is the work of this daemon's own subtree.
-    pub fn total(&self, now: TimeMs, tree: &WorkByEndpoint) -> WorkByEndpoint {
+    /// Returns the total work of all daemons; `subtree` is the work of this daemon's own subtree.
+    pub fn total(&self, now: TimeMs, subtree: &WorkByEndpoint) -> WorkByEndpoint {
         let is_current = |report: &&WorkReport| is_peer_report_current(now, report.at);
         if let Some(total) = self.total.as_ref().filter(is_current) {
             return total.work.clone();
         }
-        let mut total = tree.clone();
+        let mut total = subtree.clone();
         for report in self.seeds.values().filter(is_current) {
             total.add_all(&report.work);
         }
