--- a/crates/adapters/src/http_client.rs
+++ b/crates/adapters/src/http_client.rs
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum HttpError {
     /// No connection was made: nothing was sent.
-    #[display("could not connect")]
+    #[display("no connection")]
     NotConnected,
     /// The connection failed after data may have been sent.
     #[display("the connection failed before the answer was complete")]
     Broken,
     /// There was no complete answer within the timeout.
-    #[display("no complete answer within the timeout")]
+    #[display("no answer in time")]
     TimedOut,
     /// The answer can't be decoded.
     #[display("the answer can't be read")]
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -84,7 +84,7 @@
     #[display("store slow")]
     StoreSlow,
     /// The store loses its history of changes.
-    #[display("store loses its history")]
+    #[display("store forgets")]
     StoreForgets,
     /// A link misbehaves.
     #[display("link {_0} {_1}")]
