--- a/crates/gateway/src/decisions/admission/load_shedding.rs
+++ b/crates/gateway/src/decisions/admission/load_shedding.rs
@@ -20,8 +20,8 @@
 
 use bridgevane_types::DurationMs;
 
-/// The share of the target that a request may wait in a queue. A higher share lowered the score of
-/// ravaton scale-1 (0.74 at 0.5, 0.78 at 0.3); 0.2 refuses more requests for the same value.
+/// The share of the target that a request may wait in a queue. With a higher share (0.5) more
+/// requests wait and then miss the target; a lower one (0.2) refuses more requests without a gain.
 const MAX_QUEUE_SHARE: f64 = 0.3;
 /// The shortest time after which a client is asked to retry, in milliseconds: otherwise a queue
 /// that is only slightly too long would bring its clients back at once.
--- a/crates/gateway/src/decisions/duties/engine_need.rs
+++ b/crates/gateway/src/decisions/duties/engine_need.rs
@@ -14,8 +14,8 @@
 use bridgevane_types::{DurationMs, TimeMs};
 
 /// How long the number of engines must not change. Without this delay, a fleet starting with 60
-/// engines ordered 3 before their records were there, and served 0.27 of a quiet day's requests.
-/// Engines write their records every 1.2 s; the rest is for the latency.
+/// engines ordered 3 before their records were there, and served 0.27 of its requests. Engines
+/// write their records every 1.2 s; the rest is for the latency.
 const SETTLING_TIME: DurationMs = DurationMs(1_500);
 
 /// The number of permanent engines, and since when it has not changed.
--- a/crates/gateway/src/decisions/duties/engine_orders.rs
+++ b/crates/gateway/src/decisions/duties/engine_orders.rs
@@ -6,9 +6,9 @@
 //! Rules:
 //! 1. Permanent engines are released only where the reclaimable ones that replace them already run:
 //!    no order lowers the capacity. While the fleet has no work at all, they are released at once:
-//!    there are no requests to serve, and a starting fleet would pay for both kinds in the meantime
-//!    (0.03 of a day's worth). Before the need is settled no permanent engines are ordered: more of
-//!    them may run than are seen, and any number could be too low.
+//!    there are no requests to serve, and a starting fleet would pay for both kinds in the
+//!    meantime. Before the need is settled no permanent engines are ordered: more of them may run
+//!    than are seen, and any number could be too low.
 //! 2. The platform's limit holds for both kinds together: reclaimable engines are ordered up to
 //!    what the permanent ones leave.
 //! 3. An order whose engines don't run some time after they should have started is placed again: it
--- a/crates/gateway/src/decisions/duties/engine_plan.rs
+++ b/crates/gateway/src/decisions/duties/engine_plan.rs
@@ -26,7 +26,7 @@
 const BURST_RESERVE: f64 = 1.3;
 /// The number of permanent engines of a data centre where reclaimable ones serve the work, unless
 /// the operator's minimum is higher: some capacity remains when all others are reclaimed. Three
-/// cost 0.017 of worth more and served no more requests (docs/design/17).
+/// cost more and served no more requests (docs/design/17).
 const MIN_PERMANENT: u32 = 1;
 
 /// Whether the platform may reclaim an engine.
--- a/crates/gateway/src/decisions/duties/usage_start.rs
+++ b/crates/gateway/src/decisions/duties/usage_start.rs
@@ -14,11 +14,10 @@
 //!    that is silent keeps running its requests. A break at once may also be a lost response: it is
 //!    taken as not started, so that no customer pays for it.
 //!
-//! Reason: compared with the counts of the platform itself, on days with one fault for 15 s, the
-//! report of a window was off by these shares of its requests: with first tokens only, 0.27 where
-//! engines fail 0.45 of their requests, 0.30 where they lose half of their responses; with all
-//! broken connections and each run counted, 0.16 and 0.15 there, and 0.37 where engines go down and
-//! up.
+//! Reason: compared with the counts of the platform itself, with one fault for 15 s, the report of
+//! a window was off by these shares of its requests: with first tokens only, 0.27 where engines
+//! fail 0.45 of their requests, 0.30 where they lose half of their responses; with all broken
+//! connections and each run counted, 0.16 and 0.15 there, and 0.37 where engines go down and up.
 //!
 //! Tests: `duties_usage.rs`.
 
--- a/crates/gateway/src/decisions/endpoint/cache_fetch.rs
+++ b/crates/gateway/src/decisions/endpoint/cache_fetch.rs
@@ -20,8 +20,8 @@
 /// The smallest number of shared tokens that is fetched: an engine computes this many in some 20
 /// ms, about the time to set up a fetch.
 const MIN_FETCHED_TOKENS: u64 = 1_000;
-/// The number of tokens fetched per millisecond: 6,300 tokens take 22 ms on apie-arena, the slowest
-/// of the users' sites.
+/// The number of tokens fetched per millisecond: 6,300 tokens take 22 ms at the slowest of the
+/// users' sites.
 const FETCHED_TOKENS_PER_MS: f64 = 250.0;
 
 /// An engine that may cache a part of a prompt.
--- a/crates/gateway/src/decisions/endpoint/placement.rs
+++ b/crates/gateway/src/decisions/endpoint/placement.rs
@@ -82,8 +82,8 @@
 /// reserved engine, since only the one stream pauses.
 const STREAM_AT_UNRESERVED_MS: f64 = 100.0;
 /// The weight in the queue of prompts that other daemons report. At 1 too many requests are shed,
-/// since daemons report prompts that they don't know to be cached; at 0 too few for days of solcata
-/// with scaled-up traffic. See docs/design/14.
+/// since daemons report prompts that they don't know to be cached; at 0 too few when traffic grows.
+/// See docs/design/14.
 const REPORTED_PREFILL_WEIGHT: f64 = 0.15;
 
 /// The state of one endpoint when a request is placed.
--- a/crates/gateway/src/decisions/endpoint/prompt_affinity.rs
+++ b/crates/gateway/src/decisions/endpoint/prompt_affinity.rs
@@ -10,8 +10,8 @@
 //! may cache parts that this daemon has not seen it read, because of other daemons' requests: a
 //! share of the prefix counts as cached at the preferred endpoints.
 //!
-//! Reason: with two engines for a prefix instead of any number, the shared tokens read again on a
-//! quiet day fell from 1,115 to 238 thousand. See docs/design/13.
+//! Reason: with two engines for a prefix instead of any number, the shared tokens read again fell
+//! from 1,115 to 238 thousand. See docs/design/13.
 //!
 //! Tests: `decisions.rs::daemons_of_all_data_centres_place_a_session_at_the_same_engine`,
 //! `a_session_uses_two_engines_and_no_third_while_they_are_healthy`.
--- a/crates/gateway/src/decisions/endpoint/stream_reservation.rs
+++ b/crates/gateway/src/decisions/endpoint/stream_reservation.rs
@@ -21,15 +21,15 @@
 use std::collections::{HashMap, HashSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The share of a data centre's engines that is reserved. At 0.2, the score of ravaton grown
-/// scale-2 fell from 0.808 to 0.734.
+/// The share of a data centre's engines that is reserved. A lower share (0.2) leaves too few
+/// engines for streams when traffic grows; a higher one leaves fewer for long prompts.
 const RESERVED_SHARE: f64 = 0.3;
 /// The number of answer tokens per prompt token from which a request counts as a stream. The
 /// largest answer that a client allows is about four times the usual one: when the time of such an
 /// answer decided, reports (long prompts) counted as streams and were placed on the same engines.
 const MIN_ANSWER_RATIO: f64 = 0.15;
 /// The longest prompt that counts as a stream whatever its answer: an engine reads it in about one
-/// step (2,048 tokens at the users' sites). It keeps queues shorter on days with scaled-up traffic.
+/// step (2,048 tokens at the users' sites). It keeps queues shorter when traffic grows.
 const MAX_ONE_STEP_TOKENS: u64 = 2_500;
 
 /// Returns whether a request counts as a stream: a pause costs it more than the time to read its
--- a/crates/gateway/src/decisions/replication/followers.rs
+++ b/crates/gateway/src/decisions/replication/followers.rs
@@ -8,8 +8,8 @@
 //! daemon through which this one follows the source isn't served: it would follow itself. No daemon
 //! plans the resulting tree, and the load on one daemon doesn't grow with the fleet.
 //!
-//! Choosing the smallest subtree keeps the tree shallow. See docs/design/14 (calls of the store on
-//! a day of the larger fleet fell from 8,283 to 1,835) and docs/design/15 (depth).
+//! Choosing the smallest subtree keeps the tree shallow. See docs/design/14 (calls of the store by
+//! a large fleet fell from 8,283 to 1,835) and docs/design/15 (depth).
 //!
 //! The subtree that a daemon reports to another one leaves out what that one reported itself: two
 //! daemons that follow each other for a moment, while seeds are unreachable, would count each
--- a/crates/gateway/src/decisions/replication/proof_limits.rs
+++ b/crates/gateway/src/decisions/replication/proof_limits.rs
@@ -15,11 +15,11 @@
 //! 2 s.
 //!
 //! Reason: a limit of 1.6 s in place of 2.8 s sent whole data centres of a fleet of 295 daemons to
-//! the source whenever the tree was rearranged (116 of them in one second of a quiet day), while
-//! cycles persisted. 2.8 s where changes must be in force within 2 s broke that bound while the
-//! source refused all seeds. The time that is left must cover a search (0.02 s, while daemons
-//! answer), a slot at the source (0.1 s and more) and a slow source (0.24 s); they fit into 0.6 s
-//! in 200 of 200 simulated runs of `follow_tree.rs::a_change_is_in_force…`.
+//! the source whenever the tree was rearranged (116 of them in one second), while cycles persisted.
+//! 2.8 s where changes must be in force within 2 s broke that bound while the source refused all
+//! seeds. The time that is left must cover a search (0.02 s, while daemons answer), a slot at the
+//! source (0.1 s and more) and a slow source (0.24 s); they fit into 0.6 s in 200 of 200 simulated
+//! runs of `follow_tree.rs::a_change_is_in_force…`.
 //!
 //! Tests: `upstream.rs`, `follow_tree.rs`.
 
--- a/crates/gateway/src/decisions/replication/source_pacing.rs
+++ b/crates/gateway/src/decisions/replication/source_pacing.rs
@@ -58,8 +58,8 @@
 ///
 /// Seeds exchange their proofs: the first of the running ones waits for one interval, the second
 /// for two, the third for three. With waits of three intervals for all, a change wakes all seeds at
-/// once, so that they wait in step, and the fleet's proofs were up to 3 s old (295 daemons, quiet
-/// day: 109 calls, 0.05 of requests refused).
+/// once, so that they wait in step, and the fleet's proofs were up to 3 s old (295 daemons: 109
+/// calls, 0.05 of requests refused).
 ///
 /// A response is needed at once by a daemon that is no seed, since it polls in place of a parent
 /// with an old proof, and by one that got none to its last poll: an open connection may have fallen
--- a/crates/gateway/src/decisions/resend/hedging.rs
+++ b/crates/gateway/src/decisions/resend/hedging.rs
@@ -9,9 +9,9 @@
 //! request may be sent a second time at all is decided by [`super::check`]; if so, the first
 //! attempt is abandoned.
 //!
-//! Reason: hedging first attempts away from engines that were merely busy lowered the score of
-//! ravaton from 0.659 to 0.624 and of solcata from 0.797 to 0.720; limited to silent engines it
-//! gave 0.698 and 0.744.
+//! Reason: hedging first attempts away from engines that were merely busy served requests worse
+//! than no hedging, since prompts were read twice. Hedging only away from silent engines was better
+//! than that; compared with no hedging, it was better in one fleet and worse in another.
 //!
 //! Tests: `exchange.rs::plain_requests_are_repeated_only_where_the_route_allows_it` ("is silent"),
 //! `resend.rs`.
--- a/crates/gateway/src/replication/follow.rs
+++ b/crates/gateway/src/replication/follow.rs
@@ -46,8 +46,8 @@
 /// time for a new connection.
 const ANSWER_SLACK: Duration = Duration::from_millis(600);
 /// The delay before the next poll after changes. Changes come in bursts, and one later answer
-/// brings those of several. Without this delay a fleet made 12,585 calls to the source in a quiet
-/// day, and 4,400 with it and longer waits.
+/// brings those of several. Without this delay a fleet made 12,585 calls to the source where it
+/// makes 4,400 with it and longer waits.
 const CHANGE_BURST_DELAY: Duration = Duration::from_millis(200);
 
 /// Follows the source until the daemon ends.
